--- a/crates/sablebay-bench/src/hollow.rs
+++ b/crates/sablebay-bench/src/hollow.rs
@@ -371,12 +371,12 @@
             FleetMessage::Probe(_) => "probe",
             FleetMessage::ProbeAck { .. } => "probe_ack",
             FleetMessage::IndirectProbe { .. } | FleetMessage::IndirectAck { .. } => "indirect",
-            FleetMessage::News { .. } => "news",
+            FleetMessage::Gossip { .. } => "news",
             FleetMessage::ConfigurationDelta { .. } => "delta",
             FleetMessage::ConfigurationAnnounced { .. } => "announced",
-            FleetMessage::ConfigurationWanted { .. } => "wanted",
+            FleetMessage::ConfigurationRequest { .. } => "wanted",
             FleetMessage::ConfigurationPart(_) => "part",
-            FleetMessage::MembersWanted => "members_wanted",
+            FleetMessage::MembersRequest => "members_wanted",
             FleetMessage::Members { .. } => "members",
         };
         let encoded = musli::wire::to_vec(&PeerMessage::Fleet(message.clone()));
--- a/crates/sablebay-fleet/src/census.rs
+++ b/crates/sablebay-fleet/src/census.rs
@@ -120,7 +120,7 @@
     }
 
     /// Takes in every member that is known; those that are no longer named are forgotten.
-    pub fn take_members<'a>(
+    pub fn update_members<'a>(
         &mut self,
         members: impl IntoIterator<Item = (&'a NodeId, SocketAddr, MemberStatus)>,
         now: Micros,
@@ -141,7 +141,7 @@
     }
 
     /// A peer that knows the fleet told the number of its nodes. The highest number counts until it is old.
-    pub fn note_told(&mut self, nodes: usize, now: Micros) {
+    pub fn record_reported_size(&mut self, nodes: usize, now: Micros) {
         if nodes >= self.told(now) {
             self.told = Some((nodes, now));
         }
@@ -154,7 +154,7 @@
 
     /// The number of nodes to tell others: of those that this node knows by name, if these are all. A number that was
     /// told is not passed on, so that none outlasts the names behind it.
-    pub fn number_to_tell(&self, now: Micros) -> Option<usize> {
+    pub fn size_to_report(&self, now: Micros) -> Option<usize> {
         let known = self.known(now);
         (self.knows_fleet && known >= self.told(now)).then_some(known)
     }
--- a/crates/sablebay-fleet/src/claims.rs
+++ b/crates/sablebay-fleet/src/claims.rs
@@ -133,7 +133,7 @@
     pub fn claim(&mut self, request: &ClaimRequest, now: WallMillis) -> ClaimAnswer {
         self.sweep(now);
         let ticket = &request.ticket;
-        match self.question(ticket, now) {
+        match self.lookup(ticket, now) {
             ClaimAnswer::Unclaimed => {}
             ClaimAnswer::HeldBy { claimant, .. } if claimant == request.claimant => {
                 return ClaimAnswer::Granted;
@@ -154,7 +154,7 @@
     }
 
     /// What this holder knows of a ticket.
-    pub fn question(&self, ticket: &Ticket, now: WallMillis) -> ClaimAnswer {
+    pub fn lookup(&self, ticket: &Ticket, now: WallMillis) -> ClaimAnswer {
         if !ticket.holders.contains(&self.own) {
             return ClaimAnswer::NotHolder;
         }
--- a/crates/sablebay-fleet/src/fleet_node.rs
+++ b/crates/sablebay-fleet/src/fleet_node.rs
@@ -36,7 +36,7 @@
     /// How many peers are told of urgent news at once.
     pub push_fan_out: usize,
     /// How long a starting node waits for its first peer before it goes on alone.
-    pub join_patience: Micros,
+    pub join_timeout: Micros,
     /// Mechanisms that are on.
     pub mechanisms: FleetMechanisms,
 }
@@ -74,7 +74,7 @@
             probe_period,
             lease: Micros(probe_period.0 * Self::LEASE_PERIODS),
             push_fan_out: Self::PUSH_FAN_OUT,
-            join_patience: Micros(probe_period.0 * Self::JOIN_PERIODS),
+            join_timeout: Micros(probe_period.0 * Self::JOIN_PERIODS),
             mechanisms: FleetMechanisms::default(),
         }
     }
@@ -217,7 +217,7 @@
     }
 
     fn gave_up_joining(&self, now: Micros) -> bool {
-        now.since(self.started_at) >= self.settings.join_patience
+        now.since(self.started_at) >= self.settings.join_timeout
     }
 
     /// Whether a configuration from the platform may be taken yet: a fresh node asks peers first.
@@ -237,7 +237,7 @@
 
     /// Time has passed. Called several times a probe period.
     pub fn on_tick(&mut self, now: Micros, outputs: &mut Vec<FleetOutput>) {
-        self.members.look_at_zones(now);
+        self.members.update_reach(now);
         self.tick_join(now, outputs);
         self.tick_probes(now, outputs);
         self.tick_suspicions(now, outputs);
@@ -271,16 +271,16 @@
             FleetMessage::IndirectAck { sequence } => {
                 self.probes.answered_through_others(sequence);
             }
-            FleetMessage::News { rumours } => self.take_rumours(rumours, from_address, now, outputs),
+            FleetMessage::Gossip { rumours } => self.take_rumours(rumours, from_address, now, outputs),
             FleetMessage::ConfigurationDelta { delta } => {
                 self.on_delta(from_address, delta, now, outputs);
             }
             FleetMessage::ConfigurationAnnounced { version } => {
                 self.hear_version(from_address, version, now, outputs);
             }
-            FleetMessage::ConfigurationWanted { have } => self.on_wanted(from_address, have, outputs),
+            FleetMessage::ConfigurationRequest { have } => self.on_wanted(from_address, have, outputs),
             FleetMessage::ConfigurationPart(part) => self.on_part(part, now, outputs),
-            FleetMessage::MembersWanted => self.on_members_wanted(from_address, outputs),
+            FleetMessage::MembersRequest => self.on_members_wanted(from_address, outputs),
             FleetMessage::Members { members, version } => {
                 self.on_members(from_address, members, version, now, outputs);
             }
--- a/crates/sablebay-fleet/src/fleet_node/configuration.rs
+++ b/crates/sablebay-fleet/src/fleet_node/configuration.rs
@@ -8,7 +8,7 @@
 
 use super::spreading::Source;
 use super::{FleetNode, FleetOutput};
-use crate::floor::{Offer, Rejection};
+use crate::floor::{OfferOutcome, Rejection};
 use crate::message::{ConfigurationPart, FleetMessage};
 use crate::rumour::Rumour;
 use crate::transfer::{Assembly, parts_of};
@@ -27,7 +27,7 @@
         configuration: Arc<Configuration>,
         now: Micros,
         outputs: &mut Vec<FleetOutput>,
-    ) -> Offer {
+    ) -> OfferOutcome {
         self.offer(configuration, now, outputs)
     }
 
@@ -66,14 +66,14 @@
         configuration: Arc<Configuration>,
         now: Micros,
         outputs: &mut Vec<FleetOutput>,
-    ) -> Offer {
+    ) -> OfferOutcome {
         let offer = self.floor.offer(configuration, now);
         self.after_offer(&offer, outputs);
         offer
     }
 
-    fn after_offer(&mut self, offer: &Offer, outputs: &mut Vec<FleetOutput>) {
-        let Offer::Adopted { .. } = offer else {
+    fn after_offer(&mut self, offer: &OfferOutcome, outputs: &mut Vec<FleetOutput>) {
+        let OfferOutcome::Adopted { .. } = offer else {
             return;
         };
         self.note_catching_up();
@@ -109,7 +109,7 @@
         now: Micros,
         outputs: &mut Vec<FleetOutput>,
     ) {
-        if !self.floor.hear(version) {
+        if !self.floor.observe_version(version) {
             return;
         }
         let asked_lately = self.wanted_since.is_some_and(|at| now.since(at) < REQUEST_PATIENCE);
@@ -121,7 +121,7 @@
     fn want_from(&mut self, from: SocketAddr, now: Micros, outputs: &mut Vec<FleetOutput>) {
         self.wanted_since = Some(now);
         let have = self.floor.version();
-        self.send(from, FleetMessage::ConfigurationWanted { have }, outputs);
+        self.send(from, FleetMessage::ConfigurationRequest { have }, outputs);
     }
 
     /// Asks another peer when the one that was asked does not answer.
@@ -174,7 +174,7 @@
 
     pub(super) fn on_part(&mut self, part: ConfigurationPart, now: Micros, outputs: &mut Vec<FleetOutput>) {
         let version = part.version;
-        self.floor.hear(version);
+        self.floor.observe_version(version);
         if version <= self.floor.version() {
             return;
         }
--- a/crates/sablebay-fleet/src/fleet_node/membership.rs
+++ b/crates/sablebay-fleet/src/fleet_node/membership.rs
@@ -51,9 +51,9 @@
         }
         self.next_join_at = now.plus(JOIN_INTERVAL).plus(self.jitter(JOIN_INTERVAL));
         for seed in self.seeds.clone() {
-            self.send(seed, FleetMessage::MembersWanted, outputs);
+            self.send(seed, FleetMessage::MembersRequest, outputs);
             let have = self.floor.version();
-            self.send(seed, FleetMessage::ConfigurationWanted { have }, outputs);
+            self.send(seed, FleetMessage::ConfigurationRequest { have }, outputs);
         }
     }
 
@@ -163,7 +163,7 @@
     fn tell_suspect(&self, node: &NodeId, outputs: &mut Vec<FleetOutput>) {
         if let Some(member) = self.members.get(node) {
             let rumours = vec![Rumour::Member(member.claim())];
-            self.send(member.info.peer_address, FleetMessage::News { rumours }, outputs);
+            self.send(member.info.peer_address, FleetMessage::Gossip { rumours }, outputs);
         }
     }
 
@@ -194,9 +194,9 @@
         let per_member = SYNC_INTERVAL_PER_MEMBER.0 * self.members.len() as u64;
         let interval = Micros(MINIMUM_SYNC_INTERVAL.0 + per_member);
         self.next_sync_at = now.plus(Micros(interval.0 / 2)).plus(self.jitter(interval));
-        self.members.forget_gone(Micros(now.0.saturating_sub(REMEMBER_LEFT.0)));
+        self.members.remove_departed(Micros(now.0.saturating_sub(REMEMBER_LEFT.0)));
         for to in self.random_peers(1) {
-            self.send(to, FleetMessage::MembersWanted, outputs);
+            self.send(to, FleetMessage::MembersRequest, outputs);
         }
         self.probe_a_dead_member(now, outputs);
     }
@@ -218,7 +218,7 @@
             MemberClaim { info: probe.info, status: MemberStatus::Alive, refutation: probe.refutation };
         self.take_member_claim(claim, Source::Heard, now, outputs);
         self.tell_if_believed_gone(&from, to, outputs);
-        self.members.heard(&from, probe.version, now);
+        self.members.record_contact(&from, probe.version, now);
         self.take_rumours(probe.rumours, to, now, outputs);
         let ack = FleetMessage::ProbeAck {
             sequence: probe.sequence,
@@ -236,7 +236,7 @@
         };
         if member.status() != MemberStatus::Alive {
             let rumours = vec![Rumour::Member(member.claim())];
-            self.send(to, FleetMessage::News { rumours }, outputs);
+            self.send(to, FleetMessage::Gossip { rumours }, outputs);
         }
     }
 
@@ -249,7 +249,7 @@
         now: Micros,
         outputs: &mut Vec<FleetOutput>,
     ) {
-        self.members.heard(from, version, now);
+        self.members.record_contact(from, version, now);
         let address = self.members.get(&from.node).map(|member| member.info.peer_address);
         if let Some(address) = address {
             self.take_rumours(rumours, address, now, outputs);
@@ -294,7 +294,7 @@
         self.send(to, FleetMessage::Members { members, version }, outputs);
         let notices: Vec<Rumour> = self.leaves.notices().map(Rumour::Leaf).collect();
         if !notices.is_empty() {
-            self.send(to, FleetMessage::News { rumours: notices }, outputs);
+            self.send(to, FleetMessage::Gossip { rumours: notices }, outputs);
         }
     }
 
@@ -385,7 +385,7 @@
             self.announce_alive(outputs);
         }
         let rumours = vec![Rumour::Member(self.own_claim(MemberStatus::Alive))];
-        self.send(from, FleetMessage::News { rumours }, outputs);
+        self.send(from, FleetMessage::Gossip { rumours }, outputs);
     }
 
     pub(super) fn own_claim(&self, status: MemberStatus) -> MemberClaim {
@@ -415,7 +415,7 @@
     }
 
     /// Takes back [`FleetNode::leave`]: the node was undrained before it stopped.
-    pub fn return_to_work(&mut self, outputs: &mut Vec<FleetOutput>) {
+    pub fn cancel_leave(&mut self, outputs: &mut Vec<FleetOutput>) {
         self.leaving = false;
         self.refutation += 1;
         self.announce_alive(outputs);
--- a/crates/sablebay-fleet/src/fleet_node/spreading.rs
+++ b/crates/sablebay-fleet/src/fleet_node/spreading.rs
@@ -72,7 +72,7 @@
     fn push(&mut self, rumour: &Rumour, crosses: bool, outputs: &mut Vec<FleetOutput>) {
         let near_pushes = self.settings.push_fan_out + EXTRA_NEAR_PUSHES;
         for to in self.peers_where(|reach| reach == Reach::Near, near_pushes) {
-            self.send(to, FleetMessage::News { rumours: vec![rumour.clone()] }, outputs);
+            self.send(to, FleetMessage::Gossip { rumours: vec![rumour.clone()] }, outputs);
         }
         if crosses {
             self.push_far(rumour, outputs);
@@ -82,7 +82,7 @@
     /// Tells a few members of other zones at once: there are seldom messages to them that it could ride on.
     fn push_far(&mut self, rumour: &Rumour, outputs: &mut Vec<FleetOutput>) {
         for to in self.peers_where(|reach| reach != Reach::Near, FAR_PUSHES) {
-            self.send(to, FleetMessage::News { rumours: vec![rumour.clone()] }, outputs);
+            self.send(to, FleetMessage::Gossip { rumours: vec![rumour.clone()] }, outputs);
         }
     }
 
--- a/crates/sablebay-fleet/src/floor.rs
+++ b/crates/sablebay-fleet/src/floor.rs
@@ -37,7 +37,7 @@
 
 /// What became of a configuration that was offered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum OfferOutcome {
     /// It is in force now; before it, this version was.
     Adopted {
         /// The version that was in force.
@@ -105,7 +105,7 @@
     }
 
     /// Hears of a version that somebody accepted. Returns whether this node now lags.
-    pub fn hear(&mut self, version: Version) -> bool {
+    pub fn observe_version(&mut self, version: Version) -> bool {
         self.note_conflict(version);
         if !self.floor_off {
             self.floor = self.floor.max(version);
@@ -131,15 +131,15 @@
     }
 
     /// A validated configuration is offered, by the platform or by a peer.
-    pub fn offer(&mut self, configuration: Arc<Configuration>, now: Micros) -> Offer {
+    pub fn offer(&mut self, configuration: Arc<Configuration>, now: Micros) -> OfferOutcome {
         let offered = configuration.version;
         self.note_conflict(offered);
         if offered == self.version() {
-            return Offer::Known;
+            return OfferOutcome::Known;
         }
         let below = offered < self.floor || offered < self.version();
         if below && !self.floor_off {
-            return Offer::BelowFloor { floor: self.floor };
+            return OfferOutcome::BelowFloor { floor: self.floor };
         }
         let previous = self.in_force.as_ref().map(|before| before.version);
         if let Some(before) = &self.in_force {
@@ -147,7 +147,7 @@
             self.remember(delta);
         }
         self.adopt(configuration, now);
-        Offer::Adopted { previous }
+        OfferOutcome::Adopted { previous }
     }
 
     fn adopt(&mut self, configuration: Arc<Configuration>, now: Micros) {
@@ -179,21 +179,21 @@
     /// Applies a delta from a peer. Nothing when it does not start from what is at hand.
     ///
     /// A step that ends below the floor is staged and not adopted: the rest of the way follows.
-    pub fn offer_delta(&mut self, delta: &Arc<Delta>, now: Micros) -> Option<Offer> {
+    pub fn offer_delta(&mut self, delta: &Arc<Delta>, now: Micros) -> Option<OfferOutcome> {
         self.note_conflict(delta.to);
         if delta.to <= self.version() {
-            return Some(Offer::Known);
+            return Some(OfferOutcome::Known);
         }
         let base = self.base_for(delta)?;
         let next = Arc::new(base.apply(delta).ok()?);
         self.push_history(delta.clone());
         if delta.to < self.floor && !self.floor_off {
             self.staged = Some(next);
-            return Some(Offer::BelowFloor { floor: self.floor });
+            return Some(OfferOutcome::BelowFloor { floor: self.floor });
         }
         let previous = self.version();
         self.adopt(next, now);
-        Some(Offer::Adopted { previous: Some(previous) })
+        Some(OfferOutcome::Adopted { previous: Some(previous) })
     }
 
     /// The configuration that a delta starts from: what is in force, or what is staged.
--- a/crates/sablebay-fleet/src/member.rs
+++ b/crates/sablebay-fleet/src/member.rs
@@ -70,7 +70,7 @@
 
 /// What one node hears about another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LifeEvent {
+pub enum MemberEvent {
     /// Somebody claims a status, with the member's refutation count as they know it.
     Claimed {
         /// The status.
@@ -90,17 +90,17 @@
 /// The life of one member. A claim counts when its refutation count is higher than the known
 /// one, or equal with a worse status: so only the member itself can take a suspicion back.
 #[derive(Clone, Debug, Default)]
-pub struct MemberLife {
+pub struct MemberLifecycle {
     /// The highest refutation count heard.
     pub refutation: u32,
     /// When the present state began.
     pub since: Micros,
 }
 
-impl MemberLife {
-    fn next(&mut self, event: &LifeEvent, known: MemberStatus) -> Outcome<State> {
+impl MemberLifecycle {
+    fn next(&mut self, event: &MemberEvent, known: MemberStatus) -> Outcome<State> {
         match *event {
-            LifeEvent::Claimed { status, refutation, now } => {
+            MemberEvent::Claimed { status, refutation, now } => {
                 let newer = refutation > self.refutation;
                 let worse = refutation == self.refutation && status > known;
                 if !newer && !worse {
@@ -113,11 +113,11 @@
                 self.since = now;
                 Transition(state_for(status))
             }
-            LifeEvent::SuspicionExpired { now } if known == MemberStatus::Suspect => {
+            MemberEvent::SuspicionExpired { now } if known == MemberStatus::Suspect => {
                 self.since = now;
                 Transition(State::dead())
             }
-            LifeEvent::SuspicionExpired { .. } => Handled,
+            MemberEvent::SuspicionExpired { .. } => Handled,
         }
     }
 }
@@ -132,26 +132,26 @@
 }
 
 #[state_machine(initial = "State::alive()", state(derive(Clone, Debug, PartialEq, Eq)))]
-impl MemberLife {
+impl MemberLifecycle {
     #[state]
-    fn alive(&mut self, event: &LifeEvent) -> Outcome<State> {
+    fn alive(&mut self, event: &MemberEvent) -> Outcome<State> {
         self.next(event, MemberStatus::Alive)
     }
 
     #[state]
-    fn suspect(&mut self, event: &LifeEvent) -> Outcome<State> {
+    fn suspect(&mut self, event: &MemberEvent) -> Outcome<State> {
         self.next(event, MemberStatus::Suspect)
     }
 
     /// A leaving member is not suspected. It comes back by its own word alone, which has a
     /// higher refutation count.
     #[state]
-    fn leaving(&mut self, event: &LifeEvent) -> Outcome<State> {
+    fn leaving(&mut self, event: &MemberEvent) -> Outcome<State> {
         self.next(event, MemberStatus::Leaving)
     }
 
     #[state]
-    fn dead(&mut self, event: &LifeEvent) -> Outcome<State> {
+    fn dead(&mut self, event: &MemberEvent) -> Outcome<State> {
         self.next(event, MemberStatus::Dead)
     }
 }
--- a/crates/sablebay-fleet/src/members.rs
+++ b/crates/sablebay-fleet/src/members.rs
@@ -9,7 +9,7 @@
 use sablebay_config::Version;
 use sablebay_model::{InstanceKey, Micros, NodeId, ZoneName};
 
-use crate::member::{LifeEvent, MemberInfo, MemberLife, MemberStatus};
+use crate::member::{MemberEvent, MemberInfo, MemberLifecycle, MemberStatus};
 use crate::rumour::Reach;
 
 /// A statement about one member, as nodes pass it on.
@@ -32,12 +32,12 @@
     pub version: Version,
     /// When it was last heard directly.
     pub last_contact: Micros,
-    life: StateMachine<MemberLife>,
+    life: StateMachine<MemberLifecycle>,
 }
 
 impl Member {
     fn new(claim: &MemberClaim, now: Micros) -> Self {
-        let life = MemberLife { refutation: 0, since: now };
+        let life = MemberLifecycle { refutation: 0, since: now };
         let mut member = Self {
             info: claim.info.clone(),
             version: Version::default(),
@@ -50,7 +50,7 @@
 
     fn claimed(&mut self, status: MemberStatus, refutation: u32, now: Micros) -> bool {
         let before = (self.status(), self.refutation());
-        self.life.handle(&LifeEvent::Claimed { status, refutation, now });
+        self.life.handle(&MemberEvent::Claimed { status, refutation, now });
         before != (self.status(), self.refutation())
     }
 
@@ -209,7 +209,7 @@
         if member.status() != MemberStatus::Suspect {
             return None;
         }
-        member.life.handle(&LifeEvent::SuspicionExpired { now });
+        member.life.handle(&MemberEvent::SuspicionExpired { now });
         let claim = member.claim();
         self.note_status(node, Some((MemberStatus::Suspect, claim.info.zone.clone())), now);
         Some(claim)
@@ -217,7 +217,7 @@
 
     /// Forgets members that left before `limit`. Those that fell silent are remembered: they may be cut off, and what is
     /// bounded for the fleet is theirs as well. Beyond [`MOST_SILENT`] of them the one silent for longest goes first.
-    pub fn forget_gone(&mut self, limit: Micros) {
+    pub fn remove_departed(&mut self, limit: Micros) {
         let has_left = |member: &Member| member.status() == MemberStatus::Leaving && member.since() < limit;
         self.members.retain(|_, member| !has_left(member));
         let silent = self.members.values().filter(|member| member.status() == MemberStatus::Dead);
@@ -236,7 +236,7 @@
     }
 
     /// Records a direct word of a member, and the configuration it reported.
-    pub fn heard(&mut self, key: &InstanceKey, version: Version, now: Micros) {
+    pub fn record_contact(&mut self, key: &InstanceKey, version: Version, now: Micros) {
         if let Some(member) = self.members.get_mut(&key.node)
             && member.info.key == *key
         {
@@ -266,7 +266,7 @@
     }
 
     /// Looks which zones watch themselves: time has passed.
-    pub fn look_at_zones(&mut self, now: Micros) {
+    pub fn update_reach(&mut self, now: Micros) {
         for members in self.zones.values_mut() {
             let before = members.reach;
             members.look(now);
--- a/crates/sablebay-fleet/src/message.rs
+++ b/crates/sablebay-fleet/src/message.rs
@@ -67,7 +67,7 @@
         sequence: u64,
     },
     /// News that cannot wait for a probe.
-    News {
+    Gossip {
         /// The news.
         rumours: Vec<Rumour>,
     },
@@ -82,14 +82,14 @@
         version: Version,
     },
     /// Please send what leads from `have` to the newest.
-    ConfigurationWanted {
+    ConfigurationRequest {
         /// What the sender has.
         have: Version,
     },
     /// A part of a whole configuration.
     ConfigurationPart(ConfigurationPart),
     /// Please send the members you know.
-    MembersWanted,
+    MembersRequest,
     /// The members that the sender knows, itself among them.
     Members {
         /// One claim a member.
--- a/crates/sablebay-fleet/tests/census.rs
+++ b/crates/sablebay-fleet/tests/census.rs
@@ -24,7 +24,7 @@
 fn take(census: &mut FleetCensus, members: &[(usize, MemberStatus)], now: Micros) {
     let named: Vec<(NodeId, usize, MemberStatus)> =
         members.iter().map(|(node, status)| (NodeId::new(format!("n{node}")), *node, *status)).collect();
-    census.take_members(named.iter().map(|(name, node, status)| (name, address(*node), *status)), now);
+    census.update_members(named.iter().map(|(name, node, status)| (name, address(*node), *status)), now);
 }
 
 fn share(census: &FleetCensus, seconds: u64) -> f64 {
@@ -85,21 +85,21 @@
 fn a_node_that_is_told_of_the_fleet_uses_its_part_of_it_at_once() {
     let mut census = census();
     take(&mut census, &[(1, ALIVE)], at(0));
-    census.note_told(8, at(0));
+    census.record_reported_size(8, at(0));
     assert_eq!(share(&census, 1), 0.25);
-    assert_eq!(census.number_to_tell(at(1)), None, "a number is not passed on without the names behind it");
+    assert_eq!(census.size_to_report(at(1)), None, "a number is not passed on without the names behind it");
     let members: Vec<_> = (1..8).map(|node| (node, if node < 4 { ALIVE } else { DEAD })).collect();
     take(&mut census, &members, at(2));
     assert_eq!(share(&census, 2), 0.5);
-    assert_eq!(census.number_to_tell(at(2)), Some(8));
+    assert_eq!(census.size_to_report(at(2)), Some(8));
 }
 
 #[test]
 fn a_told_number_is_forgotten_when_nobody_tells_it_any_more() {
     let mut census = census();
     take(&mut census, &[(1, ALIVE), (2, ALIVE)], at(0));
-    census.note_told(6, at(0));
-    census.note_told(3, at(30));
+    census.record_reported_size(6, at(0));
+    census.record_reported_size(3, at(30));
     assert_eq!(share(&census, 30), 0.5);
     assert_eq!(share(&census, 61), 1.0);
 }
--- a/crates/sablebay-fleet/tests/claims.rs
+++ b/crates/sablebay-fleet/tests/claims.rs
@@ -212,7 +212,7 @@
     assert!(holder.record(TicketId(1), &claimant(0), done.clone()));
     assert!(!holder.record(TicketId(1), &claimant(0), TicketState::NotRun { reason: Reason::Overloaded }));
     let expected = ClaimAnswer::HeldBy { claimant: claimant(0), state: done };
-    assert_eq!(holder.question(&ticket(), NOW), expected);
+    assert_eq!(holder.lookup(&ticket(), NOW), expected);
 }
 
 #[test]
--- a/crates/sablebay-gateway/src/fleet_view.rs
+++ b/crates/sablebay-gateway/src/fleet_view.rs
@@ -142,7 +142,7 @@
         let members = fleet.members().iter();
         let members =
             members.map(|member| (&member.info.key.node, member.info.peer_address, member.status()));
-        self.census.take_members(members, node.clock.now());
+        self.census.update_members(members, node.clock.now());
         drop(fleet);
         self.take_present(&present);
     }
@@ -271,7 +271,7 @@
             return;
         };
         self.told = self.told.max(Some(nodes));
-        self.census.note_told(nodes, now);
+        self.census.record_reported_size(nodes, now);
     }
 
     /// Whether the part of the fleet that this node sees is news for the log.
--- a/crates/sablebay-gateway/src/peer_catalogue.rs
+++ b/crates/sablebay-gateway/src/peer_catalogue.rs
@@ -143,7 +143,7 @@
     let mut fleet = context.fleet.lock();
     fleet.refresh(&context.node);
     let part = fleet.part(&known);
-    let number_to_tell = fleet.census.number_to_tell(known.now);
+    let number_to_tell = fleet.census.size_to_report(known.now);
     let (size, position) = fleet.size(Micros::from(context.clock().running_for()));
     drop(fleet);
     if size.running_for >= SETTLING_TIME {
--- a/crates/sablebay-model/src/partitions.rs
+++ b/crates/sablebay-model/src/partitions.rs
@@ -35,7 +35,7 @@
     },
     /// A range ends before it starts.
     #[display("the range {first}-{last} ends before it starts")]
-    Backwards {
+    ReversedRange {
         /// The first partition.
         first: u32,
         /// The last one.
@@ -43,7 +43,7 @@
     },
     /// A partition is named twice.
     #[display("partition {partition} is named twice")]
-    Twice {
+    Duplicate {
         /// The partition.
         partition: u32,
     },
@@ -172,7 +172,7 @@
     let first = parse_number(first)?;
     let last = parse_number(last)?;
     if last < first {
-        return Err(PartitionSetError::Backwards { first, last });
+        return Err(PartitionSetError::ReversedRange { first, last });
     }
     Ok((first, last))
 }
@@ -188,7 +188,7 @@
         ranges.sort_unstable();
         for pair in ranges.windows(2) {
             if pair[1].0 <= pair[0].1 {
-                return Err(PartitionSetError::Twice { partition: pair[1].0 });
+                return Err(PartitionSetError::Duplicate { partition: pair[1].0 });
             }
         }
         Ok(Self { ranges: merge(ranges) })
--- a/crates/sablebay-node/src/admin_api.rs
+++ b/crates/sablebay-node/src/admin_api.rs
@@ -291,7 +291,7 @@
     if shared.lifecycle.is_draining() {
         log::info!("stop: the node takes work again.");
         shared.lifecycle.set_draining(false);
-        step_fleet(&shared, |fleet, _, outputs| fleet.return_to_work(outputs));
+        step_fleet(&shared, |fleet, _, outputs| fleet.cancel_leave(outputs));
     }
     Json(node_report(&shared)).into_response()
 }
--- a/crates/sablebay-node/src/node.rs
+++ b/crates/sablebay-node/src/node.rs
@@ -295,7 +295,7 @@
                 PeerResponse::Recorded(shared.claims.lock().record(ticket, &claimant, state))
             }
             PeerRequest::QuestionTicket { ticket } => {
-                let answer = shared.claims.lock().question(&ticket, shared.clock.wall());
+                let answer = shared.claims.lock().lookup(&ticket, shared.clock.wall());
                 PeerResponse::Claim(answer)
             }
             PeerRequest::Catalogue { version, replicas_at, wait_ms, takes_documents, standing } => {
--- a/crates/sablebay-node/src/operation.rs
+++ b/crates/sablebay-node/src/operation.rs
@@ -348,7 +348,7 @@
         let (shared, ticket) = (shared.clone(), ticket.clone());
         asking.spawn(async move {
             if holder == *shared.key() {
-                return Some(shared.claims.lock().question(&ticket, shared.clock.wall()));
+                return Some(shared.claims.lock().lookup(&ticket, shared.clock.wall()));
             }
             let request = PeerRequest::QuestionTicket { ticket };
             match ask(&shared, &holder, request, now.plus(HOLDER_PATIENCE)).await {
--- a/crates/sablebay-node/src/traffic.rs
+++ b/crates/sablebay-node/src/traffic.rs
@@ -112,13 +112,13 @@
             FleetMessage::Probe(probe) if probe.rumours.is_empty() => Self::Probe,
             FleetMessage::ProbeAck { rumours, .. } if rumours.is_empty() => Self::Probe,
             FleetMessage::IndirectProbe { .. } | FleetMessage::IndirectAck { .. } => Self::Probe,
-            FleetMessage::Probe(_) | FleetMessage::ProbeAck { .. } | FleetMessage::News { .. } => {
+            FleetMessage::Probe(_) | FleetMessage::ProbeAck { .. } | FleetMessage::Gossip { .. } => {
                 Self::Rumour
             }
-            FleetMessage::MembersWanted | FleetMessage::Members { .. } => Self::MemberList,
+            FleetMessage::MembersRequest | FleetMessage::Members { .. } => Self::MemberList,
             FleetMessage::ConfigurationDelta { .. }
             | FleetMessage::ConfigurationAnnounced { .. }
-            | FleetMessage::ConfigurationWanted { .. }
+            | FleetMessage::ConfigurationRequest { .. }
             | FleetMessage::ConfigurationPart(_) => Self::Configuration,
         }
     }
--- a/crates/sablebay-protocol/tests/frames.rs
+++ b/crates/sablebay-protocol/tests/frames.rs
@@ -63,7 +63,7 @@
 
     #[test]
     fn a_frame_with_any_byte_changed_is_turned_away(at in 4usize..80, with in 1u8..=255) {
-        let mut buffer = frames(&[PeerMessage::Fleet(FleetMessage::MembersWanted)]);
+        let mut buffer = frames(&[PeerMessage::Fleet(FleetMessage::MembersRequest)]);
         let at = at.min(buffer.len() - 1);
         buffer[at] ^= with;
         let mut reader = FrameReader::new(key("fleet", "secret"));
--- a/crates/sablebay-tenants/tests/quota_simulation/views.rs
+++ b/crates/sablebay-tenants/tests/quota_simulation/views.rs
@@ -161,7 +161,7 @@
             .collect();
         let names = &self.names;
         let known = statuses.into_iter().map(|(other, status)| (&names[other], address(other), status));
-        self.census[of].take_members(known, now);
+        self.census[of].update_members(known, now);
         self.census[of].settle(awake_for);
     }
 
@@ -177,12 +177,12 @@
     fn hear_of_fleet(&mut self, of: usize, now: Micros) {
         let tells = |other: &usize| {
             let is_old_enough = now.since(self.started_at[*other]) >= TELLING_AGE;
-            is_old_enough && self.census[*other].number_to_tell(now).is_some()
+            is_old_enough && self.census[*other].size_to_report(now).is_some()
         };
         let peers: Vec<usize> = self.order(of, now).into_iter().filter(|other| *other != of).collect();
         let Some(teller) = peers.into_iter().find(tells) else { return };
         let told = self.census[teller].known(now);
-        self.census[of].note_told(told, now);
+        self.census[of].record_reported_size(told, now);
         for other in 0..self.nodes {
             let met = self.beliefs[teller * self.nodes + other].met;
             self.beliefs[of * self.nodes + other].met |= met;
