--- a/crates/sablebay-fleet/src/census.rs
+++ b/crates/sablebay-fleet/src/census.rs
@@ -15,14 +15,14 @@
 use crate::member::MemberStatus;
 
 /// How long a starting node assumes nodes that it has not met. After that it goes by its seeds.
-const MEETING_TIME: Micros = Micros::from_secs(2);
+const DISCOVERY_TIME: Micros = Micros::from_secs(2);
 /// How long a starting node takes until it has met all others, the slowest among them. Before that it takes no more than
 /// it must.
 pub const SETTLING_TIME: Micros = Micros::from_secs(5);
 /// How long a node that said that it leaves counts on: it may be on its way back, and a cut may hide its return.
-const LEAVE_TIME: Micros = Micros::from_secs(30);
+const LEAVE_GRACE_TIME: Micros = Micros::from_secs(30);
 /// How long the number of nodes that a peer told counts: the names are there after an exchange of member lists.
-const TOLD_TIME: Micros = Micros::from_secs(60);
+const REPORTED_SIZE_TTL: Micros = Micros::from_secs(60);
 
 /// What a node's part of the fleet is known by.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
@@ -72,8 +72,8 @@
         matches!(self.status, MemberStatus::Alive | MemberStatus::Suspect)
     }
 
-    fn counts(&self, now: Micros) -> bool {
-        self.status != MemberStatus::Leaving || now.since(self.since) < LEAVE_TIME
+    fn is_counted(&self, now: Micros) -> bool {
+        self.status != MemberStatus::Leaving || now.since(self.since) < LEAVE_GRACE_TIME
     }
 }
 
@@ -85,7 +85,7 @@
     /// Every other node that was met or heard of.
     others: BTreeMap<NodeId, KnownNode>,
     present: usize,
-    told: Option<(usize, Micros)>,
+    reported_size: Option<(usize, Micros)>,
     /// Whether the nodes known are the whole fleet. Stays true: nodes that come later are met.
     knows_fleet: bool,
 }
@@ -98,7 +98,7 @@
             seeds: BTreeSet::new(),
             others: BTreeMap::new(),
             present: 1,
-            told: None,
+            reported_size: None,
             knows_fleet: false,
         };
         census.replace_seeds(seeds);
@@ -142,21 +142,21 @@
 
     /// A peer that knows the fleet told the number of its nodes. The highest number counts until it is old.
     pub fn record_reported_size(&mut self, nodes: usize, now: Micros) {
-        if nodes >= self.told(now) {
-            self.told = Some((nodes, now));
+        if nodes >= self.reported_size(now) {
+            self.reported_size = Some((nodes, now));
         }
         self.knows_fleet = true;
     }
 
-    fn told(&self, now: Micros) -> usize {
-        self.told.filter(|(_, at)| now.since(*at) < TOLD_TIME).map_or(0, |(nodes, _)| nodes)
+    fn reported_size(&self, now: Micros) -> usize {
+        self.reported_size.filter(|(_, at)| now.since(*at) < REPORTED_SIZE_TTL).map_or(0, |(nodes, _)| nodes)
     }
 
     /// The number of nodes to tell others: of those that this node knows by name, if these are all. A number that was
     /// told is not passed on, so that none outlasts the names behind it.
     pub fn size_to_report(&self, now: Micros) -> Option<usize> {
         let known = self.known(now);
-        (self.knows_fleet && known >= self.told(now)).then_some(known)
+        (self.knows_fleet && known >= self.reported_size(now)).then_some(known)
     }
 
     /// Notes whether the nodes that were met are all there are.
@@ -196,7 +196,7 @@
 
     /// Names of the other nodes that count, present or silent.
     pub fn counted(&self, now: Micros) -> impl Iterator<Item = &NodeId> {
-        self.others.iter().filter(move |(_, node)| node.counts(now)).map(|(name, _)| name)
+        self.others.iter().filter(move |(_, node)| node.is_counted(now)).map(|(name, _)| name)
     }
 
     /// The nodes known by name, this one among them.
@@ -206,7 +206,7 @@
 
     /// The part of the fleet that this node sees. One that has just started assumes `assumed` nodes at the least.
     pub fn part(&self, running_for: Micros, assumed: usize, now: Micros) -> FleetPart {
-        let known = self.known(now).max(self.told(now));
+        let known = self.known(now).max(self.reported_size(now));
         if self.knows_fleet {
             return self.part_of(known as f64, CensusBasis::Names { present: self.present, known });
         }
@@ -217,7 +217,7 @@
             _ => self.present as f64 * named as f64 / reached as f64,
         };
         let nodes = by_seeds.max(known as f64);
-        if running_for < MEETING_TIME {
+        if running_for < DISCOVERY_TIME {
             self.part_of(nodes.max(assumed as f64), CensusBasis::Starting)
         } else {
             self.part_of(nodes, CensusBasis::Seeds { reached, named })
--- a/crates/sablebay-fleet/src/fleet_node.rs
+++ b/crates/sablebay-fleet/src/fleet_node.rs
@@ -119,7 +119,7 @@
     caught_up: bool,
     next_join_at: Micros,
     next_sync_at: Micros,
-    wanted_since: Option<Micros>,
+    requested_at: Option<Micros>,
     random: SmallRng,
     stale_messages: u64,
 }
@@ -156,7 +156,7 @@
             caught_up: false,
             next_join_at: now,
             next_sync_at: now,
-            wanted_since: None,
+            requested_at: None,
             random,
             stale_messages: 0,
         }
@@ -205,25 +205,25 @@
     /// Whether the node may serve: it has a configuration, none newer is known of, and peers
     /// were asked or could not be reached.
     pub fn is_ready(&self, now: Micros) -> bool {
-        let asked = self.joined || self.seeds.is_empty() || self.gave_up_joining(now);
+        let asked = self.joined || self.seeds.is_empty() || self.join_timed_out(now);
         let safe = (asked && self.caught_up) || !self.settings.mechanisms.ask_peers_first;
         self.floor.in_force().is_some() && safe
     }
 
     /// A starting node that knows of a newer version than it has waits for it, however long; one
     /// that has served goes on with what is in force.
-    fn note_catching_up(&mut self) {
+    fn update_caught_up(&mut self) {
         self.caught_up |= self.floor.in_force().is_some() && !self.floor.lags();
     }
 
-    fn gave_up_joining(&self, now: Micros) -> bool {
+    fn join_timed_out(&self, now: Micros) -> bool {
         now.since(self.started_at) >= self.settings.join_timeout
     }
 
     /// Whether a configuration from the platform may be taken yet: a fresh node asks peers first.
     pub fn may_take_from_platform(&self, now: Micros) -> bool {
         let mechanisms = self.settings.mechanisms;
-        self.joined || self.seeds.is_empty() || self.gave_up_joining(now) || !mechanisms.ask_peers_first
+        self.joined || self.seeds.is_empty() || self.join_timed_out(now) || !mechanisms.ask_peers_first
     }
 
     /// Adds addresses to start from, such as the platform's list of machines gives.
@@ -243,7 +243,7 @@
         self.tick_suspicions(now, outputs);
         self.tick_sync(now, outputs);
         self.tick_configuration(now, outputs);
-        self.note_catching_up();
+        self.update_caught_up();
     }
 
     /// A message came in.
@@ -269,18 +269,20 @@
                 self.on_indirect_probe(from, sequence, &target, now, outputs);
             }
             FleetMessage::IndirectAck { sequence } => {
-                self.probes.answered_through_others(sequence);
+                self.probes.acknowledged_indirectly(sequence);
             }
-            FleetMessage::Gossip { rumours } => self.take_rumours(rumours, from_address, now, outputs),
+            FleetMessage::Gossip { rumours } => self.apply_rumours(rumours, from_address, now, outputs),
             FleetMessage::ConfigurationDelta { delta } => {
                 self.on_delta(from_address, delta, now, outputs);
             }
             FleetMessage::ConfigurationAnnounced { version } => {
-                self.hear_version(from_address, version, now, outputs);
+                self.on_peer_version(from_address, version, now, outputs);
+            }
+            FleetMessage::ConfigurationRequest { have } => {
+                self.on_configuration_request(from_address, have, outputs)
             }
-            FleetMessage::ConfigurationRequest { have } => self.on_wanted(from_address, have, outputs),
             FleetMessage::ConfigurationPart(part) => self.on_part(part, now, outputs),
-            FleetMessage::MembersRequest => self.on_members_wanted(from_address, outputs),
+            FleetMessage::MembersRequest => self.on_members_request(from_address, outputs),
             FleetMessage::Members { members, version } => {
                 self.on_members(from_address, members, version, now, outputs);
             }
@@ -290,6 +292,6 @@
     /// Tells the fleet that a leaf is leaving or has come back. `stamp` is wall-clock time.
     pub fn note_leaf(&mut self, leaf: LeafId, leaving: bool, stamp: u64, outputs: &mut Vec<FleetOutput>) {
         let notice = LeafNotice { leaf, leaving, stamp };
-        self.take_leaf_notice(notice, Source::Own, outputs);
+        self.apply_leaf_notice(notice, Source::Local, outputs);
     }
 }
--- a/crates/sablebay-fleet/src/fleet_node/configuration.rs
+++ b/crates/sablebay-fleet/src/fleet_node/configuration.rs
@@ -16,9 +16,9 @@
 /// Deltas up to this size are pushed; of larger ones only the version is announced.
 const MAXIMUM_PUSHED_BYTES: usize = 32 * 1024;
 /// How long an answer to a request for configuration is waited for before another peer is asked.
-const REQUEST_PATIENCE: Micros = Micros::from_millis(1_000);
+const REQUEST_TIMEOUT: Micros = Micros::from_millis(1_000);
 /// Findings of a rejected revision that are told to other nodes.
-const MAXIMUM_TOLD_FINDINGS: usize = 10;
+const MAXIMUM_SHARED_FINDINGS: usize = 10;
 
 impl FleetNode {
     /// A validated configuration was read from the platform.
@@ -42,23 +42,23 @@
     pub fn reject(&mut self, version: Version, findings: Vec<Finding>, outputs: &mut Vec<FleetOutput>) {
         let by = self.info.key.clone();
         let rejection = Rejection { version, by: by.to_string(), findings };
-        self.take_rejection(rejection, by, outputs);
+        self.apply_rejection(rejection, by, outputs);
     }
 
-    pub(super) fn take_rejection(
+    pub(super) fn apply_rejection(
         &mut self,
         rejection: Rejection,
         by: InstanceKey,
         outputs: &mut Vec<FleetOutput>,
     ) {
         let version = rejection.version;
-        let told = rejection.findings.iter().take(MAXIMUM_TOLD_FINDINGS).cloned().collect();
+        let shared = rejection.findings.iter().take(MAXIMUM_SHARED_FINDINGS).cloned().collect();
         if !self.floor.reject(rejection) {
             return;
         }
         outputs.push(FleetOutput::Rejected(version));
-        let source = if by == self.info.key { Source::Own } else { Source::Heard };
-        self.spread(Rumour::Rejected { version, by, findings: told }, source, outputs);
+        let source = if by == self.info.key { Source::Local } else { Source::Received };
+        self.spread(Rumour::Rejected { version, by, findings: shared }, source, outputs);
     }
 
     fn offer(
@@ -76,12 +76,12 @@
         let OfferOutcome::Adopted { .. } = offer else {
             return;
         };
-        self.note_catching_up();
+        self.update_caught_up();
         if let Some(configuration) = self.floor.in_force() {
             outputs.push(FleetOutput::Adopted(configuration.clone()));
         }
         if !self.floor.lags() {
-            self.wanted_since = None;
+            self.requested_at = None;
             self.assembly = None;
         }
         if self.settings.mechanisms.push {
@@ -102,7 +102,7 @@
     }
 
     /// A peer runs, or knows of, this version.
-    pub(super) fn hear_version(
+    pub(super) fn on_peer_version(
         &mut self,
         from: SocketAddr,
         version: Version,
@@ -112,14 +112,14 @@
         if !self.floor.observe_version(version) {
             return;
         }
-        let asked_lately = self.wanted_since.is_some_and(|at| now.since(at) < REQUEST_PATIENCE);
-        if !asked_lately {
-            self.want_from(from, now, outputs);
+        let request_pending = self.requested_at.is_some_and(|at| now.since(at) < REQUEST_TIMEOUT);
+        if !request_pending {
+            self.request_from(from, now, outputs);
         }
     }
 
-    fn want_from(&mut self, from: SocketAddr, now: Micros, outputs: &mut Vec<FleetOutput>) {
-        self.wanted_since = Some(now);
+    fn request_from(&mut self, from: SocketAddr, now: Micros, outputs: &mut Vec<FleetOutput>) {
+        self.requested_at = Some(now);
         let have = self.floor.version();
         self.send(from, FleetMessage::ConfigurationRequest { have }, outputs);
     }
@@ -129,17 +129,22 @@
         if !self.floor.lags() {
             return;
         }
-        let arriving = self.assembly.as_ref().is_some_and(|assembly| !assembly.is_stalled(now));
-        let asked_lately = self.wanted_since.is_some_and(|at| now.since(at) < REQUEST_PATIENCE);
-        if arriving || asked_lately {
+        let is_receiving = self.assembly.as_ref().is_some_and(|assembly| !assembly.is_stalled(now));
+        let request_pending = self.requested_at.is_some_and(|at| now.since(at) < REQUEST_TIMEOUT);
+        if is_receiving || request_pending {
             return;
         }
         for to in self.random_peers(1) {
-            self.want_from(to, now, outputs);
+            self.request_from(to, now, outputs);
         }
     }
 
-    pub(super) fn on_wanted(&mut self, to: SocketAddr, have: Version, outputs: &mut Vec<FleetOutput>) {
+    pub(super) fn on_configuration_request(
+        &mut self,
+        to: SocketAddr,
+        have: Version,
+        outputs: &mut Vec<FleetOutput>,
+    ) {
         let version = self.floor.version();
         if have >= version {
             return;
@@ -168,7 +173,7 @@
         let target = delta.to;
         match self.floor.offer_delta(&delta, now) {
             Some(offer) => self.after_offer(&offer, outputs),
-            None => self.hear_version(from, target, now, outputs),
+            None => self.on_peer_version(from, target, now, outputs),
         }
     }
 
--- a/crates/sablebay-fleet/src/fleet_node/membership.rs
+++ b/crates/sablebay-fleet/src/fleet_node/membership.rs
@@ -21,11 +21,11 @@
 const INDIRECT_PROBES: usize = 3;
 /// Members of another zone that are probed at once when one there is silent. Each that is silent too has as many
 /// probed in turn, until enough of them are that every node watches the zone.
-const PROBES_BESIDE: usize = 3;
+const ZONE_NEIGHBOUR_PROBES: usize = 3;
 /// Probe periods that a suspicion lasts, for each factor of ten of the fleet's size.
 const SUSPICION_PERIODS: f64 = 3.0;
 /// How long members that said that they leave are remembered, so that old rumours do not bring them back.
-const REMEMBER_LEFT: Micros = Micros::from_secs(300);
+const LEFT_RETENTION: Micros = Micros::from_secs(300);
 /// How often a starting node asks its seeds again.
 const JOIN_INTERVAL: Micros = Micros::from_millis(300);
 /// The shortest time between exchanges of the whole member list.
@@ -66,7 +66,7 @@
         for step in self.probes.tick(&self.members, now, &mut self.random) {
             match step {
                 ProbeStep::Direct(node) => self.probe(&node, None, now, outputs),
-                ProbeStep::Indirect(node, sequence) => self.probe_through_others(node, sequence, outputs),
+                ProbeStep::Indirect(node, sequence) => self.probe_indirectly(node, sequence, outputs),
                 ProbeStep::Failed(key) => self.suspect(&key, now, outputs),
             }
         }
@@ -97,7 +97,7 @@
             info: self.info.clone(),
             refutation: self.refutation,
             version: self.floor.floor(),
-            rumours: self.take_waiting(reach),
+            rumours: self.take_queued(reach),
         })
     }
 
@@ -110,7 +110,7 @@
         }
     }
 
-    fn probe_through_others(&mut self, target: NodeId, sequence: u64, outputs: &mut Vec<FleetOutput>) {
+    fn probe_indirectly(&mut self, target: NodeId, sequence: u64, outputs: &mut Vec<FleetOutput>) {
         let helpers = self.members.present().filter(|member| member.info.key.node != target);
         let addresses = helpers.map(|member| member.info.peer_address);
         let chosen: Vec<SocketAddr> = addresses.sample(&mut self.random, INDIRECT_PROBES);
@@ -134,33 +134,35 @@
             MemberStatus::Alive => {
                 let claim = MemberClaim { status: MemberStatus::Suspect, ..member.claim() };
                 let zone = claim.info.zone.clone();
-                self.take_member_claim(claim, Source::Own, now, outputs);
-                self.probe_beside(&zone, now, outputs);
+                self.apply_member_claim(claim, Source::Local, now, outputs);
+                self.probe_zone_neighbours(&zone, now, outputs);
             }
             MemberStatus::Suspect => {}
             _ => return,
         }
-        self.tell_suspect(&key.node, outputs);
+        self.notify_suspect(&key.node, outputs);
         self.probe(&key.node, None, now, outputs);
     }
 
     /// A silent member of another zone may be the first sign that the zone is cut off: some beside it are probed
     /// at once.
-    fn probe_beside(&mut self, zone: &ZoneName, now: Micros, outputs: &mut Vec<FleetOutput>) {
+    fn probe_zone_neighbours(&mut self, zone: &ZoneName, now: Micros, outputs: &mut Vec<FleetOutput>) {
         if self.reach_of(zone) != Reach::Far {
             return;
         }
-        let is_beside =
+        let is_neighbour =
             |member: &&Member| member.info.zone == *zone && member.status() == MemberStatus::Alive;
-        let beside = self.members.iter().filter(is_beside);
-        let nodes = beside.map(|member| member.info.key.node.clone()).sample(&mut self.random, PROBES_BESIDE);
+        let neighbours = self.members.iter().filter(is_neighbour);
+        let nodes = neighbours
+            .map(|member| member.info.key.node.clone())
+            .sample(&mut self.random, ZONE_NEIGHBOUR_PROBES);
         for node in nodes {
             self.probe(&node, None, now, outputs);
         }
     }
 
     /// Tells a suspected member of the suspicion, so that it can refute it.
-    fn tell_suspect(&self, node: &NodeId, outputs: &mut Vec<FleetOutput>) {
+    fn notify_suspect(&self, node: &NodeId, outputs: &mut Vec<FleetOutput>) {
         if let Some(member) = self.members.get(node) {
             let rumours = vec![Rumour::Member(member.claim())];
             self.send(member.info.peer_address, FleetMessage::Gossip { rumours }, outputs);
@@ -170,17 +172,17 @@
     pub(super) fn tick_suspicions(&mut self, now: Micros, outputs: &mut Vec<FleetOutput>) {
         let size = self.members.present_count() as f64 + 1.0;
         let periods = SUSPICION_PERIODS * size.log10().max(1.0);
-        let patience = Micros((self.settings.probe_period.0 as f64 * periods) as u64);
+        let timeout = Micros((self.settings.probe_period.0 as f64 * periods) as u64);
         let overdue: Vec<NodeId> = self
             .members
             .suspects()
-            .filter(|member| now.since(member.since()) >= patience)
+            .filter(|member| now.since(member.since()) >= timeout)
             .map(|member| member.info.key.node.clone())
             .collect();
         for node in overdue {
             if let Some(claim) = self.members.expire_suspicion(&node, now) {
                 outputs.push(FleetOutput::MemberChanged(claim.info.key.clone(), claim.status));
-                self.queue(Rumour::Member(claim), Source::Own);
+                self.queue(Rumour::Member(claim), Source::Local);
             }
         }
     }
@@ -194,7 +196,7 @@
         let per_member = SYNC_INTERVAL_PER_MEMBER.0 * self.members.len() as u64;
         let interval = Micros(MINIMUM_SYNC_INTERVAL.0 + per_member);
         self.next_sync_at = now.plus(Micros(interval.0 / 2)).plus(self.jitter(interval));
-        self.members.remove_departed(Micros(now.0.saturating_sub(REMEMBER_LEFT.0)));
+        self.members.remove_departed(Micros(now.0.saturating_sub(LEFT_RETENTION.0)));
         for to in self.random_peers(1) {
             self.send(to, FleetMessage::MembersRequest, outputs);
         }
@@ -216,21 +218,21 @@
         let reach = self.reach_of(&probe.info.zone);
         let claim =
             MemberClaim { info: probe.info, status: MemberStatus::Alive, refutation: probe.refutation };
-        self.take_member_claim(claim, Source::Heard, now, outputs);
-        self.tell_if_believed_gone(&from, to, outputs);
+        self.apply_member_claim(claim, Source::Received, now, outputs);
+        self.notify_if_not_alive(&from, to, outputs);
         self.members.record_contact(&from, probe.version, now);
-        self.take_rumours(probe.rumours, to, now, outputs);
+        self.apply_rumours(probe.rumours, to, now, outputs);
         let ack = FleetMessage::ProbeAck {
             sequence: probe.sequence,
             version: self.floor.floor(),
-            rumours: self.take_waiting(reach),
+            rumours: self.take_queued(reach),
         };
         self.send(to, ack, outputs);
-        self.hear_version(to, probe.version, now, outputs);
+        self.on_peer_version(to, probe.version, now, outputs);
     }
 
     /// A member that probes while it is believed dead is told so, and can refute it.
-    fn tell_if_believed_gone(&self, key: &InstanceKey, to: SocketAddr, outputs: &mut Vec<FleetOutput>) {
+    fn notify_if_not_alive(&self, key: &InstanceKey, to: SocketAddr, outputs: &mut Vec<FleetOutput>) {
         let Some(member) = self.members.get(&key.node) else {
             return;
         };
@@ -252,13 +254,13 @@
         self.members.record_contact(from, version, now);
         let address = self.members.get(&from.node).map(|member| member.info.peer_address);
         if let Some(address) = address {
-            self.take_rumours(rumours, address, now, outputs);
+            self.apply_rumours(rumours, address, now, outputs);
         }
         let Some(probe) = self.probes.answered(sequence, from) else {
             return;
         };
         if let Some(address) = address {
-            self.hear_version(address, version, now, outputs);
+            self.on_peer_version(address, version, now, outputs);
         }
         if !self.floor.lags() {
             self.lease.confirm(probe.sent_at);
@@ -282,7 +284,7 @@
         self.probe(target, Some((from.node.clone(), sequence)), now, outputs);
     }
 
-    pub(super) fn on_members_wanted(&mut self, to: SocketAddr, outputs: &mut Vec<FleetOutput>) {
+    pub(super) fn on_members_request(&mut self, to: SocketAddr, outputs: &mut Vec<FleetOutput>) {
         let own = MemberClaim {
             info: self.info.clone(),
             status: if self.leaving { MemberStatus::Leaving } else { MemberStatus::Alive },
@@ -308,11 +310,11 @@
     ) {
         if self.joined {
             let claims = members.into_iter().map(Rumour::Member).collect();
-            self.take_rumours(claims, from, now, outputs);
+            self.apply_rumours(claims, from, now, outputs);
         } else {
-            self.take_first_list(members, now, outputs);
+            self.apply_initial_list(members, now, outputs);
         }
-        self.hear_version(from, version, now, outputs);
+        self.on_peer_version(from, version, now, outputs);
         if !self.joined {
             self.joined = true;
             self.next_sync_at = now.plus(self.jitter(MINIMUM_SYNC_INTERVAL));
@@ -322,7 +324,7 @@
 
     /// The list that a starting node is given is news to nobody else: passed on, it would fill the
     /// node's probes for many minutes, and what is new would wait behind it.
-    fn take_first_list(&mut self, members: Vec<MemberClaim>, now: Micros, outputs: &mut Vec<FleetOutput>) {
+    fn apply_initial_list(&mut self, members: Vec<MemberClaim>, now: Micros, outputs: &mut Vec<FleetOutput>) {
         for claim in members.iter().filter(|claim| claim.info.key.node != self.info.key.node) {
             if self.members.merge(claim, now) {
                 outputs.push(FleetOutput::MemberChanged(claim.info.key.clone(), claim.status));
@@ -330,7 +332,7 @@
         }
     }
 
-    pub(super) fn take_rumours(
+    pub(super) fn apply_rumours(
         &mut self,
         rumours: Vec<Rumour>,
         from: SocketAddr,
@@ -342,17 +344,17 @@
                 Rumour::Member(claim) if claim.info.key == self.info.key => {
                     self.refute(&claim, from, outputs);
                 }
-                Rumour::Member(claim) => self.take_member_claim(claim, Source::Heard, now, outputs),
-                Rumour::Leaf(notice) => self.take_leaf_notice(notice, Source::Heard, outputs),
+                Rumour::Member(claim) => self.apply_member_claim(claim, Source::Received, now, outputs),
+                Rumour::Leaf(notice) => self.apply_leaf_notice(notice, Source::Received, outputs),
                 Rumour::Rejected { version, by, findings } => {
                     let rejection = Rejection { version, by: by.to_string(), findings };
-                    self.take_rejection(rejection, by, outputs);
+                    self.apply_rejection(rejection, by, outputs);
                 }
             }
         }
     }
 
-    pub(super) fn take_member_claim(
+    pub(super) fn apply_member_claim(
         &mut self,
         claim: MemberClaim,
         source: Source,
@@ -392,7 +394,7 @@
         MemberClaim { info: self.info.clone(), status, refutation: self.refutation }
     }
 
-    pub(super) fn take_leaf_notice(
+    pub(super) fn apply_leaf_notice(
         &mut self,
         notice: LeafNotice,
         source: Source,
@@ -411,7 +413,7 @@
     pub fn leave(&mut self, outputs: &mut Vec<FleetOutput>) {
         self.leaving = true;
         let claim = self.own_claim(MemberStatus::Leaving);
-        self.spread(Rumour::Member(claim), Source::Own, outputs);
+        self.spread(Rumour::Member(claim), Source::Local, outputs);
     }
 
     /// Takes back [`FleetNode::leave`]: the node was undrained before it stopped.
--- a/crates/sablebay-fleet/src/fleet_node/spreading.rs
+++ b/crates/sablebay-fleet/src/fleet_node/spreading.rs
@@ -14,9 +14,9 @@
 
 /// Nodes of a zone that pass a rumour on over its border, on average: whatever the size of the zone, it crosses
 /// as often. Where all of them fail at once, the exchange of member lists mends it.
-const CARRIERS: usize = 6;
+const CROSS_ZONE_RELAYS: usize = 6;
 /// Times that each of them does so: two of three messages may be lost.
-const CROSSINGS: u32 = 3;
+const CROSS_ZONE_SENDS: u32 = 3;
 /// Members near that are told of urgent news beyond the configured number. A message inside a zone costs next to
 /// nothing. With the default fan-out each teller tells six, and a member stays untold with a probability of e^-6, one in
 /// four hundred; it hears by a probe.
@@ -29,9 +29,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Source {
     /// It saw it itself: nobody else may know.
-    Own,
+    Local,
     /// It was told.
-    Heard,
+    Received,
 }
 
 impl FleetNode {
@@ -41,40 +41,40 @@
     }
 
     /// The rumours that ride on one message.
-    pub(super) fn take_waiting(&mut self, reach: Reach) -> Vec<Rumour> {
+    pub(super) fn take_queued(&mut self, reach: Reach) -> Vec<Rumour> {
         self.rumours.take(self.members.len(), reach)
     }
 
     /// Passes news on: with the next probes, and at once when it is urgent.
     pub(super) fn spread(&mut self, rumour: Rumour, source: Source, outputs: &mut Vec<FleetOutput>) {
-        let crosses = self.queue(rumour.clone(), source);
+        let cross_zone = self.queue(rumour.clone(), source);
         if rumour.is_urgent() {
-            self.push(&rumour, crosses, outputs);
-        } else if source == Source::Own {
+            self.push(&rumour, cross_zone, outputs);
+        } else if source == Source::Local {
             self.push_far(&rumour, outputs);
         }
     }
 
     /// Has news ride on the next probes. Returns whether this node takes them to other zones.
     pub(super) fn queue(&mut self, rumour: Rumour, source: Source) -> bool {
-        let crosses = self.draw_crossing(source);
-        self.rumours.add(rumour, if crosses { CROSSINGS } else { 0 });
-        crosses
+        let cross_zone = self.draw_cross_zone(source);
+        self.rumours.add(rumour, if cross_zone { CROSS_ZONE_SENDS } else { 0 });
+        cross_zone
     }
 
-    fn draw_crossing(&mut self, source: Source) -> bool {
+    fn draw_cross_zone(&mut self, source: Source) -> bool {
         let zone_size = self.members.present_in(&self.info.zone) + 1;
         let has_remote = self.members.remote_count(&self.info.zone) > 0;
-        has_remote && (source == Source::Own || self.random.random_range(0..zone_size) < CARRIERS)
+        has_remote && (source == Source::Local || self.random.random_range(0..zone_size) < CROSS_ZONE_RELAYS)
     }
 
     /// Tells a few members at once.
-    fn push(&mut self, rumour: &Rumour, crosses: bool, outputs: &mut Vec<FleetOutput>) {
+    fn push(&mut self, rumour: &Rumour, cross_zone: bool, outputs: &mut Vec<FleetOutput>) {
         let near_pushes = self.settings.push_fan_out + EXTRA_NEAR_PUSHES;
         for to in self.peers_where(|reach| reach == Reach::Near, near_pushes) {
             self.send(to, FleetMessage::Gossip { rumours: vec![rumour.clone()] }, outputs);
         }
-        if crosses {
+        if cross_zone {
             self.push_far(rumour, outputs);
         }
     }
@@ -99,7 +99,7 @@
     /// on with their probes alone: after a cut half of the fleet refutes at once.
     pub(super) fn announce_alive(&mut self, outputs: &mut Vec<FleetOutput>) {
         let rumour = Rumour::Member(self.own_claim(MemberStatus::Alive));
-        let crosses = self.queue(rumour.clone(), Source::Own);
-        self.push(&rumour, crosses, outputs);
+        let cross_zone = self.queue(rumour.clone(), Source::Local);
+        self.push(&rumour, cross_zone, outputs);
     }
 }
--- a/crates/sablebay-fleet/src/members.rs
+++ b/crates/sablebay-fleet/src/members.rs
@@ -80,16 +80,16 @@
     }
 }
 
-/// Times that members of a zone fell silent within [`LOSS_MEMORY`], the same one counted again, from which on all zones watch it: it may be cut off,
+/// Times that members of a zone fell silent within [`LOSS_WINDOW`], the same one counted again, from which on all zones watch it: it may be cut off,
 /// and then none of its members can say so.
 const SUSPICIOUS_LOSSES: usize = 3;
 /// How long a loss counts for that: longer than a suspicion lasts in a fleet of a thousand at a probe a second.
-const LOSS_MEMORY: Micros = Micros::from_secs(10);
+const LOSS_WINDOW: Micros = Micros::from_secs(10);
 /// Members that fell silent which are remembered, about 300 bytes each: more than half of any fleet.
-const MOST_SILENT: usize = 4_096;
+const MAXIMUM_DEAD_MEMBERS: usize = 4_096;
 /// Present members from which on a zone finds its own dead: fewer are probed from all zones, or the death of
 /// most of them would go unnoticed for many periods.
-const SELF_WATCHING_MEMBERS: usize = 8;
+const SELF_MONITORING_MEMBERS: usize = 8;
 
 /// What is known of the members of one zone together.
 #[derive(Clone, Debug)]
@@ -108,18 +108,18 @@
 }
 
 impl ZoneMembers {
-    fn note_loss(&mut self, now: Micros) {
+    fn record_loss(&mut self, now: Micros) {
         self.lost_at.push_back(now);
         if self.lost_at.len() > SUSPICIOUS_LOSSES {
             self.lost_at.pop_front();
         }
     }
 
-    fn look(&mut self, now: Micros) {
-        let lately = self.lost_at.iter().filter(|at| now.since(**at) < LOSS_MEMORY).count();
+    fn update_reach(&mut self, now: Micros) {
+        let recent = self.lost_at.iter().filter(|at| now.since(**at) < LOSS_WINDOW).count();
         self.reach = match self.present {
-            0..SELF_WATCHING_MEMBERS => Reach::Near,
-            _ if lately >= SUSPICIOUS_LOSSES => Reach::Uncertain,
+            0..SELF_MONITORING_MEMBERS => Reach::Near,
+            _ if recent >= SUSPICIOUS_LOSSES => Reach::Uncertain,
             _ => Reach::Far,
         };
     }
@@ -147,23 +147,23 @@
         let node = &claim.info.key.node;
         let before = self.members.get(node).map(|member| (member.status(), member.info.zone.clone()));
         let life_before = self.members.get(node).map(|member| member.info.key.incarnation);
-        let news = self.merge_member(claim, now);
-        self.note_status(node, before, now);
+        let news = self.merge_claim(claim, now);
+        self.update_counts(node, before, now);
         let life = self.members.get(node).map(|member| member.info.key.incarnation);
         self.changes += u64::from(life != life_before);
         news
     }
 
     /// Keeps the counts of present members and the set of suspects up to date.
-    fn note_status(&mut self, node: &NodeId, before: Option<(MemberStatus, ZoneName)>, now: Micros) {
+    fn update_counts(&mut self, node: &NodeId, before: Option<(MemberStatus, ZoneName)>, now: Micros) {
         let is_present = |status| matches!(status, MemberStatus::Alive | MemberStatus::Suspect);
         let after = self.members.get(node).map(|member| (member.status(), member.info.zone.clone()));
         let after_status = after.as_ref().map(|(status, _)| *status);
-        let fell_silent = matches!(after_status, Some(MemberStatus::Suspect | MemberStatus::Dead));
+        let has_failed = matches!(after_status, Some(MemberStatus::Suspect | MemberStatus::Dead));
         if let Some((MemberStatus::Alive, zone)) = &before
-            && fell_silent
+            && has_failed
         {
-            self.zones.entry(zone.clone()).or_default().note_loss(now);
+            self.zones.entry(zone.clone()).or_default().record_loss(now);
         }
         let zone_before = before.filter(|(status, _)| is_present(*status)).map(|(_, zone)| zone);
         let zone_after = after.filter(|(status, _)| is_present(*status)).map(|(_, zone)| zone);
@@ -171,7 +171,7 @@
         self.present += usize::from(zone_after.is_some());
         self.changes += u64::from(zone_before.is_some() != zone_after.is_some());
         if zone_before != zone_after {
-            self.note_zones(zone_before, zone_after);
+            self.update_zone_counts(zone_before, zone_after);
         }
         if after_status == Some(MemberStatus::Suspect) {
             self.suspects.insert(node.clone());
@@ -180,7 +180,7 @@
         }
     }
 
-    fn note_zones(&mut self, left: Option<ZoneName>, entered: Option<ZoneName>) {
+    fn update_zone_counts(&mut self, left: Option<ZoneName>, entered: Option<ZoneName>) {
         if let Some(members) = left.and_then(|zone| self.zones.get_mut(&zone)) {
             members.present -= 1;
         }
@@ -189,7 +189,7 @@
         }
     }
 
-    fn merge_member(&mut self, claim: &MemberClaim, now: Micros) -> bool {
+    fn merge_claim(&mut self, claim: &MemberClaim, now: Micros) -> bool {
         let node = &claim.info.key.node;
         match self.members.get_mut(node) {
             Some(member) if member.info.key.incarnation == claim.info.key.incarnation => {
@@ -211,21 +211,21 @@
         }
         member.life.handle(&MemberEvent::SuspicionExpired { now });
         let claim = member.claim();
-        self.note_status(node, Some((MemberStatus::Suspect, claim.info.zone.clone())), now);
+        self.update_counts(node, Some((MemberStatus::Suspect, claim.info.zone.clone())), now);
         Some(claim)
     }
 
     /// Forgets members that left before `limit`. Those that fell silent are remembered: they may be cut off, and what is
-    /// bounded for the fleet is theirs as well. Beyond [`MOST_SILENT`] of them the one silent for longest goes first.
+    /// bounded for the fleet is theirs as well. Beyond [`MAXIMUM_DEAD_MEMBERS`] of them the one silent for longest goes first.
     pub fn remove_departed(&mut self, limit: Micros) {
         let has_left = |member: &Member| member.status() == MemberStatus::Leaving && member.since() < limit;
         self.members.retain(|_, member| !has_left(member));
-        let silent = self.members.values().filter(|member| member.status() == MemberStatus::Dead);
-        let mut silent: Vec<(Micros, NodeId)> =
-            silent.map(|member| (member.since(), member.info.key.node.clone())).collect();
-        silent.sort_unstable();
-        let too_many = silent.len().saturating_sub(MOST_SILENT);
-        for (_, node) in silent.into_iter().take(too_many) {
+        let dead = self.members.values().filter(|member| member.status() == MemberStatus::Dead);
+        let mut dead: Vec<(Micros, NodeId)> =
+            dead.map(|member| (member.since(), member.info.key.node.clone())).collect();
+        dead.sort_unstable();
+        let too_many = dead.len().saturating_sub(MAXIMUM_DEAD_MEMBERS);
+        for (_, node) in dead.into_iter().take(too_many) {
             self.members.remove(&node);
         }
     }
@@ -269,7 +269,7 @@
     pub fn update_reach(&mut self, now: Micros) {
         for members in self.zones.values_mut() {
             let before = members.reach;
-            members.look(now);
+            members.update_reach(now);
             self.reach_changes += u64::from(members.reach != before);
         }
     }
--- a/crates/sablebay-fleet/src/probing.rs
+++ b/crates/sablebay-fleet/src/probing.rs
@@ -14,7 +14,7 @@
 /// is cut off, while five in six probes cross no border between zones.
 const FAR_PROBE_INTERVAL: u32 = 6;
 /// That interval while some zone may be cut off: the others tell one another what they find.
-const FAR_PROBE_INTERVAL_IN_DOUBT: u32 = 3;
+const FAR_PROBE_INTERVAL_UNCERTAIN: u32 = 3;
 
 /// A probe that has no answer yet.
 #[derive(Clone, Debug)]
@@ -43,7 +43,7 @@
 /// A shuffled round of members, so that each is probed once a round.
 #[derive(Clone, Debug, Default)]
 struct Round {
-    left: Vec<NodeId>,
+    remaining: Vec<NodeId>,
 }
 
 impl Round {
@@ -54,16 +54,16 @@
         random: &mut R,
     ) -> Option<NodeId> {
         for _ in 0..2 {
-            while let Some(node) = self.left.pop() {
+            while let Some(node) = self.remaining.pop() {
                 let member = members.get(&node);
                 if member.is_some_and(|member| member.takes_work() && takes_part(member)) {
                     return Some(node);
                 }
             }
             let part: Vec<&'a Member> = members.present().filter(|member| takes_part(member)).collect();
-            self.left = part.into_iter().map(|member| member.info.key.node.clone()).collect();
-            self.left.sort_unstable();
-            self.left.shuffle(random);
+            self.remaining = part.into_iter().map(|member| member.info.key.node.clone()).collect();
+            self.remaining.sort_unstable();
+            self.remaining.shuffle(random);
         }
         None
     }
@@ -123,7 +123,7 @@
     }
 
     /// Somebody else reached the member that was probed.
-    pub fn answered_through_others(&mut self, sequence: u64) {
+    pub fn acknowledged_indirectly(&mut self, sequence: u64) {
         self.pending.remove(&sequence);
     }
 
@@ -171,8 +171,8 @@
         let own_zone = &self.own_zone;
         let is_far = |member: &Member| members.reach(own_zone, &member.info.zone) == Reach::Far;
         let is_near = |member: &Member| !is_far(member);
-        let in_doubt = members.has_uncertain_zone(own_zone);
-        let interval = if in_doubt { FAR_PROBE_INTERVAL_IN_DOUBT } else { FAR_PROBE_INTERVAL };
+        let has_uncertain = members.has_uncertain_zone(own_zone);
+        let interval = if has_uncertain { FAR_PROBE_INTERVAL_UNCERTAIN } else { FAR_PROBE_INTERVAL };
         if self.probes.is_multiple_of(interval) {
             let far = self.far.next(members, is_far, random);
             far.or_else(|| self.near.next(members, is_near, random))
--- a/crates/sablebay-fleet/src/rumour.rs
+++ b/crates/sablebay-fleet/src/rumour.rs
@@ -59,18 +59,18 @@
 
 /// A rumour that waits to be passed on.
 #[derive(Clone, Debug)]
-struct Waiting {
+struct QueuedRumour {
     rumour: Rumour,
     /// Times it was passed on.
     repeats: u32,
     /// Times it may still be passed on to other zones.
-    crossings_left: u32,
+    cross_zone_sends_left: u32,
 }
 
 /// Rumours that this node still passes on.
 #[derive(Clone, Debug, Default)]
 pub struct RumourQueue {
-    waiting: Vec<Waiting>,
+    queued: Vec<QueuedRumour>,
 }
 
 /// How far a message goes, from those who watch one another.
@@ -89,18 +89,18 @@
 /// Times a rumour is passed on, for each doubling of the fleet.
 const REPEATS_PER_DOUBLING: f64 = 2.0;
 /// Rumours that wait at the most; the most often repeated are dropped first.
-const MAXIMUM_WAITING: usize = 1_024;
+const MAXIMUM_QUEUED: usize = 1_024;
 
 impl RumourQueue {
     /// Adds a rumour; an older one about the same thing is dropped.
-    pub fn add(&mut self, rumour: Rumour, crossings_left: u32) {
-        self.waiting.retain(|old| !old.rumour.is_replaced_by(&rumour));
+    pub fn add(&mut self, rumour: Rumour, cross_zone_sends_left: u32) {
+        self.queued.retain(|old| !old.rumour.is_replaced_by(&rumour));
         // In front: of rumours repeated as often, the newest goes first. A refutation must not wait
         // behind what everybody has heard.
-        self.waiting.insert(0, Waiting { rumour, repeats: 0, crossings_left });
-        if self.waiting.len() > MAXIMUM_WAITING {
-            self.waiting.sort_by_key(|waiting| waiting.repeats);
-            self.waiting.truncate(MAXIMUM_WAITING);
+        self.queued.insert(0, QueuedRumour { rumour, repeats: 0, cross_zone_sends_left });
+        if self.queued.len() > MAXIMUM_QUEUED {
+            self.queued.sort_by_key(|queued| queued.repeats);
+            self.queued.truncate(MAXIMUM_QUEUED);
         }
     }
 
@@ -108,22 +108,22 @@
     pub fn take(&mut self, fleet_size: usize, reach: Reach) -> Vec<Rumour> {
         let doublings = ((fleet_size + 2) as f64).log2();
         let limit = (REPEATS_PER_DOUBLING * doublings).ceil() as u32;
-        self.waiting.sort_by_key(|waiting| waiting.repeats);
-        let may_go = |waiting: &&mut Waiting| match reach {
-            Reach::Near => waiting.repeats < limit,
-            Reach::Far => waiting.crossings_left > 0,
+        self.queued.sort_by_key(|queued| queued.repeats);
+        let is_eligible = |queued: &&mut QueuedRumour| match reach {
+            Reach::Near => queued.repeats < limit,
+            Reach::Far => queued.cross_zone_sends_left > 0,
             Reach::Uncertain => true,
         };
         let mut taken = Vec::new();
-        for waiting in self.waiting.iter_mut().filter(may_go).take(RUMOURS_PER_MESSAGE) {
+        for queued in self.queued.iter_mut().filter(is_eligible).take(RUMOURS_PER_MESSAGE) {
             match reach {
-                Reach::Near => waiting.repeats += 1,
-                Reach::Far => waiting.crossings_left -= 1,
+                Reach::Near => queued.repeats += 1,
+                Reach::Far => queued.cross_zone_sends_left -= 1,
                 Reach::Uncertain => {}
             }
-            taken.push(waiting.rumour.clone());
+            taken.push(queued.rumour.clone());
         }
-        self.waiting.retain(|waiting| waiting.repeats < limit || waiting.crossings_left > 0);
+        self.queued.retain(|queued| queued.repeats < limit || queued.cross_zone_sends_left > 0);
         taken
     }
 }
--- a/crates/sablebay-fleet/src/submission.rs
+++ b/crates/sablebay-fleet/src/submission.rs
@@ -109,10 +109,10 @@
         if open > 0 && self.held_by_others() < self.quorum {
             return SubmissionStep::Wait;
         }
-        self.why_impossible()
+        self.step_without_quorum()
     }
 
-    fn why_impossible(&self) -> SubmissionStep {
+    fn step_without_quorum(&self) -> SubmissionStep {
         let expired = self.count(&ClaimAnswer::ExpiredUnclaimed);
         if expired >= self.quorum {
             return SubmissionStep::ExpiredNotRun;
--- a/crates/sablebay-fleet/src/ticket.rs
+++ b/crates/sablebay-fleet/src/ticket.rs
@@ -64,15 +64,15 @@
     }
 }
 
-fn number(text: &str, field: &'static str) -> Result<u64, FleetError> {
+fn parse_number(text: &str, field: &'static str) -> Result<u64, FleetError> {
     text.parse().map_err(|_| FleetError::TicketField { field })
 }
 
-fn holder(text: &str) -> Result<InstanceKey, FleetError> {
+fn parse_holder(text: &str) -> Result<InstanceKey, FleetError> {
     let (node, incarnation) = text.split_once('@').ok_or(FleetError::TicketField { field: "holder" })?;
     Ok(InstanceKey {
         node: NodeId::new(node),
-        incarnation: Incarnation(number(incarnation, "holder's incarnation")?),
+        incarnation: Incarnation(parse_number(incarnation, "holder's incarnation")?),
     })
 }
 
@@ -90,11 +90,12 @@
         }
         let id =
             u128::from_str_radix(fields[3], 16).map_err(|_| FleetError::TicketField { field: "identity" })?;
-        let holders = fields[holders_from..].iter().map(|text| holder(text)).collect::<Result<_, _>>()?;
+        let holders =
+            fields[holders_from..].iter().map(|text| parse_holder(text)).collect::<Result<_, _>>()?;
         Ok(Self {
             id: TicketId(id),
-            minted_at: WallMillis(number(fields[1], "mint time")?),
-            lifetime_ms: number(fields[2], "lifetime")?,
+            minted_at: WallMillis(parse_number(fields[1], "mint time")?),
+            lifetime_ms: parse_number(fields[2], "lifetime")?,
             service: ServiceId::new(fields[4]),
             holders,
         })
--- a/crates/sablebay-fleet/src/transfer.rs
+++ b/crates/sablebay-fleet/src/transfer.rs
@@ -10,7 +10,7 @@
 /// Content bytes of one part, roughly.
 const PART_BYTES: usize = 256 * 1024;
 /// How long a part is waited for before the whole is asked for again.
-const PART_PATIENCE: Micros = Micros::from_secs(5);
+const PART_TIMEOUT: Micros = Micros::from_secs(5);
 
 /// The parts of a document.
 pub fn parts_of(document: &Document) -> Vec<FleetMessage> {
@@ -60,7 +60,7 @@
 
     /// Whether it has waited too long for its next part.
     pub fn is_stalled(&self, now: Micros) -> bool {
-        now.since(self.last_part_at) > PART_PATIENCE
+        now.since(self.last_part_at) > PART_TIMEOUT
     }
 
     /// Takes a part in. Returns the document when it is whole and has the digest it should.
--- a/crates/sablebay-fleet/tests/claims.rs
+++ b/crates/sablebay-fleet/tests/claims.rs
@@ -83,8 +83,8 @@
         model
     }
 
-    /// A must-hold is broken: run twice, or called not run although it ran.
-    fn is_broken(&self) -> bool {
+    /// An invariant is violated: run twice, or called not run although it ran.
+    fn violates_invariant(&self) -> bool {
         self.dispatches > 1 || (self.never_runs && self.dispatches > 0)
     }
 
@@ -163,9 +163,9 @@
     let first = Model::new(write_once, submissions, faults);
     let mut seen = HashSet::from([first.fingerprint()]);
     let mut open = vec![first];
-    let mut broken = 0;
+    let mut violations = 0;
     while let Some(model) = open.pop() {
-        broken += usize::from(model.is_broken());
+        violations += usize::from(model.violates_invariant());
         for choice in 0..model.options() {
             let mut next = model.clone();
             next.act(choice);
@@ -174,7 +174,7 @@
             }
         }
     }
-    (seen.len(), broken)
+    (seen.len(), violations)
 }
 
 #[test]
@@ -182,17 +182,17 @@
     let many = Faults { losses: 2, replacements: 1 };
     let few = Faults { losses: 1, replacements: 0 };
     for (submissions, faults) in [(2, many), (3, few)] {
-        let (states, broken) = explore(true, submissions, faults);
+        let (states, violations) = explore(true, submissions, faults);
         println!("{states} states of {submissions} submissions explored");
         assert!(states > 1_000, "only {states} states: the model has lost its messages");
-        assert_eq!(broken, 0);
+        assert_eq!(violations, 0);
     }
 }
 
 #[test]
 fn the_search_finds_the_fault_when_write_once_is_off() {
-    let (_, broken) = explore(false, 2, Faults { losses: 2, replacements: 1 });
-    assert!(broken > 0);
+    let (_, violations) = explore(false, 2, Faults { losses: 2, replacements: 1 });
+    assert!(violations > 0);
 }
 
 #[test]
