--- a/crates/sablebay-model/src/hit.rs
+++ b/crates/sablebay-model/src/hit.rs
@@ -7,18 +7,17 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// One search hit, as a leaf returned it.
+/// A search hit returned by a leaf.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Hit {
-    /// The document's key, unique in its index.
+    /// The document's key, unique within its index.
     pub key: Box<str>,
-    /// The value that hits are ordered by.
+    /// The sort key, compared with `f64::total_cmp`.
     pub sort: f64,
-    /// The document: JSON that is passed on as it is.
+    /// The document as raw JSON, forwarded unchanged.
     pub body: Box<RawValue>,
 }
 
-/// The order of hits.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 #[serde(rename_all = "snake_case")]
 pub enum SortOrder {
@@ -32,7 +31,7 @@
 }
 
 impl SortOrder {
-    /// Compares two hits; ties are broken by key, so that the order is total.
+    /// Compares two hits. Ties are broken by key, so the order is total.
     pub fn compare(self, left: &Hit, right: &Hit) -> Ordering {
         let by_sort = left.sort.total_cmp(&right.sort);
         let by_sort = match self {
@@ -43,7 +42,7 @@
     }
 }
 
-/// Orders hits and keeps the first `limit`.
+/// Returns the first `limit` hits in sorted order.
 pub fn top_hits(mut hits: Vec<Hit>, order: SortOrder, limit: usize) -> Vec<Hit> {
     if limit == 0 {
         return Vec::new();
--- a/crates/sablebay-model/src/identifiers.rs
+++ b/crates/sablebay-model/src/identifiers.rs
@@ -1,6 +1,4 @@
-//! Newtypes for the identifiers of the system.
-//!
-//! Each identifier has a type of its own, so that a leaf cannot be passed where a node is meant.
+//! Newtypes for identifiers, so that one kind cannot be passed where another is expected.
 
 use std::sync::Arc;
 
@@ -20,12 +18,11 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps a text; the caller has checked its form.
+            /// Wraps `text` without validating it.
             pub fn new(text: impl AsRef<str>) -> Self {
                 Self(Arc::from(text.as_ref()))
             }
 
-            /// The identifier as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -53,19 +50,19 @@
 }
 
 text_identifier!(
-    /// One node of the fleet, as named in its settings.
+    /// A node of the fleet, as named in its settings.
     NodeId
 );
 text_identifier!(
-    /// One leaf: a back end that holds shards.
+    /// A leaf: a back end that holds shards.
     LeafId
 );
 text_identifier!(
-    /// One service: an instance of a template.
+    /// A service: an instance of a template.
     ServiceId
 );
 text_identifier!(
-    /// One index, divided into a fixed number of partitions.
+    /// An index, divided into a fixed number of partitions.
     IndexId
 );
 text_identifier!(
@@ -77,56 +74,54 @@
     RegionName
 );
 text_identifier!(
-    /// The name of a fleet; nodes of two fleets never talk to each other.
+    /// The name of a fleet. Nodes communicate only within their own fleet.
     FleetName
 );
 text_identifier!(
-    /// A caller's identifier for one request, echoed in its answer and its log lines.
+    /// The caller's identifier for a request, echoed in the response and in log lines.
     RequestId
 );
 
 number_identifier!(
-    /// A revision of the configuration; the platform numbers them in publishing order.
+    /// A configuration revision, numbered by the platform in publishing order.
     Revision
 );
 number_identifier!(
-    /// A version of an index; a higher number is newer.
+    /// A version of an index. Higher is newer.
     SnapshotVersion
 );
 number_identifier!(
-    /// One call of a node to a leaf. Unique within the incarnation of the node.
+    /// A call from a node to a leaf, unique within the node's incarnation.
     CallId
 );
 number_identifier!(
-    /// One life of a node: the start time in the high bits, random in the low ones.
+    /// Identifies one run of a node process: start time in the high bits, random low bits.
     ///
-    /// A node that is started again under an old name or address has a higher incarnation.
+    /// A node restarted under the same name or address gets a higher incarnation.
     Incarnation
 );
 
-/// One life of one node: what a ticket's claim holders are named by.
+/// A node together with its incarnation.
 #[derive(
     Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
 #[display("{node}@{incarnation}")]
 pub struct InstanceKey {
-    /// The node.
     pub node: NodeId,
-    /// Its life.
     pub incarnation: Incarnation,
 }
 
-/// Low bits of an incarnation that are random.
+/// Number of random low bits in an incarnation.
 const INCARNATION_RANDOM_BITS: u32 = 20;
 
 impl Incarnation {
-    /// Builds an incarnation from the start time (milliseconds since 1970) and random bits.
+    /// Builds an incarnation from the start time (milliseconds since the Unix epoch) and random bits.
     pub fn from_start(start_milliseconds: u64, random: u32) -> Self {
         let low = u64::from(random) & ((1 << INCARNATION_RANDOM_BITS) - 1);
         Self((start_milliseconds << INCARNATION_RANDOM_BITS) | low)
     }
 
-    /// The start time that this incarnation was built from, in milliseconds since 1970.
+    /// The start time encoded in the incarnation, in milliseconds since the Unix epoch.
     pub fn started_at_milliseconds(self) -> u64 {
         self.0 >> INCARNATION_RANDOM_BITS
     }
--- a/crates/sablebay-model/src/lib.rs
+++ b/crates/sablebay-model/src/lib.rs
@@ -1,6 +1,6 @@
-//! Identifiers and value types shared by every crate of sablebay.
+//! Identifiers and value types shared by all sablebay crates.
 //!
-//! Nothing here performs I/O, reads a clock or draws random numbers.
+//! This crate performs no I/O, reads no clock and generates no random numbers.
 
 mod hit;
 mod identifiers;
--- a/crates/sablebay-model/src/partitions.rs
+++ b/crates/sablebay-model/src/partitions.rs
@@ -1,7 +1,7 @@
 //! Partitions of an index, and sets of them.
 //!
-//! An index has a fixed number of partitions; a shard is a set of them. Coverage counts
-//! partitions, so a split or a move of shards never changes what it counts.
+//! An index has a fixed number of partitions, and a shard is a set of them. Coverage is counted in
+//! partitions, so splitting or moving shards does not affect it.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,53 +10,37 @@
 use musli::{Decode, Encode};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// One partition of an index, counted from zero.
+/// Zero-based partition number within an index.
 pub type PartitionId = u32;
 
-/// The most partitions that an index may have.
+/// Exclusive upper bound for partition numbers.
 const MAXIMUM_PARTITION: u32 = 1 << 20;
 
-/// A set of partitions, kept as sorted, disjoint, inclusive ranges.
+/// A set of partitions, stored as sorted, disjoint, inclusive ranges.
 ///
-/// As text: `0-3,7`. The same text is its form in TOML and JSON.
+/// Displayed, and serialized in TOML and JSON, as text such as `0-3,7`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct PartitionSet {
     ranges: Vec<(u32, u32)>,
 }
 
-/// Why a text is no set of partitions.
+/// Error from parsing a [`PartitionSet`].
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum PartitionSetError {
-    /// A part is no number.
+    /// An element is not a partition number.
     #[display("`{text}` is not a partition number")]
-    NotANumber {
-        /// The part.
-        text: String,
-    },
-    /// A range ends before it starts.
+    NotANumber { text: String },
     #[display("the range {first}-{last} ends before it starts")]
-    ReversedRange {
-        /// The first partition.
-        first: u32,
-        /// The last one.
-        last: u32,
-    },
-    /// A partition is named twice.
+    ReversedRange { first: u32, last: u32 },
+    /// A partition is listed more than once.
     #[display("partition {partition} is named twice")]
-    Duplicate {
-        /// The partition.
-        partition: u32,
-    },
-    /// A partition number is too high.
+    Duplicate { partition: u32 },
+    /// A partition number is not below the limit.
     #[display("partition {partition} is over the limit of {MAXIMUM_PARTITION}")]
-    TooHigh {
-        /// The partition.
-        partition: u32,
-    },
+    TooHigh { partition: u32 },
 }
 
 impl PartitionSet {
-    /// The empty set.
     pub fn empty() -> Self {
         Self::default()
     }
@@ -74,27 +58,25 @@
         Self { ranges: vec![(first, last)] }
     }
 
-    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.ranges.is_empty()
     }
 
-    /// How many partitions the set has.
+    /// The number of partitions in the set.
     pub fn len(&self) -> u32 {
         self.ranges.iter().map(|(first, last)| last - first + 1).sum()
     }
 
-    /// The highest partition.
+    /// The highest partition, or `None` if the set is empty.
     pub fn highest(&self) -> Option<PartitionId> {
         self.ranges.last().map(|(_, last)| *last)
     }
 
-    /// Each partition, in rising order.
+    /// Iterates over the partitions in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = PartitionId> + '_ {
         self.ranges.iter().flat_map(|(first, last)| *first..=*last)
     }
 
-    /// Whether the set has `partition`.
     pub fn contains(&self, partition: PartitionId) -> bool {
         self.ranges.iter().any(|(first, last)| (*first..=*last).contains(&partition))
     }
@@ -109,7 +91,7 @@
         other.ranges.iter().all(|b| self.ranges.iter().any(|a| a.0 <= b.0 && b.1 <= a.1))
     }
 
-    /// The partitions of both sets.
+    /// The partitions that are in `self` or in `other`.
     pub fn union(&self, other: &PartitionSet) -> PartitionSet {
         let mut all: Vec<(u32, u32)> = self.ranges.iter().chain(&other.ranges).copied().collect();
         all.sort_unstable();
@@ -122,7 +104,7 @@
     }
 }
 
-/// Joins touching and overlapping ranges of a sorted list.
+/// Merges adjacent and overlapping ranges of a sorted list.
 fn merge(sorted: Vec<(u32, u32)>) -> Vec<(u32, u32)> {
     let mut merged: Vec<(u32, u32)> = Vec::with_capacity(sorted.len());
     for (first, last) in sorted {
--- a/crates/sablebay-model/src/request_digest.rs
+++ b/crates/sablebay-model/src/request_digest.rs
@@ -1,4 +1,4 @@
-//! What names a request by what it asks for, whoever carries it and however often it comes.
+//! Content digests that identify equal requests across retries and nodes.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,18 +7,18 @@
 use musli::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// The length of a digest, in bytes: two of a fleet's requests share one by chance once in 2^64 requests.
+/// Length of a digest, in bytes. At 128 bits a chance collision needs about 2^64 requests.
 pub const DIGEST_BYTES: usize = 16;
 
-/// Names a request by what it asks for. Two attempts of one request have the same, with identifiers of their own.
+/// Digest of a request's content. Attempts of one request share a digest but differ in their identifiers.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode)]
 #[serde(into = "String", try_from = "String")]
 #[musli(transparent)]
 pub struct RequestDigest(pub [u8; DIGEST_BYTES]);
 
-/// A text that is no digest.
+/// Error from parsing a [`RequestDigest`].
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-#[display("`{text}` is no request digest: {} hexadecimal digits are expected", DIGEST_BYTES * 2)]
+#[display("`{text}` is not a request digest: expected {} hexadecimal digits", DIGEST_BYTES * 2)]
 pub struct DigestError {
     text: String,
 }
@@ -39,13 +39,13 @@
     type Err = DigestError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let wrong = || DigestError { text: text.to_string() };
+        let invalid = || DigestError { text: text.to_string() };
         if text.len() != DIGEST_BYTES * 2 || !text.is_ascii() {
-            return Err(wrong());
+            return Err(invalid());
         }
         let mut bytes = [0; DIGEST_BYTES];
         for (index, byte) in bytes.iter_mut().enumerate() {
-            *byte = u8::from_str_radix(&text[index * 2..index * 2 + 2], 16).map_err(|_| wrong())?;
+            *byte = u8::from_str_radix(&text[index * 2..index * 2 + 2], 16).map_err(|_| invalid())?;
         }
         Ok(Self(bytes))
     }
