--- a/crates/sablebay-fleet/src/aggregators.rs
+++ b/crates/sablebay-fleet/src/aggregators.rs
@@ -1,17 +1,15 @@
-//! Which nodes connect to the leaves of a service.
+//! Assigns services to the nodes that connect to their leaves.
 //!
-//! Leaves take a bounded number of connections, so that not every node can connect to each.
-//! Rendezvous hashing gives each service a few nodes; a node that comes or goes moves only the
-//! services that it holds. Nodes whose lists differ for a moment choose differently, which costs
-//! connections but never correctness.
+//! Rendezvous hashing bounds the connections per leaf, and a membership change moves only the
+//! services of the affected node. Differing member lists cost extra connections, not correctness.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use sablebay_model::{NodeId, ServiceId, ZoneName};
 
-/// The `count` nodes that hold the connections to a service's leaves, best first.
+/// Selects up to `count` nodes for the connections to a service's leaves, highest score first.
 ///
-/// Zones take turns, so that the loss of a zone leaves some of them.
+/// Each round takes at most one node per zone, so that the loss of a zone leaves other nodes.
 pub fn aggregators_of<'a>(
     service: &ServiceId,
     nodes: impl IntoIterator<Item = (&'a NodeId, &'a ZoneName)>,
--- a/crates/sablebay-fleet/src/census.rs
+++ b/crates/sablebay-fleet/src/census.rs
@@ -1,9 +1,9 @@
-//! How many nodes share what is bounded for the whole fleet, as one of them sees it.
+//! Estimates the share of fleet-wide limits that the reachable nodes may use.
 //!
-//! Quotas and budgets hold over all nodes, also over those that this one does not reach. A node that knows the fleet by
-//! name uses the part of it that it sees; nodes that fell silent count on, since they may be cut off and in use. A node
-//! that started behind a cut cannot know the nodes beyond it. It goes by its seeds: every node is given the same few
-//! addresses, so the parts of a cut fleet see disjoint sets of them, and use the whole together at the most.
+//! Quotas and budgets apply to all nodes, including unreachable ones. A node that knows the whole fleet by name counts
+//! dead nodes as well, since they may be alive behind a partition. A node that started during a partition uses the
+//! fraction of seeds that it reaches: all nodes have the same seeds, and the sides of a partition reach disjoint
+//! subsets, so their shares add up to at most the whole.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,48 +14,47 @@
 
 use crate::member::MemberStatus;
 
-/// How long a starting node assumes nodes that it has not met. After that it goes by its seeds.
+/// How long a starting node assumes a minimum fleet size. After that it relies on its seeds.
 const DISCOVERY_TIME: Micros = Micros::from_secs(2);
-/// How long a starting node takes until it has met all others, the slowest among them. Before that it takes no more than
-/// it must.
+/// How long a starting node takes to discover all other nodes. Until then the known nodes may be incomplete.
 pub const SETTLING_TIME: Micros = Micros::from_secs(5);
-/// How long a node that said that it leaves counts on: it may be on its way back, and a cut may hide its return.
+/// How long a leaving node still counts, since a partition may hide its return.
 const LEAVE_GRACE_TIME: Micros = Micros::from_secs(30);
-/// How long the number of nodes that a peer told counts: the names are there after an exchange of member lists.
+/// How long a fleet size reported by a peer is used. By then the nodes are known by name from the exchange of member
+/// lists.
 const REPORTED_SIZE_TTL: Micros = Micros::from_secs(60);
 
-/// What a node's part of the fleet is known by.
+/// The information that a [`FleetPart`] is based on.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum CensusBasis {
-    /// It has just started.
+    /// The node has just started.
     #[display("it has just started")]
     Starting,
-    /// The nodes are known by name.
+    /// All nodes are known by name.
     #[display("it sees {present} of {known} nodes")]
     Names {
-        /// Nodes that are present, this one among them.
+        /// Number of present nodes, including this one.
         present: usize,
-        /// All nodes.
+        /// Number of all nodes.
         known: usize,
     },
-    /// It started among nodes that do not know the fleet either.
+    /// No reachable node knows the whole fleet, so the reached seeds are used.
     #[display("it reaches {reached} of {named} seeds")]
     Seeds {
-        /// Seeds that it reaches, or is.
+        /// Number of seeds that the node reaches or is itself.
         reached: usize,
-        /// Seeds that it was given.
+        /// Number of configured seeds.
         named: usize,
     },
 }
 
-/// The part of the fleet that a node sees.
+/// The part of the fleet that is visible to a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetPart {
-    /// What the nodes that it sees may use together of what is bounded for the fleet, from 0 to 1.
+    /// Share of the fleet-wide limits that the visible nodes may use together, from 0 to 1.
     pub share: f64,
-    /// Among how many nodes the whole is split; [`usize::MAX`] where the node sees nothing of the fleet.
+    /// Number of nodes that share the limits, or [`usize::MAX`] if no seed is reached.
     pub nodes: usize,
-    /// What both are known by.
     pub basis: CensusBasis,
 }
 
@@ -63,7 +62,7 @@
 struct KnownNode {
     address: SocketAddr,
     status: MemberStatus,
-    /// When it was last seen to come or go.
+    /// When the node last became present or absent.
     since: Micros,
 }
 
@@ -77,21 +76,21 @@
     }
 }
 
-/// What one node knows of how many share what is bounded for the fleet.
+/// A node's knowledge of the fleet's size.
 #[derive(Clone, Debug)]
 pub struct FleetCensus {
     own_address: SocketAddr,
     seeds: BTreeSet<SocketAddr>,
-    /// Every other node that was met or heard of.
+    /// All other nodes known by name.
     others: BTreeMap<NodeId, KnownNode>,
     present: usize,
     reported_size: Option<(usize, Micros)>,
-    /// Whether the nodes known are the whole fleet. Stays true: nodes that come later are met.
+    /// Whether the known nodes are the whole fleet. Never reset, since nodes that join later are discovered.
     knows_fleet: bool,
 }
 
 impl FleetCensus {
-    /// Of a node that has just started.
+    /// Creates the census of a starting node.
     pub fn new(own_address: SocketAddr, seeds: impl IntoIterator<Item = SocketAddr>) -> Self {
         let mut census = Self {
             own_address,
@@ -105,13 +104,12 @@
         census
     }
 
-    /// Of a node that has met all others long ago.
+    /// Creates the census of a node that already knows the whole fleet.
     pub fn of_known_fleet(own_address: SocketAddr, seeds: impl IntoIterator<Item = SocketAddr>) -> Self {
         Self { knows_fleet: true, ..Self::new(own_address, seeds) }
     }
 
-    /// Takes the seeds of changed settings in place of the ones before. A node without seeds is the one that all others
-    /// begin with.
+    /// Replaces the seeds. A node without seeds is its own only seed.
     pub fn replace_seeds(&mut self, seeds: impl IntoIterator<Item = SocketAddr>) {
         self.seeds = seeds.into_iter().collect();
         if self.seeds.is_empty() {
@@ -119,7 +117,7 @@
         }
     }
 
-    /// Takes in every member that is known; those that are no longer named are forgotten.
+    /// Replaces the known members. Members that are not listed are removed.
     pub fn update_members<'a>(
         &mut self,
         members: impl IntoIterator<Item = (&'a NodeId, SocketAddr, MemberStatus)>,
@@ -140,7 +138,8 @@
         self.present = 1 + self.others.values().filter(|node| node.is_present()).count();
     }
 
-    /// A peer that knows the fleet told the number of its nodes. The highest number counts until it is old.
+    /// Records the fleet size reported by a peer that knows the whole fleet. The highest report is used until it
+    /// expires.
     pub fn record_reported_size(&mut self, nodes: usize, now: Micros) {
         if nodes >= self.reported_size(now) {
             self.reported_size = Some((nodes, now));
@@ -152,16 +151,16 @@
         self.reported_size.filter(|(_, at)| now.since(*at) < REPORTED_SIZE_TTL).map_or(0, |(nodes, _)| nodes)
     }
 
-    /// The number of nodes to tell others: of those that this node knows by name, if these are all. A number that was
-    /// told is not passed on, so that none outlasts the names behind it.
+    /// The fleet size to report to peers, if this node knows all nodes by name. A reported size is not forwarded, so that it
+    /// does not outlive the nodes it counts.
     pub fn size_to_report(&self, now: Micros) -> Option<usize> {
         let known = self.known(now);
         (self.knows_fleet && known >= self.reported_size(now)).then_some(known)
     }
 
-    /// Notes whether the nodes that were met are all there are.
+    /// Marks the fleet as known once the settling time has passed and all seeds are reached.
     ///
-    /// A node that has seen all its seeds at one moment has met the fleet: no other part that started anew sees any.
+    /// If one node reaches all seeds, no other side of a partition reaches any.
     pub fn settle(&mut self, running_for: Micros) {
         if self.knows_fleet || running_for < SETTLING_TIME {
             return;
@@ -170,22 +169,22 @@
         self.knows_fleet = reached == named;
     }
 
-    /// Whether the nodes that it knows are the whole fleet.
+    /// Whether the known nodes are the whole fleet.
     pub fn knows_fleet(&self) -> bool {
         self.knows_fleet
     }
 
-    /// Where peers connect to this node.
+    /// This node's address for peer connections.
     pub fn own_address(&self) -> SocketAddr {
         self.own_address
     }
 
-    /// The seeds, in an order that is the same at every node.
+    /// The seeds in ascending order, which is the same on all nodes.
     pub fn seeds(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.seeds.iter().copied()
     }
 
-    /// Seeds that this node reaches or is, and seeds that it was given.
+    /// Number of seeds that this node reaches or is itself, and number of configured seeds.
     pub fn seeds_reached(&self) -> (usize, usize) {
         let is_reached = |seed: &&SocketAddr| {
             **seed == self.own_address
@@ -194,17 +193,17 @@
         (self.seeds.iter().filter(is_reached).count(), self.seeds.len())
     }
 
-    /// Names of the other nodes that count, present or silent.
+    /// Names of the other nodes that count, including dead ones.
     pub fn counted(&self, now: Micros) -> impl Iterator<Item = &NodeId> {
         self.others.iter().filter(move |(_, node)| node.is_counted(now)).map(|(name, _)| name)
     }
 
-    /// The nodes known by name, this one among them.
+    /// Number of nodes known by name, including this one.
     pub fn known(&self, now: Micros) -> usize {
         1 + self.counted(now).count()
     }
 
-    /// The part of the fleet that this node sees. One that has just started assumes `assumed` nodes at the least.
+    /// The part of the fleet visible to this node. A node that has just started assumes at least `assumed` nodes.
     pub fn part(&self, running_for: Micros, assumed: usize, now: Micros) -> FleetPart {
         let known = self.known(now).max(self.reported_size(now));
         if self.knows_fleet {
@@ -225,7 +224,7 @@
     }
 
     fn part_of(&self, nodes: f64, basis: CensusBasis) -> FleetPart {
-        // A number of nodes that is not whole is rounded up: less is used then.
+        // Round the number of nodes up, so that no node uses too much.
         FleetPart { share: (self.present as f64 / nodes).min(1.0), nodes: nodes.ceil() as usize, basis }
     }
 }
--- a/crates/sablebay-fleet/src/fleet_node.rs
+++ b/crates/sablebay-fleet/src/fleet_node.rs
@@ -1,6 +1,6 @@
-//! One node's part in the fleet: membership, rumours, configuration and freshness together.
+//! The fleet protocol of a node: membership, gossip, configuration and freshness.
 //!
-//! The same machine runs in a node behind sockets and, by the thousand, in simulations.
+//! The state machine performs no I/O, so the same code runs in nodes and in simulations.
 
 mod configuration;
 mod membership;
@@ -26,31 +26,31 @@
 use crate::rumour::{LeafNotice, RumourQueue};
 use crate::transfer::Assembly;
 
-/// Timing of the protocols between nodes.
+/// Settings of the fleet protocol.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// One member is probed a period.
+    /// Interval between probes. Each period probes one member.
     pub probe_period: Micros,
-    /// How long a confirmation of the configuration counts.
+    /// How long a confirmation of the configuration is valid.
     pub lease: Micros,
-    /// How many peers are told of urgent news at once.
+    /// Number of peers that urgent updates are sent to immediately.
     pub push_fan_out: usize,
-    /// How long a starting node waits for its first peer before it goes on alone.
+    /// How long a starting node waits for a peer before it continues without one.
     pub join_timeout: Micros,
-    /// Mechanisms that are on.
+    /// Enabled mechanisms.
     pub mechanisms: FleetMechanisms,
 }
 
-/// Mechanisms that an experiment can turn off, to show that its checker notices.
+/// Mechanisms that experiments can disable, to verify that violations are detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetMechanisms {
-    /// The floor under the configuration.
+    /// The configuration version floor.
     pub floor: bool,
-    /// Asking peers before a fresh node serves.
+    /// Querying peers before a starting node serves requests.
     pub ask_peers_first: bool,
-    /// Sending a new configuration on at once.
+    /// Pushing new configurations to peers immediately.
     pub push: bool,
-    /// Rumours about leaving leaves.
+    /// Gossip about leaving leaves.
     pub leaf_rumours: bool,
 }
 
@@ -61,14 +61,13 @@
 }
 
 impl FleetSettings {
-    /// Probe periods that a confirmation of the configuration counts for.
+    /// Duration of the freshness lease, in probe periods.
     const LEASE_PERIODS: u64 = 4;
-    /// Peers that are told of urgent news at once.
     const PUSH_FAN_OUT: usize = 4;
-    /// Probe periods that a starting node waits for its first peer.
+    /// Join timeout, in probe periods.
     const JOIN_PERIODS: u64 = 60;
 
-    /// Settings for a probe period, with the defaults for the rest.
+    /// Default settings for a probe period.
     pub fn with_probe_period(probe_period: Micros) -> Self {
         Self {
             probe_period,
@@ -80,27 +79,24 @@
     }
 }
 
-/// What the shell has to do or to know.
+/// Actions and events for the caller of the state machine.
 #[derive(Clone, Debug)]
 pub enum FleetOutput {
-    /// Send a message.
     Send {
-        /// Where to.
         to: SocketAddr,
-        /// What.
         message: FleetMessage,
     },
-    /// A configuration is in force.
+    /// A configuration came into force.
     Adopted(Arc<Configuration>),
-    /// What is believed of a member changed.
+    /// A member's status changed.
     MemberChanged(InstanceKey, MemberStatus),
-    /// A leaf is leaving, or has come back.
+    /// A leaf is leaving (`true`) or has returned (`false`).
     LeafChanged(LeafId, bool),
-    /// A revision was rejected somewhere.
+    /// A revision was rejected by this or another node.
     Rejected(Version),
 }
 
-/// One node's part in the fleet.
+/// Fleet protocol state of a node.
 pub struct FleetNode {
     info: Arc<MemberInfo>,
     settings: FleetSettings,
@@ -125,7 +121,7 @@
 }
 
 impl FleetNode {
-    /// A node that has just started and knows its seeds alone.
+    /// Creates a starting node that knows only its seeds. `seed` initializes the random generator.
     pub fn new(
         info: MemberInfo,
         settings: FleetSettings,
@@ -162,56 +158,54 @@
         }
     }
 
-    /// This node as others know it.
+    /// The metadata that this node announces.
     pub fn info(&self) -> &Arc<MemberInfo> {
         &self.info
     }
 
-    /// The other members.
     pub fn members(&self) -> &MemberTable {
         &self.members
     }
 
-    /// The configuration, its floor, and what was rejected.
+    /// The configuration, its floor, and the rejected revisions.
     pub fn floor(&self) -> &ConfigurationFloor {
         &self.floor
     }
 
-    /// The leaves that are leaving.
     pub fn leaving_leaves(&self) -> &LeavingLeaves {
         &self.leaves
     }
 
-    /// Messages of an earlier life of a member, which were ignored.
+    /// Number of messages ignored because they came from an earlier incarnation.
     pub fn stale_messages(&self) -> u64 {
         self.stale_messages
     }
 
-    /// How long a confirmation counts.
+    /// How long a confirmation is valid.
     pub fn lease_length(&self) -> Micros {
         self.settings.lease
     }
 
-    /// Whether the configuration was confirmed recently, and nothing newer is known of.
+    /// Whether the freshness lease is valid and no newer configuration is known.
     pub fn is_fresh(&self, now: Micros) -> bool {
         self.lease.is_fresh(now) && !self.floor.lags()
     }
 
-    /// How long ago the configuration was confirmed.
+    /// Time since the configuration was last confirmed.
     pub fn confirmed_ago(&self, now: Micros) -> Option<Micros> {
         self.lease.age(now)
     }
 
-    /// Whether the node may serve: it has a configuration, none newer is known of, and peers
-    /// were asked or could not be reached.
+    /// Whether the node may serve requests: it has a configuration, has caught up with the highest known
+    /// version since it started, and its peers were queried or unreachable.
     pub fn is_ready(&self, now: Micros) -> bool {
         let asked = self.joined || self.seeds.is_empty() || self.join_timed_out(now);
         let safe = (asked && self.caught_up) || !self.settings.mechanisms.ask_peers_first;
         self.floor.in_force().is_some() && safe
     }
 
-    /// A starting node that knows of a newer version than it has waits for it, however long; one
-    /// that has served goes on with what is in force.
+    /// Records whether the node has caught up. A starting node waits for the highest known version
+    /// without a timeout; a node that caught up once keeps serving while it lags.
     fn update_caught_up(&mut self) {
         self.caught_up |= self.floor.in_force().is_some() && !self.floor.lags();
     }
@@ -220,13 +214,13 @@
         now.since(self.started_at) >= self.settings.join_timeout
     }
 
-    /// Whether a configuration from the platform may be taken yet: a fresh node asks peers first.
+    /// Whether a configuration from the platform may be adopted. A starting node queries its peers first.
     pub fn may_take_from_platform(&self, now: Micros) -> bool {
         let mechanisms = self.settings.mechanisms;
         self.joined || self.seeds.is_empty() || self.join_timed_out(now) || !mechanisms.ask_peers_first
     }
 
-    /// Adds addresses to start from, such as the platform's list of machines gives.
+    /// Adds seed addresses, for example from the platform's machine list.
     pub fn add_seeds(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
         for address in addresses {
             if address != self.info.peer_address && !self.seeds.contains(&address) {
@@ -235,7 +229,7 @@
         }
     }
 
-    /// Time has passed. Called several times a probe period.
+    /// Runs periodic work. Must be called several times per probe period.
     pub fn on_tick(&mut self, now: Micros, outputs: &mut Vec<FleetOutput>) {
         self.members.update_reach(now);
         self.tick_join(now, outputs);
@@ -246,7 +240,7 @@
         self.update_caught_up();
     }
 
-    /// A message came in.
+    /// Processes a message from a peer.
     pub fn on_message(
         &mut self,
         from: &InstanceKey,
@@ -289,7 +283,7 @@
         }
     }
 
-    /// Tells the fleet that a leaf is leaving or has come back. `stamp` is wall-clock time.
+    /// Announces that a leaf is leaving or has returned. `stamp` is wall-clock time in milliseconds.
     pub fn note_leaf(&mut self, leaf: LeafId, leaving: bool, stamp: u64, outputs: &mut Vec<FleetOutput>) {
         let notice = LeafNotice { leaf, leaving, stamp };
         self.apply_leaf_notice(notice, Source::Local, outputs);
--- a/crates/sablebay-fleet/src/fleet_node/configuration.rs
+++ b/crates/sablebay-fleet/src/fleet_node/configuration.rs
@@ -1,4 +1,4 @@
-//! Adopting and passing on configurations.
+//! Adoption and distribution of configurations.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,15 +13,15 @@
 use crate::rumour::Rumour;
 use crate::transfer::{Assembly, parts_of};
 
-/// Deltas up to this size are pushed; of larger ones only the version is announced.
+/// Maximum size of a pushed delta, in bytes. For larger deltas only the version is announced.
 const MAXIMUM_PUSHED_BYTES: usize = 32 * 1024;
-/// How long an answer to a request for configuration is waited for before another peer is asked.
+/// How long to wait for the response to a configuration request before another peer is asked.
 const REQUEST_TIMEOUT: Micros = Micros::from_millis(1_000);
-/// Findings of a rejected revision that are told to other nodes.
+/// Maximum number of findings of a rejected revision sent to other nodes.
 const MAXIMUM_SHARED_FINDINGS: usize = 10;
 
 impl FleetNode {
-    /// A validated configuration was read from the platform.
+    /// Offers a validated configuration read from the platform.
     pub fn offer_from_platform(
         &mut self,
         configuration: Arc<Configuration>,
@@ -31,14 +31,15 @@
         self.offer(configuration, now, outputs)
     }
 
-    /// The platform was read, and had nothing newer. Confirms a node that has no peers.
+    /// Records that the platform has no newer configuration. Renews the freshness lease if no other member is
+    /// present.
     pub fn platform_confirmed(&mut self, asked_at: Micros) {
         if self.is_alone() {
             self.lease.confirm(asked_at);
         }
     }
 
-    /// A revision read from the platform was rejected.
+    /// Records and announces the rejection of a revision read from the platform.
     pub fn reject(&mut self, version: Version, findings: Vec<Finding>, outputs: &mut Vec<FleetOutput>) {
         let by = self.info.key.clone();
         let rejection = Rejection { version, by: by.to_string(), findings };
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Sends what was just adopted to a few peers, which do the same.
+    /// Sends the adopted configuration to random peers, which forward it in turn.
     fn push_configuration(&mut self, outputs: &mut Vec<FleetOutput>) {
         let small = |delta: &&Arc<Delta>| delta.content_bytes() <= MAXIMUM_PUSHED_BYTES;
         let message = match self.floor.last_delta().filter(small) {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// A peer runs, or knows of, this version.
+    /// Processes a version known to a peer, and requests it if newer.
     pub(super) fn on_peer_version(
         &mut self,
         from: SocketAddr,
@@ -124,7 +125,7 @@
         self.send(from, FleetMessage::ConfigurationRequest { have }, outputs);
     }
 
-    /// Asks another peer when the one that was asked does not answer.
+    /// Requests a missing configuration from another peer after a timeout.
     pub(super) fn tick_configuration(&mut self, now: Micros, outputs: &mut Vec<FleetOutput>) {
         if !self.floor.lags() {
             return;
--- a/crates/sablebay-fleet/src/fleet_node/membership.rs
+++ b/crates/sablebay-fleet/src/fleet_node/membership.rs
@@ -1,4 +1,4 @@
-//! Joining, probing, suspicion and rumours.
+//! Joining, probing, suspicion and gossip handling.
 
 use std::net::SocketAddr;
 
@@ -17,20 +17,20 @@
 use crate::probing::ProbeStep;
 use crate::rumour::{LeafNotice, Reach, Rumour};
 
-/// Members that are asked to probe a silent one.
+/// Number of members asked to probe an unresponsive member.
 const INDIRECT_PROBES: usize = 3;
-/// Members of another zone that are probed at once when one there is silent. Each that is silent too has as many
-/// probed in turn, until enough of them are that every node watches the zone.
+/// Number of further members of a remote zone probed immediately when a member there is unresponsive. Further failures
+/// repeat this, until all zones probe the zone.
 const ZONE_NEIGHBOUR_PROBES: usize = 3;
-/// Probe periods that a suspicion lasts, for each factor of ten of the fleet's size.
+/// Suspicion timeout in probe periods, multiplied by the decimal logarithm of the fleet size.
 const SUSPICION_PERIODS: f64 = 3.0;
-/// How long members that said that they leave are remembered, so that old rumours do not bring them back.
+/// How long members that left are kept, so that stale rumours do not re-add them.
 const LEFT_RETENTION: Micros = Micros::from_secs(300);
-/// How often a starting node asks its seeds again.
+/// Minimum time between join attempts.
 const JOIN_INTERVAL: Micros = Micros::from_millis(300);
-/// The shortest time between exchanges of the whole member list.
+/// Base interval between exchanges of the full member list, before jitter.
 const MINIMUM_SYNC_INTERVAL: Micros = Micros::from_secs(30);
-/// Added to that time for each member, so that its cost does not grow with the fleet.
+/// Added to the base interval per member, so that the exchange cost does not grow with the fleet.
 const SYNC_INTERVAL_PER_MEMBER: Micros = Micros::from_millis(200);
 
 impl FleetNode {
@@ -38,7 +38,7 @@
         outputs.push(FleetOutput::Send { to, message });
     }
 
-    /// Addresses of `count` present members drawn at random.
+    /// Addresses of up to `count` random present members.
     pub(super) fn random_peers(&mut self, count: usize) -> Vec<SocketAddr> {
         let present = self.members.present().map(|member| member.info.peer_address);
         present.sample(&mut self.random, count)
@@ -57,7 +57,7 @@
         }
     }
 
-    /// A random time up to `limit`.
+    /// A random duration from zero to `limit`.
     pub(super) fn jitter(&mut self, limit: Micros) -> Micros {
         Micros(self.random.random_range(0..=limit.0))
     }
@@ -101,7 +101,7 @@
         })
     }
 
-    /// Asks `count` random members at once whether they know of a newer configuration.
+    /// Probes `count` random members immediately, to confirm that no newer configuration is known.
     pub fn ask_for_confirmation(&mut self, count: usize, now: Micros, outputs: &mut Vec<FleetOutput>) {
         let present = self.members.present().map(|member| member.info.key.node.clone());
         let nodes: Vec<NodeId> = present.sample(&mut self.random, count);
@@ -120,9 +120,8 @@
         }
     }
 
-    /// A member did not answer, directly or through others. It is told so itself, and probed again
-    /// for as long as it is suspected: rumours reach it, and its answer everybody, only after about
-    /// as many periods as a suspicion lasts.
+    /// Handles a failed probe. The member is suspected, notified directly, and probed again while it is
+    /// suspected, since gossip alone may not deliver its refutation before the suspicion timeout.
     fn suspect(&mut self, key: &InstanceKey, now: Micros, outputs: &mut Vec<FleetOutput>) {
         let Some(member) = self.members.get(&key.node) else {
             return;
@@ -144,8 +143,7 @@
         self.probe(&key.node, None, now, outputs);
     }
 
-    /// A silent member of another zone may be the first sign that the zone is cut off: some beside it are probed
-    /// at once.
+    /// Probes other members of a remote zone immediately, to detect early whether the zone is partitioned.
     fn probe_zone_neighbours(&mut self, zone: &ZoneName, now: Micros, outputs: &mut Vec<FleetOutput>) {
         if self.reach_of(zone) != Reach::Far {
             return;
@@ -161,7 +159,7 @@
         }
     }
 
-    /// Tells a suspected member of the suspicion, so that it can refute it.
+    /// Notifies a suspected member of the suspicion, so that it can refute it.
     fn notify_suspect(&self, node: &NodeId, outputs: &mut Vec<FleetOutput>) {
         if let Some(member) = self.members.get(node) {
             let rumours = vec![Rumour::Member(member.claim())];
@@ -187,8 +185,8 @@
         }
     }
 
-    /// Now and then exchanges the whole list with one member, present or gone: this mends what
-    /// rumours missed, and joins the halves of a fleet that was cut.
+    /// Periodically requests the full member list from a random member and probes a dead one. Repairs lost
+    /// gossip and rejoins the sides of a healed partition.
     pub(super) fn tick_sync(&mut self, now: Micros, outputs: &mut Vec<FleetOutput>) {
         if now < self.next_sync_at || !self.joined || self.leaving {
             return;
@@ -203,7 +201,7 @@
         self.probe_a_dead_member(now, outputs);
     }
 
-    /// A member that is believed dead is probed now and then: it may have been cut off.
+    /// Probes a random dead member, which may be reachable again after a partition.
     fn probe_a_dead_member(&mut self, now: Micros, outputs: &mut Vec<FleetOutput>) {
         let gone = self.members.iter().filter(|member| member.status() == MemberStatus::Dead);
         let nodes = gone.map(|member| member.info.key.node.clone());
@@ -231,7 +229,7 @@
         self.on_peer_version(to, probe.version, now, outputs);
     }
 
-    /// A member that probes while it is believed dead is told so, and can refute it.
+    /// Sends a member its recorded status unless it is alive, so that it can refute the status.
     fn notify_if_not_alive(&self, key: &InstanceKey, to: SocketAddr, outputs: &mut Vec<FleetOutput>) {
         let Some(member) = self.members.get(&key.node) else {
             return;
@@ -322,8 +320,8 @@
         }
     }
 
-    /// The list that a starting node is given is news to nobody else: passed on, it would fill the
-    /// node's probes for many minutes, and what is new would wait behind it.
+    /// Merges the first member list without spreading it. Other nodes already know its entries, and
+    /// they would delay new rumours in the queue.
     fn apply_initial_list(&mut self, members: Vec<MemberClaim>, now: Micros, outputs: &mut Vec<FleetOutput>) {
         for claim in members.iter().filter(|claim| claim.info.key.node != self.info.key.node) {
             if self.members.merge(claim, now) {
@@ -375,9 +373,8 @@
         self.spread(Rumour::Member(claim), source, outputs);
     }
 
-    /// Somebody says that this node is suspected, dead or leaving: it says that it lives. Whoever
-    /// said so is answered directly, also when the suspicion was refuted before: it may have missed
-    /// that, and rumours are not passed on for ever.
+    /// Refutes a claim that this node is suspected, dead or leaving. The sender is always answered
+    /// directly, since it may have missed an earlier refutation.
     fn refute(&mut self, claim: &MemberClaim, from: SocketAddr, outputs: &mut Vec<FleetOutput>) {
         if claim.status == MemberStatus::Alive || self.leaving {
             return;
@@ -409,21 +406,21 @@
         }
     }
 
-    /// Tells the fleet that this node stops.
+    /// Announces that this node is stopping.
     pub fn leave(&mut self, outputs: &mut Vec<FleetOutput>) {
         self.leaving = true;
         let claim = self.own_claim(MemberStatus::Leaving);
         self.spread(Rumour::Member(claim), Source::Local, outputs);
     }
 
-    /// Takes back [`FleetNode::leave`]: the node was undrained before it stopped.
+    /// Reverts [`FleetNode::leave`], when the node is undrained before it stops.
     pub fn cancel_leave(&mut self, outputs: &mut Vec<FleetOutput>) {
         self.leaving = false;
         self.refutation += 1;
         self.announce_alive(outputs);
     }
 
-    /// Whether the node has said that it stops.
+    /// Whether the node has announced that it is stopping.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
--- a/crates/sablebay-fleet/src/fleet_node/spreading.rs
+++ b/crates/sablebay-fleet/src/fleet_node/spreading.rs
@@ -1,4 +1,4 @@
-//! How news spread: widely among the members of a zone, and over its border a bounded number of times.
+//! Gossip dissemination: epidemic within a zone, with a bounded number of sends between zones.
 
 use std::net::SocketAddr;
 
@@ -12,40 +12,40 @@
 use crate::message::FleetMessage;
 use crate::rumour::{Reach, Rumour};
 
-/// Nodes of a zone that pass a rumour on over its border, on average: whatever the size of the zone, it crosses
-/// as often. Where all of them fail at once, the exchange of member lists mends it.
+/// Average number of nodes per zone that relay a rumour to other zones, independent of the zone's size. If all of
+/// them fail, the periodic exchange of member lists repairs the loss.
 const CROSS_ZONE_RELAYS: usize = 6;
-/// Times that each of them does so: two of three messages may be lost.
+/// Number of cross-zone sends per relay, to tolerate message loss.
 const CROSS_ZONE_SENDS: u32 = 3;
-/// Members near that are told of urgent news beyond the configured number. A message inside a zone costs next to
-/// nothing. With the default fan-out each teller tells six, and a member stays untold with a probability of e^-6, one in
-/// four hundred; it hears by a probe.
+/// Near members that receive urgent updates in addition to the configured fan-out. With the default fan-out of 4, a
+/// push misses a member with a probability of about e^-6; probes reach the remaining members.
 const EXTRA_NEAR_PUSHES: usize = 2;
-/// Members of other zones that one of those nodes tells of urgent news at once: with the number of these, about one in
-/// each zone of a fleet of a dozen zones, which spread it on inside.
+/// Members of other zones that each relay sends urgent updates to immediately. The relays together reach about one
+/// member per zone in a fleet of a dozen zones.
 const FAR_PUSHES: usize = 3;
 
-/// Where a node learned a piece of news.
+/// The origin of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Source {
-    /// It saw it itself: nobody else may know.
+    /// Observed by this node. No other node may know of it.
     Local,
-    /// It was told.
+    /// Received from a peer.
     Received,
 }
 
 impl FleetNode {
-    /// How far a member of a zone is.
+    /// The reach of a zone from this node.
     pub(super) fn reach_of(&self, zone: &ZoneName) -> Reach {
         self.members.reach(&self.info.zone, zone)
     }
 
-    /// The rumours that ride on one message.
+    /// Takes the rumours to piggyback on one message.
     pub(super) fn take_queued(&mut self, reach: Reach) -> Vec<Rumour> {
         self.rumours.take(self.members.len(), reach)
     }
 
-    /// Passes news on: with the next probes, and at once when it is urgent.
+    /// Spreads a rumour with the next probes, and immediately if it is urgent. Non-urgent local rumours are sent
+    /// to other zones immediately.
     pub(super) fn spread(&mut self, rumour: Rumour, source: Source, outputs: &mut Vec<FleetOutput>) {
         let cross_zone = self.queue(rumour.clone(), source);
         if rumour.is_urgent() {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Has news ride on the next probes. Returns whether this node takes them to other zones.
+    /// Queues a rumour for the next probes. Returns whether this node relays it to other zones.
     pub(super) fn queue(&mut self, rumour: Rumour, source: Source) -> bool {
         let cross_zone = self.draw_cross_zone(source);
         self.rumours.add(rumour, if cross_zone { CROSS_ZONE_SENDS } else { 0 });
@@ -68,7 +68,7 @@
         has_remote && (source == Source::Local || self.random.random_range(0..zone_size) < CROSS_ZONE_RELAYS)
     }
 
-    /// Tells a few members at once.
+    /// Sends a rumour immediately to random near members, and to other zones if `cross_zone` is set.
     fn push(&mut self, rumour: &Rumour, cross_zone: bool, outputs: &mut Vec<FleetOutput>) {
         let near_pushes = self.settings.push_fan_out + EXTRA_NEAR_PUSHES;
         for to in self.peers_where(|reach| reach == Reach::Near, near_pushes) {
@@ -79,24 +79,24 @@
         }
     }
 
-    /// Tells a few members of other zones at once: there are seldom messages to them that it could ride on.
+    /// Sends a rumour immediately to random members of other zones, since probes to them are infrequent.
     fn push_far(&mut self, rumour: &Rumour, outputs: &mut Vec<FleetOutput>) {
         for to in self.peers_where(|reach| reach != Reach::Near, FAR_PUSHES) {
             self.send(to, FleetMessage::Gossip { rumours: vec![rumour.clone()] }, outputs);
         }
     }
 
-    /// Addresses of `count` present members whose reach is wanted, drawn at random.
+    /// Addresses of up to `count` random present members whose reach satisfies `wanted`.
     fn peers_where(&mut self, wanted: impl Fn(Reach) -> bool, count: usize) -> Vec<SocketAddr> {
         let (members, own_zone) = (&self.members, &self.info.zone);
         let within = members.present().filter(|member| wanted(members.reach(own_zone, &member.info.zone)));
         within.map(|member| member.info.peer_address).sample(&mut self.random, count)
     }
 
-    /// Tells a few members at once that this node lives, and the rest with its probes.
+    /// Announces that this node is alive, immediately to some members and to the rest with its probes.
     ///
-    /// There is little time until a suspected member is believed dead. Those who are told pass it
-    /// on with their probes alone: after a cut half of the fleet refutes at once.
+    /// The immediate sends meet the suspicion timeout. Receivers forward the refutation only with
+    /// probes, since many nodes refute at the same time after a partition heals.
     pub(super) fn announce_alive(&mut self, outputs: &mut Vec<FleetOutput>) {
         let rumour = Rumour::Member(self.own_claim(MemberStatus::Alive));
         let cross_zone = self.queue(rumour.clone(), Source::Local);
--- a/crates/sablebay-fleet/src/leaving.rs
+++ b/crates/sablebay-fleet/src/leaving.rs
@@ -1,4 +1,4 @@
-//! Which leaves are leaving, by the latest word about each.
+//! Tracks which leaves are leaving.
 
 use std::collections::BTreeMap;
 
@@ -6,18 +6,18 @@
 
 use crate::rumour::LeafNotice;
 
-/// Words about leaves that are kept at the most.
+/// Number of notices above which those of returned leaves are dropped.
 const MAXIMUM_NOTICES: usize = 65_536;
 
-/// The latest word about each leaf that one was heard of.
+/// The latest notice for each leaf.
 #[derive(Clone, Debug, Default)]
 pub struct LeavingLeaves {
-    /// Ordered, so that what is sent depends on the seed alone.
+    /// Ordered, so that message contents are deterministic for a given seed.
     notices: BTreeMap<LeafId, (bool, u64)>,
 }
 
 impl LeavingLeaves {
-    /// Takes a word in; returns whether it was news.
+    /// Merges a notice. Returns whether the leaf's status changed.
     pub fn merge(&mut self, notice: &LeafNotice) -> bool {
         let known = self.notices.get(&notice.leaf).copied();
         if known.is_some_and(|(_, stamp)| stamp >= notice.stamp) {
@@ -30,17 +30,16 @@
         known.map(|(leaving, _)| leaving) != Some(notice.leaving)
     }
 
-    /// Whether a leaf is leaving.
     pub fn is_leaving(&self, leaf: &LeafId) -> bool {
         self.notices.get(leaf).is_some_and(|(leaving, _)| *leaving)
     }
 
-    /// The leaves that are leaving.
+    /// Iterates over the leaves that are leaving.
     pub fn iter(&self) -> impl Iterator<Item = &LeafId> {
         self.notices.iter().filter(|(_, (leaving, _))| *leaving).map(|(leaf, _)| leaf)
     }
 
-    /// Every word, to tell a node that joins.
+    /// All notices, for a joining node.
     pub fn notices(&self) -> impl Iterator<Item = LeafNotice> + '_ {
         self.notices.iter().map(|(leaf, (leaving, stamp))| LeafNotice {
             leaf: leaf.clone(),
--- a/crates/sablebay-fleet/src/member.rs
+++ b/crates/sablebay-fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! One member of the fleet, and the state machine of its life as another node sees it.
+//! Member metadata, and the state machine of a member's status as seen by another node.
 
 use std::net::SocketAddr;
 
@@ -9,91 +9,84 @@
 
 use sablebay_model::{InstanceKey, Micros, RegionName, ZoneName};
 
-/// What a member says of itself.
+/// Metadata that a member announces.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub struct MemberInfo {
-    /// Name and life.
+    /// Node name and incarnation.
     pub key: InstanceKey,
-    /// Its zone.
     pub zone: ZoneName,
-    /// Its region.
     pub region: RegionName,
-    /// Where peers connect.
+    /// Address for peer connections.
     pub peer_address: SocketAddr,
-    /// Where callers connect.
+    /// Address for caller connections.
     pub caller_address: SocketAddr,
-    /// Where operators connect.
+    /// Address for operator connections.
     pub admin_address: SocketAddr,
-    /// Whether it gathers shards for others. Nodes of releases that could not do it do not say so.
+    /// Whether the member gathers shards for other nodes. Absent in messages from releases without this feature.
     #[musli(default)]
     #[serde(default)]
     pub gathers: bool,
-    /// Whether it can take over from another gatherer. Nodes of releases that could not do it do not say
-    /// so.
+    /// Whether the member can take over from another gatherer. Absent in messages from releases without
+    /// this feature.
     #[musli(default)]
     #[serde(default)]
     pub takes_over: bool,
-    /// Whether it hears and tells of requests that back ends ended under. Nodes of releases that could not do
-    /// it do not say so.
+    /// Whether the member exchanges notices about requests during which back ends terminated. Absent in messages
+    /// from releases without this feature.
     #[musli(default)]
     #[serde(default)]
     pub shares_quarantine: bool,
-    /// Whether it keeps accounts of tenants' quotas. Nodes of releases that could not do it do not say so.
+    /// Whether the member keeps quota accounts for tenants. Absent in messages from releases without this feature.
     #[musli(default)]
     #[serde(default)]
     pub keeps_accounts: bool,
-    /// Its share of a processor core, in percent; 0 of releases that did not say it.
+    /// CPU allotment in percent of one core. 0 if the member's release does not report it.
     #[musli(default)]
     #[serde(default)]
     pub core_percent: u32,
 }
 
-/// What is believed of a member.
+/// A member's status as seen by another node.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum MemberStatus {
-    /// It answers probes.
+    /// The member acknowledges probes.
     #[display("alive")]
     Alive,
-    /// It did not answer; it has a while to say that it lives.
+    /// The member did not acknowledge a probe and may still refute the suspicion.
     #[display("suspect")]
     Suspect,
-    /// It said that it stops.
+    /// The member announced that it is stopping.
     #[display("leaving")]
     Leaving,
-    /// It is gone.
+    /// The suspicion was not refuted in time.
     #[display("dead")]
     Dead,
 }
 
-/// What one node hears about another.
+/// An event that may change a member's status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberEvent {
-    /// Somebody claims a status, with the member's refutation count as they know it.
+    /// A node claims a status, with the refutation count that it knows for the member.
     Claimed {
-        /// The status.
         status: MemberStatus,
-        /// The member's refutation count.
         refutation: u32,
-        /// When it was heard.
-        now: Micros,
-    },
-    /// A suspicion lasted until the given time without being refuted.
-    SuspicionExpired {
-        /// When.
+        /// Time of receipt.
         now: Micros,
     },
+    /// A suspicion was not refuted by the given time.
+    SuspicionExpired { now: Micros },
 }
 
-/// The life of one member. A claim counts when its refutation count is higher than the known
-/// one, or equal with a worse status: so only the member itself can take a suspicion back.
+/// Status state machine of a member. A claim applies if its refutation count is higher than the known
+/// count, or equal with a worse status, so only the member itself can clear a suspicion.
 #[derive(Clone, Debug, Default)]
 pub struct MemberLifecycle {
-    /// The highest refutation count heard.
+    /// The highest refutation count received.
     pub refutation: u32,
-    /// When the present state began.
+    /// When the current state began.
     pub since: Micros,
 }
 
@@ -143,8 +136,8 @@
         self.next(event, MemberStatus::Suspect)
     }
 
-    /// A leaving member is not suspected. It comes back by its own word alone, which has a
-    /// higher refutation count.
+    /// A leaving member is not suspected. Only the member itself can return to `alive`, by
+    /// announcing a higher refutation count.
     #[state]
     fn leaving(&mut self, event: &MemberEvent) -> Outcome<State> {
         self.next(event, MemberStatus::Leaving)
@@ -157,7 +150,6 @@
 }
 
 impl State {
-    /// The status that this state stands for.
     pub fn status(&self) -> MemberStatus {
         match self {
             State::Alive { .. } => MemberStatus::Alive,
--- a/crates/sablebay-fleet/src/members.rs
+++ b/crates/sablebay-fleet/src/members.rs
@@ -1,4 +1,4 @@
-//! The table of members.
+//! The member table.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -12,25 +12,22 @@
 use crate::member::{MemberEvent, MemberInfo, MemberLifecycle, MemberStatus};
 use crate::rumour::Reach;
 
-/// A statement about one member, as nodes pass it on.
+/// A gossiped statement about a member's status.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct MemberClaim {
-    /// The member.
     pub info: Arc<MemberInfo>,
-    /// Its status.
     pub status: MemberStatus,
-    /// Its refutation count, which orders claims about one life.
+    /// The member's refutation count, which orders claims about one incarnation.
     pub refutation: u32,
 }
 
-/// One member as this node sees it.
+/// A member as seen by this node.
 #[derive(Clone)]
 pub struct Member {
-    /// What it says of itself.
     pub info: Arc<MemberInfo>,
-    /// The configuration that it last reported.
+    /// The highest configuration version that the member reported.
     pub version: Version,
-    /// When it was last heard directly.
+    /// Time of the last direct message from the member.
     pub last_contact: Micros,
     life: StateMachine<MemberLifecycle>,
 }
@@ -54,50 +51,49 @@
         before != (self.status(), self.refutation())
     }
 
-    /// Its status.
     pub fn status(&self) -> MemberStatus {
         self.life.state().status()
     }
 
-    /// Its refutation count.
     pub fn refutation(&self) -> u32 {
         self.life.refutation
     }
 
-    /// Since when it has had its status.
+    /// Time of the last status change.
     pub fn since(&self) -> Micros {
         self.life.since
     }
 
-    /// The claim that passes on what this node believes.
+    /// A claim with the member's status as seen by this node.
     pub fn claim(&self) -> MemberClaim {
         MemberClaim { info: self.info.clone(), status: self.status(), refutation: self.refutation() }
     }
 
-    /// Whether it takes new work.
+    /// Whether the member accepts new work.
     pub fn takes_work(&self) -> bool {
         matches!(self.status(), MemberStatus::Alive | MemberStatus::Suspect)
     }
 }
 
-/// Times that members of a zone fell silent within [`LOSS_WINDOW`], the same one counted again, from which on all zones watch it: it may be cut off,
-/// and then none of its members can say so.
+/// Member failures in a zone within [`LOSS_WINDOW`], repeated failures of one member included, from which on all zones
+/// probe the zone: it may be partitioned, and its members cannot report that themselves.
 const SUSPICIOUS_LOSSES: usize = 3;
-/// How long a loss counts for that: longer than a suspicion lasts in a fleet of a thousand at a probe a second.
+/// How long a failure counts towards [`SUSPICIOUS_LOSSES`]: longer than the suspicion timeout of a fleet of 1,000
+/// members at a probe period of 1 s.
 const LOSS_WINDOW: Micros = Micros::from_secs(10);
-/// Members that fell silent which are remembered, about 300 bytes each: more than half of any fleet.
+/// Maximum number of dead members kept in the table.
 const MAXIMUM_DEAD_MEMBERS: usize = 4_096;
-/// Present members from which on a zone finds its own dead: fewer are probed from all zones, or the death of
-/// most of them would go unnoticed for many periods.
+/// Minimum number of present members for a zone to monitor itself. Smaller zones are probed from all zones, since
+/// the failure of most of their members would otherwise go undetected for many periods.
 const SELF_MONITORING_MEMBERS: usize = 8;
 
-/// What is known of the members of one zone together.
+/// Aggregate state of the members of one zone.
 #[derive(Clone, Debug)]
 struct ZoneMembers {
     present: usize,
-    /// When members that were alive last fell silent, oldest first.
+    /// Times of the most recent failures of live members, oldest first.
     lost_at: VecDeque<Micros>,
-    /// How far it is from every other zone, as of the last look at the clock.
+    /// Reach from all other zones, as of the last [`ZoneMembers::update_reach`].
     reach: Reach,
 }
 
@@ -125,24 +121,24 @@
     }
 }
 
-/// Every member known, without this node itself. Ordered, so that draws from it depend on the seed
-/// alone.
+/// All known members except this node. Ordered, so that random selection is deterministic for a
+/// given seed.
 #[derive(Clone, Default)]
 pub struct MemberTable {
     members: BTreeMap<NodeId, Member>,
     present: usize,
     zones: BTreeMap<ZoneName, ZoneMembers>,
     suspects: BTreeSet<NodeId>,
-    /// Rises whenever a member comes, goes, or begins another life.
+    /// Incremented when a member becomes present or absent, or changes its incarnation.
     changes: u64,
-    /// Rises whenever a zone is at another reach.
+    /// Incremented when the reach of a zone changes.
     reach_changes: u64,
 }
 
 impl MemberTable {
-    /// Takes a claim in. Returns whether it was news.
+    /// Merges a claim. Returns whether it changed the member's state.
     ///
-    /// A higher incarnation replaces a lower one whatever its status: it is another life.
+    /// A higher incarnation replaces a lower one regardless of status.
     pub fn merge(&mut self, claim: &MemberClaim, now: Micros) -> bool {
         let node = &claim.info.key.node;
         let before = self.members.get(node).map(|member| (member.status(), member.info.zone.clone()));
@@ -154,7 +150,7 @@
         news
     }
 
-    /// Keeps the counts of present members and the set of suspects up to date.
+    /// Updates the counts of present members and the set of suspects after a change to `node`.
     fn update_counts(&mut self, node: &NodeId, before: Option<(MemberStatus, ZoneName)>, now: Micros) {
         let is_present = |status| matches!(status, MemberStatus::Alive | MemberStatus::Suspect);
         let after = self.members.get(node).map(|member| (member.status(), member.info.zone.clone()));
@@ -203,7 +199,7 @@
         }
     }
 
-    /// Ends a suspicion that was not refuted. Returns the claim to spread, if it was one.
+    /// Marks a suspected member as dead. Returns the claim to spread, or `None` if the member is not suspected.
     pub fn expire_suspicion(&mut self, node: &NodeId, now: Micros) -> Option<MemberClaim> {
         let member = self.members.get_mut(node)?;
         if member.status() != MemberStatus::Suspect {
@@ -215,8 +211,8 @@
         Some(claim)
     }
 
-    /// Forgets members that left before `limit`. Those that fell silent are remembered: they may be cut off, and what is
-    /// bounded for the fleet is theirs as well. Beyond [`MAXIMUM_DEAD_MEMBERS`] of them the one silent for longest goes first.
+    /// Removes members that left before `limit`. Dead members are kept, since they may be partitioned and still use their
+    /// share of fleet-wide limits. Beyond [`MAXIMUM_DEAD_MEMBERS`] those dead for the longest time are removed.
     pub fn remove_departed(&mut self, limit: Micros) {
         let has_left = |member: &Member| member.status() == MemberStatus::Leaving && member.since() < limit;
         self.members.retain(|_, member| !has_left(member));
@@ -230,12 +226,11 @@
         }
     }
 
-    /// One member.
     pub fn get(&self, node: &NodeId) -> Option<&Member> {
         self.members.get(node)
     }
 
-    /// Records a direct word of a member, and the configuration it reported.
+    /// Records a direct message from a member and the configuration version it reported.
     pub fn record_contact(&mut self, key: &InstanceKey, version: Version, now: Micros) {
         if let Some(member) = self.members.get_mut(&key.node)
             && member.info.key == *key
@@ -245,27 +240,26 @@
         }
     }
 
-    /// Every member.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Members that are alive or suspected.
+    /// Iterates over the members that are alive or suspected.
     pub fn present(&self) -> impl Iterator<Item = &Member> {
         self.iter().filter(|member| member.takes_work())
     }
 
-    /// How many members are alive or suspected.
+    /// Number of members that are alive or suspected.
     pub fn present_count(&self) -> usize {
         self.present
     }
 
-    /// How many members of a zone are alive or suspected.
+    /// Number of members of a zone that are alive or suspected.
     pub fn present_in(&self, zone: &ZoneName) -> usize {
         self.zones.get(zone).map_or(0, |members| members.present)
     }
 
-    /// Looks which zones watch themselves: time has passed.
+    /// Recomputes the reach of all zones.
     pub fn update_reach(&mut self, now: Micros) {
         for members in self.zones.values_mut() {
             let before = members.reach;
@@ -274,44 +268,42 @@
         }
     }
 
-    /// A number that rises whenever a zone is at another reach.
+    /// A counter that is incremented when the reach of a zone changes.
     pub fn reach_changes(&self) -> u64 {
         self.reach_changes
     }
 
-    /// How far zone `zone` is from zone `own`.
+    /// The reach of zone `zone` from zone `own`.
     pub fn reach(&self, own: &ZoneName, zone: &ZoneName) -> Reach {
         let other = self.zones.get(zone).filter(|_| zone != own);
         other.map_or(Reach::Near, |members| members.reach)
     }
 
-    /// Whether another zone than `own` may be cut off.
+    /// Whether any zone other than `own` may be partitioned.
     pub fn has_uncertain_zone(&self, own: &ZoneName) -> bool {
         self.zones.iter().any(|(zone, members)| zone != own && members.reach == Reach::Uncertain)
     }
 
-    /// How many present members are not near zone `own`.
+    /// Number of present members in other zones that are not [`Reach::Near`].
     pub fn remote_count(&self, own: &ZoneName) -> usize {
         let remote = self.zones.iter().filter(|(zone, members)| *zone != own && members.reach != Reach::Near);
         remote.map(|(_, members)| members.present).sum()
     }
 
-    /// Members that are suspected.
     pub fn suspects(&self) -> impl Iterator<Item = &Member> {
         self.suspects.iter().filter_map(|node| self.members.get(node))
     }
 
-    /// A number that rises whenever another set of members is present.
+    /// A counter that is incremented when the set of present members or an incarnation changes.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// How many members are known.
+    /// Number of known members, in any status.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether no member is known.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
--- a/crates/sablebay-fleet/src/message.rs
+++ b/crates/sablebay-fleet/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between nodes for membership and configuration. Each is one-way, and may be lost,
-//! repeated or come late.
+//! Messages between nodes for membership and configuration. All are one-way and may be lost,
+//! duplicated or delayed.
 
 use std::sync::Arc;
 
@@ -12,90 +12,82 @@
 use crate::members::MemberClaim;
 use crate::rumour::Rumour;
 
-/// Are you there? The sender introduces itself, and names the configuration it runs.
+/// A liveness probe. Carries the sender's identity and the highest configuration version it knows.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Probe {
-    /// Echoed in the answer.
+    /// Echoed in the acknowledgement.
     pub sequence: u64,
-    /// The sender.
     pub info: Arc<MemberInfo>,
     /// The sender's refutation count.
     pub refutation: u32,
-    /// The highest configuration that the sender has heard of.
+    /// The highest configuration version known to the sender.
     pub version: Version,
-    /// News.
+    /// Piggybacked rumours.
     pub rumours: Vec<Rumour>,
 }
 
-/// A part of a whole configuration.
+/// One part of a full configuration transfer.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ConfigurationPart {
-    /// The version of the whole.
+    /// The version of the full configuration.
     pub version: Version,
-    /// The part's number, from zero.
+    /// Zero-based part number.
     pub part: u32,
-    /// How many parts there are.
+    /// Total number of parts.
     pub parts: u32,
-    /// The entries in this part.
     pub entries: Vec<(EntryKey, String)>,
 }
 
-/// One message.
+/// A message between fleet nodes.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum FleetMessage {
-    /// Are you there?
     Probe(Probe),
-    /// The answer to a probe.
+    /// Acknowledges a probe.
     ProbeAck {
-        /// Of the probe.
+        /// Sequence number of the probe.
         sequence: u64,
-        /// The highest configuration that the sender has heard of.
+        /// The highest configuration version known to the sender.
         version: Version,
-        /// News.
+        /// Piggybacked rumours.
         rumours: Vec<Rumour>,
     },
-    /// Please probe `target` for me.
+    /// Asks the receiver to probe `target` on the sender's behalf.
     IndirectProbe {
-        /// Echoed in the answer.
+        /// Echoed in the acknowledgement.
         sequence: u64,
-        /// Whom to probe.
         target: NodeId,
     },
-    /// The target of an indirect probe answered.
+    /// The target of an indirect probe acknowledged it.
     IndirectAck {
-        /// Of the indirect probe.
+        /// Sequence number of the indirect probe.
         sequence: u64,
     },
-    /// News that cannot wait for a probe.
+    /// Rumours sent without waiting for a probe.
     Gossip {
-        /// The news.
         rumours: Vec<Rumour>,
     },
-    /// A change of configuration.
+    /// A change between two configuration versions.
     ConfigurationDelta {
-        /// The change.
         delta: Arc<Delta>,
     },
-    /// There is a newer configuration than the receiver may have.
+    /// Announces a configuration version that the receiver may lack.
     ConfigurationAnnounced {
-        /// Its version.
         version: Version,
     },
-    /// Please send what leads from `have` to the newest.
+    /// Requests the deltas from `have` to the newest configuration, or the full configuration.
     ConfigurationRequest {
-        /// What the sender has.
+        /// The version in force at the sender.
         have: Version,
     },
-    /// A part of a whole configuration.
     ConfigurationPart(ConfigurationPart),
-    /// Please send the members you know.
+    /// Requests the receiver's member list.
     MembersRequest,
-    /// The members that the sender knows, itself among them.
+    /// The sender's member list, including the sender.
     Members {
-        /// One claim a member.
+        /// One claim per member.
         members: Vec<MemberClaim>,
-        /// The highest configuration that the sender has heard of: a node that joins must know it
-        /// before it takes one from the platform.
+        /// The highest configuration version known to the sender. A joining node needs this before it
+        /// accepts a configuration from the platform.
         version: Version,
     },
 }
--- a/crates/sablebay-fleet/src/probing.rs
+++ b/crates/sablebay-fleet/src/probing.rs
@@ -1,4 +1,4 @@
-//! The failure detector's cycle: one member a period, directly, then through others.
+//! Failure detector: probes one member per period, directly and then indirectly.
 
 use std::collections::BTreeMap;
 
@@ -10,37 +10,35 @@
 use crate::members::{Member, MemberTable};
 use crate::rumour::Reach;
 
-/// One probe in this many goes to a zone that watches itself: enough to find within some periods that the zone
-/// is cut off, while five in six probes cross no border between zones.
+/// One in this many probes goes to a self-monitoring zone. Detects partitioned zones while limiting
+/// cross-zone traffic.
 const FAR_PROBE_INTERVAL: u32 = 6;
-/// That interval while some zone may be cut off: the others tell one another what they find.
+/// The value of [`FAR_PROBE_INTERVAL`] while some zone may be partitioned.
 const FAR_PROBE_INTERVAL_UNCERTAIN: u32 = 3;
 
-/// A probe that has no answer yet.
+/// An unacknowledged probe.
 #[derive(Clone, Debug)]
 pub struct PendingProbe {
-    /// Who was probed.
     pub target: InstanceKey,
-    /// When.
     pub sent_at: Micros,
-    /// Whether others were asked to probe it too.
+    /// Whether indirect probes were requested.
     pub indirect: bool,
-    /// On whose behalf, with their sequence number.
+    /// The requester of an indirect probe, with its sequence number.
     pub on_behalf_of: Option<(NodeId, u64)>,
 }
 
-/// What the cycle decided at a tick.
+/// An action due at a tick.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProbeStep {
-    /// Probe this member.
+    /// Probe a member.
     Direct(NodeId),
-    /// Ask others to probe this member, under the sequence number given.
+    /// Ask other members to probe a member, with the sequence number of the direct probe.
     Indirect(NodeId, u64),
-    /// This member did not answer at all.
+    /// A member acknowledged neither the direct nor an indirect probe.
     Failed(InstanceKey),
 }
 
-/// A shuffled round of members, so that each is probed once a round.
+/// A shuffled list of members, each probed once per round.
 #[derive(Clone, Debug, Default)]
 struct Round {
     remaining: Vec<NodeId>,
@@ -69,26 +67,26 @@
     }
 }
 
-/// The state of the cycle.
+/// Probing state.
 #[derive(Clone, Debug)]
 pub struct ProbeCycle {
     own_zone: ZoneName,
     period: Micros,
     next_probe_at: Micros,
-    /// Members that this node's zone watches, and those of zones that may be cut off.
+    /// Members probed by this node's zone, and those of zones that may be partitioned.
     near: Round,
-    /// Members of zones that watch themselves.
+    /// Members of self-monitoring zones.
     far: Round,
     probes: u32,
-    /// The table's count of changes of reach when the rounds began.
+    /// [`MemberTable::reach_changes`] when the rounds began.
     seen_reach_changes: u64,
-    /// Ordered, so that what is decided depends on the seed alone.
+    /// Ordered, so that decisions are deterministic for a given seed.
     pending: BTreeMap<u64, PendingProbe>,
     next_sequence: u64,
 }
 
 impl ProbeCycle {
-    /// A cycle that starts at a random point of its first period.
+    /// Creates a cycle whose first probe is due at a random time within one period.
     pub fn new<R: Rng>(own_zone: ZoneName, period: Micros, now: Micros, random: &mut R) -> Self {
         Self {
             own_zone,
@@ -96,7 +94,7 @@
             next_probe_at: now.plus(Micros(random.random_range(0..=period.0))),
             near: Round::default(),
             far: Round::default(),
-            // Nodes that start together probe other zones at different times.
+            // Staggers cross-zone probes of nodes that start together.
             probes: random.random_range(0..FAR_PROBE_INTERVAL),
             seen_reach_changes: 0,
             pending: BTreeMap::new(),
@@ -104,7 +102,7 @@
         }
     }
 
-    /// Notes a probe as sent, and returns its sequence number.
+    /// Records a sent probe and returns its sequence number.
     pub fn sent(&mut self, target: InstanceKey, behalf: Option<(NodeId, u64)>, now: Micros) -> u64 {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -113,8 +111,8 @@
         sequence
     }
 
-    /// A probe was answered by `from`. Nothing when it was meant for somebody else: another node
-    /// may listen at the address of one that is gone.
+    /// Completes a probe acknowledged by `from`. Returns `None` if `from` was not the target, since another
+    /// node may have taken over the target's address.
     pub fn answered(&mut self, sequence: u64, from: &InstanceKey) -> Option<PendingProbe> {
         if self.pending.get(&sequence)?.target != *from {
             return None;
@@ -122,12 +120,12 @@
         self.pending.remove(&sequence)
     }
 
-    /// Somebody else reached the member that was probed.
+    /// Completes a probe whose target was reached through another member.
     pub fn acknowledged_indirectly(&mut self, sequence: u64) {
         self.pending.remove(&sequence);
     }
 
-    /// What is due now.
+    /// Returns the actions due at `now`.
     pub fn tick<R: Rng>(&mut self, members: &MemberTable, now: Micros, random: &mut R) -> Vec<ProbeStep> {
         let mut steps = self.overdue(now);
         if now >= self.next_probe_at {
@@ -159,10 +157,10 @@
         steps
     }
 
-    /// The next member: mostly one near.
+    /// Selects the next probe target, usually a near one.
     fn next_target<R: Rng>(&mut self, members: &MemberTable, random: &mut R) -> Option<NodeId> {
         self.probes = self.probes.wrapping_add(1);
-        // The members of a zone that may be cut off do not wait for the end of a round.
+        // Start new rounds, so that members of a zone whose reach changed are probed without delay.
         if self.seen_reach_changes != members.reach_changes() {
             self.seen_reach_changes = members.reach_changes();
             self.near = Round::default();
--- a/crates/sablebay-fleet/src/rumour.rs
+++ b/crates/sablebay-fleet/src/rumour.rs
@@ -1,4 +1,4 @@
-//! Rumours: news that ride on probes, each passed on a bounded number of times.
+//! Gossip updates ("rumours") piggybacked on probes, each sent a bounded number of times.
 
 use musli::{Decode, Encode};
 
@@ -8,37 +8,34 @@
 use crate::member::MemberStatus;
 use crate::members::MemberClaim;
 
-/// The newest word about whether a leaf is leaving.
+/// Whether a leaf is leaving, as of a point in time.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct LeafNotice {
-    /// The leaf.
     pub leaf: LeafId,
-    /// Whether it is leaving.
     pub leaving: bool,
-    /// Wall-clock milliseconds of the word; of two words the later one counts.
+    /// Wall-clock milliseconds of the notice. The latest notice wins.
     pub stamp: u64,
 }
 
-/// One piece of news.
+/// A gossip update.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Rumour {
-    /// A member's status.
     Member(MemberClaim),
-    /// A leaf is leaving, or has come back.
+    /// A leaf is leaving or has returned.
     Leaf(LeafNotice),
-    /// A revision was rejected.
+    /// A configuration revision was rejected.
     Rejected {
-        /// The revision and the digest of its text.
+        /// The revision and its content digest.
         version: Version,
-        /// Who rejected it first.
+        /// The first node to reject the revision.
         by: InstanceKey,
-        /// The first of its findings.
+        /// The leading validation findings.
         findings: Vec<Finding>,
     },
 }
 
 impl Rumour {
-    /// Whether the rumour is sent on at once rather than with the next probe.
+    /// Whether the rumour is sent immediately instead of with the next probe.
     pub fn is_urgent(&self) -> bool {
         match self {
             Rumour::Member(claim) => claim.status == MemberStatus::Leaving,
@@ -46,7 +43,7 @@
         }
     }
 
-    /// Whether a newer rumour takes this one's place in the queue.
+    /// Whether `newer` supersedes this rumour in the queue.
     fn is_replaced_by(&self, newer: &Rumour) -> bool {
         match (self, newer) {
             (Rumour::Member(old), Rumour::Member(new)) => old.info.key.node == new.info.key.node,
@@ -57,46 +54,45 @@
     }
 }
 
-/// A rumour that waits to be passed on.
 #[derive(Clone, Debug)]
 struct QueuedRumour {
     rumour: Rumour,
-    /// Times it was passed on.
+    /// Number of sends so far.
     repeats: u32,
-    /// Times it may still be passed on to other zones.
+    /// Remaining sends to other zones.
     cross_zone_sends_left: u32,
 }
 
-/// Rumours that this node still passes on.
+/// Rumours pending dissemination.
 #[derive(Clone, Debug, Default)]
 pub struct RumourQueue {
     queued: Vec<QueuedRumour>,
 }
 
-/// How far a message goes, from those who watch one another.
+/// The relation of a message's destination to this node's probing group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
-    /// It goes to a member near.
+    /// A member that this node probes regularly.
     Near,
-    /// It goes to a zone that watches itself.
+    /// A member of a zone that monitors its own members.
     Far,
-    /// It goes to a zone that may be cut off: it carries news, and does not count as having passed them on.
+    /// A member of a zone that may be partitioned. Rumours are sent, but the sends are not counted.
     Uncertain,
 }
 
-/// Rumours in one message at the most.
+/// Maximum number of rumours per message.
 const RUMOURS_PER_MESSAGE: usize = 8;
-/// Times a rumour is passed on, for each doubling of the fleet.
+/// Sends of a rumour per doubling of the fleet size.
 const REPEATS_PER_DOUBLING: f64 = 2.0;
-/// Rumours that wait at the most; the most often repeated are dropped first.
+/// Maximum queue length. The rumours sent most often are dropped first.
 const MAXIMUM_QUEUED: usize = 1_024;
 
 impl RumourQueue {
-    /// Adds a rumour; an older one about the same thing is dropped.
+    /// Adds a rumour and drops any that it supersedes.
     pub fn add(&mut self, rumour: Rumour, cross_zone_sends_left: u32) {
         self.queued.retain(|old| !old.rumour.is_replaced_by(&rumour));
-        // In front: of rumours repeated as often, the newest goes first. A refutation must not wait
-        // behind what everybody has heard.
+        // Newest first among rumours with equal send counts, so that a refutation is not delayed by
+        // rumours that are already widely known.
         self.queued.insert(0, QueuedRumour { rumour, repeats: 0, cross_zone_sends_left });
         if self.queued.len() > MAXIMUM_QUEUED {
             self.queued.sort_by_key(|queued| queued.repeats);
@@ -104,7 +100,7 @@
         }
     }
 
-    /// The rumours for one message, least repeated first; drops what was repeated enough.
+    /// Takes the rumours for one message, least sent first, and drops those that reached the send limit.
     pub fn take(&mut self, fleet_size: usize, reach: Reach) -> Vec<Rumour> {
         let doublings = ((fleet_size + 2) as f64).log2();
         let limit = (REPEATS_PER_DOUBLING * doublings).ceil() as u32;
