--- a/crates/sablebay-fleet/src/claims.rs
+++ b/crates/sablebay-fleet/src/claims.rs
@@ -1,8 +1,8 @@
-//! A holder's record of claims: written once, never changed.
+//! Write-once claim records kept by a ticket's holders.
 //!
-//! Invariant: for one ticket a holder grants one claimant, ever. Two claimants can therefore not
-//! both have a majority of a ticket's holders, whatever is lost, late, paused or replaced. A
-//! holder that was started anew has another incarnation and vouches for nothing.
+//! Invariant: a holder grants a ticket to at most one claimant, so two claimants cannot both get a
+//! majority, regardless of message loss, delays, pauses and restarts. A restarted holder has a new
+//! incarnation and grants nothing.
 
 use std::collections::HashMap;
 
@@ -13,75 +13,67 @@
 
 use crate::ticket::{Ticket, TicketId};
 
-/// Who wants to run an operation: a node's life, and the number of its attempt.
+/// An attempt by a node incarnation to run an operation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, Encode, Decode)]
 pub struct Claimant {
-    /// The node's life.
+    /// The node and its incarnation.
     pub key: InstanceKey,
-    /// Unique within that life.
+    /// Attempt number, unique within the incarnation.
     pub attempt: u64,
 }
 
-/// Asks a holder to record a claim.
+/// A request to a holder to record a claim.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ClaimRequest {
-    /// The ticket.
     pub ticket: Ticket,
-    /// Who claims it.
     pub claimant: Claimant,
 }
 
-/// What became of a ticket's operation.
+/// The state of a ticket's operation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Encode, Decode)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum TicketState {
-    /// Claimed; the outcome is not recorded yet.
+    /// Claimed, but no outcome is recorded yet.
     Claimed,
-    /// It ran; the back end's answer as JSON text.
+    /// The operation was executed.
     Done {
-        /// The answer.
+        /// The back end's response as JSON text.
         result: String,
     },
-    /// It did not run, and never will.
-    NotRun {
-        /// Why.
-        reason: Reason,
-    },
-    /// It was sent, and whether it ran is not known.
-    Unknown {
-        /// Why.
-        reason: Reason,
-    },
+    /// The operation was not executed and never will be.
+    NotRun { reason: Reason },
+    /// The operation was sent, but whether it was executed is unknown.
+    Unknown { reason: Reason },
 }
 
 impl TicketState {
-    /// Whether the state can still change.
+    /// Whether the state can no longer change.
     pub fn is_final(&self) -> bool {
         !matches!(self, TicketState::Claimed)
     }
 }
 
-/// A holder's answer to a claim, or to a question about a ticket.
+/// A holder's response to a claim or a ticket lookup.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ClaimAnswer {
-    /// Recorded: the asker is the claimant.
+    /// The claim is recorded for the requester.
     Granted,
-    /// Another claimant was there first.
+    /// A claim is already recorded.
     HeldBy {
-        /// The claimant.
+        /// The recorded claimant.
         claimant: Claimant,
-        /// What is known of the outcome.
+        /// The recorded state.
         state: TicketState,
     },
-    /// Nobody has claimed it yet (in answer to a question).
+    /// No claim is recorded. Returned only by lookups.
     Unclaimed,
-    /// Its lifetime is over, and nobody had claimed it here.
+    /// The ticket expired without a claim at this holder.
     ExpiredUnclaimed,
-    /// The holder no longer knows whether it was claimed.
+    /// The retention time has passed, so a claim may have been removed.
     Forgotten,
-    /// This life of the node is not among the ticket's holders.
+    /// This incarnation of the node is not among the ticket's holders.
     NotHolder,
-    /// The holder's memory is full.
+    /// The holder has reached its limit of records.
     Full,
 }
 
@@ -92,14 +84,13 @@
     expires_at: WallMillis,
 }
 
-/// How long records are kept after their ticket's lifetime.
+/// How long records are kept after their ticket expires.
 const RETENTION_MS: u64 = 120_000;
-/// Records kept at the most.
 const MAXIMUM_RECORDS: usize = 200_000;
-/// The longest result that is kept; a longer one is kept as unknown to the holders.
+/// Maximum size of a stored result. A longer result is stored as `null`.
 pub const MAXIMUM_RESULT_BYTES: usize = 16 * 1024;
 
-/// The claims that one node holds.
+/// The claim records of a node.
 #[derive(Clone, Debug)]
 pub struct ClaimHolder {
     own: InstanceKey,
@@ -109,27 +100,25 @@
 }
 
 impl ClaimHolder {
-    /// A holder without records, for one life of a node.
+    /// Creates an empty holder for a node incarnation.
     pub fn new(own: InstanceKey) -> Self {
         Self { own, records: HashMap::new(), last_sweep: WallMillis(0), write_once_off: false }
     }
 
-    /// Turns write-once off, to show that the checker notices.
+    /// Allows claims to be overwritten, so that tests can verify that violations are detected.
     pub fn turn_off_write_once(&mut self) {
         self.write_once_off = true;
     }
 
-    /// How many records are kept.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no record is kept.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Records a claim, unless there is one. `now` must never step back.
+    /// Records a claim unless one exists. `now` must not decrease between calls.
     pub fn claim(&mut self, request: &ClaimRequest, now: WallMillis) -> ClaimAnswer {
         self.sweep(now);
         let ticket = &request.ticket;
@@ -153,7 +142,7 @@
         ClaimAnswer::Granted
     }
 
-    /// What this holder knows of a ticket.
+    /// Returns the state of a ticket without recording a claim.
     pub fn lookup(&self, ticket: &Ticket, now: WallMillis) -> ClaimAnswer {
         if !ticket.holders.contains(&self.own) {
             return ClaimAnswer::NotHolder;
@@ -169,7 +158,7 @@
         }
     }
 
-    /// Records an outcome. Only the claimant's word counts, and a final state stays.
+    /// Records an outcome. Returns `false` unless `claimant` holds the claim and no final state is recorded.
     pub fn record(&mut self, ticket: TicketId, claimant: &Claimant, state: TicketState) -> bool {
         let Some(record) = self.records.get_mut(&ticket) else {
             return false;
--- a/crates/sablebay-fleet/src/error.rs
+++ b/crates/sablebay-fleet/src/error.rs
@@ -1,28 +1,19 @@
-//! Errors of this crate.
-
 use derive_more::{Display, Error};
 
-/// Why a text is no ticket.
+/// Error from parsing a [`Ticket`](crate::Ticket).
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum FleetError {
-    /// The text does not have the fields of a ticket.
+    /// The number of fields is wrong.
     #[display("a ticket has {expected} fields, this text has {found}")]
     TicketFields {
-        /// Fields of a ticket.
+        /// Maximum number of fields in a ticket.
         expected: usize,
-        /// Fields found.
         found: usize,
     },
-    /// The ticket is of a format that this release does not know.
-    #[display("unknown ticket format `{format}`")]
-    TicketFormat {
-        /// The format's name.
-        format: String,
-    },
-    /// A field of the ticket cannot be read.
-    #[display("the ticket's {field} cannot be read")]
-    TicketField {
-        /// The field's name.
-        field: &'static str,
-    },
+    /// The format is not supported by this release.
+    #[display("unsupported ticket format `{format}`")]
+    TicketFormat { format: String },
+    /// A field is malformed.
+    #[display("invalid ticket: malformed {field}")]
+    TicketField { field: &'static str },
 }
--- a/crates/sablebay-fleet/src/floor.rs
+++ b/crates/sablebay-fleet/src/floor.rs
@@ -1,8 +1,8 @@
-//! The configuration in force, and the floor under it.
+//! The configuration in force, and its version floor.
 //!
-//! Invariant: what is in force never goes down. The floor is the highest accepted version that
-//! this node has heard of from anybody; nothing below it is ever adopted. Of two contents under
-//! one revision the higher digest wins, so that every node decides alike.
+//! Invariant: the version in force never decreases. The floor is the highest accepted version known
+//! to this node, and no configuration below it is adopted. If one revision has two contents, the
+//! higher digest wins, so that all nodes converge.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -13,53 +13,48 @@
 use sablebay_config::{Configuration, Delta, Digest, Finding, Version};
 use sablebay_model::{Micros, Revision};
 
-/// Two contents were accepted under one revision.
+/// Two different contents accepted under one revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub struct Conflict {
-    /// The revision.
     pub revision: Revision,
-    /// The content that is in force, by its digest.
+    /// Digest of the winning content.
     pub in_force: Digest,
-    /// The other content.
+    /// Digest of the other content.
     pub other: Digest,
 }
 
-/// A revision that was rejected.
+/// A rejected revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Encode, Decode)]
 pub struct Rejection {
-    /// The revision, with the digest of the text that was rejected.
+    /// The revision and the digest of the rejected content.
     pub version: Version,
-    /// The node that rejected it first, as far as is known here.
+    /// The first node to reject the revision, as far as this node knows.
     pub by: String,
-    /// Its findings.
     pub findings: Vec<Finding>,
 }
 
-/// What became of a configuration that was offered.
+/// The result of offering a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// It is in force now; before it, this version was.
+    /// The configuration is now in force.
     Adopted {
-        /// The version that was in force.
+        /// The version previously in force.
         previous: Option<Version>,
     },
-    /// It is in force already.
+    /// The version is already in force, or a delta leads to no newer one.
     Known,
-    /// It is below the floor.
-    BelowFloor {
-        /// The floor.
-        floor: Version,
-    },
+    /// The version is below the floor.
+    BelowFloor { floor: Version },
 }
 
-/// Deltas kept for peers that lag.
+/// Maximum number of deltas kept for lagging peers.
 const MAXIMUM_HISTORY: usize = 64;
-/// Bytes of deltas kept.
+/// Maximum total size of kept deltas, in bytes.
 const MAXIMUM_HISTORY_BYTES: usize = 1 << 20;
-/// Rejections and conflicts kept.
+/// Maximum number of rejections, and of conflicts, kept for reporting.
 const MAXIMUM_REPORTS: usize = 16;
 
-/// The configuration of one node.
+/// The configuration state of a node.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationFloor {
     in_force: Option<Arc<Configuration>>,
@@ -74,22 +69,22 @@
 }
 
 impl ConfigurationFloor {
-    /// Turns the floor off, to show that the checker notices.
+    /// Disables the floor, so that tests can verify that violations are detected.
     pub fn turn_off(&mut self) {
         self.floor_off = true;
     }
 
-    /// What is in force.
+    /// The configuration in force, if any.
     pub fn in_force(&self) -> Option<&Arc<Configuration>> {
         self.in_force.as_ref()
     }
 
-    /// The version in force; zero when there is none.
+    /// The version in force, or zero if there is none.
     pub fn version(&self) -> Version {
         self.in_force.as_ref().map_or(Version::default(), |configuration| configuration.version)
     }
 
-    /// The highest accepted version heard of.
+    /// The highest accepted version known.
     pub fn floor(&self) -> Version {
         self.floor
     }
@@ -99,12 +94,12 @@
         self.adopted_at
     }
 
-    /// Whether a newer version is known of than the one in force.
+    /// Whether a version newer than the one in force is known.
     pub fn lags(&self) -> bool {
         self.version() < self.floor
     }
 
-    /// Hears of a version that somebody accepted. Returns whether this node now lags.
+    /// Records a version accepted by another node. Returns whether it is newer than the one in force.
     pub fn observe_version(&mut self, version: Version) -> bool {
         self.note_conflict(version);
         if !self.floor_off {
@@ -113,7 +108,7 @@
         self.version() < version
     }
 
-    /// Two contents under one revision are a conflict that operators can read.
+    /// Records a conflict if `other` has the revision in force but another digest.
     fn note_conflict(&mut self, other: Version) {
         let own = self.version();
         if own.revision != other.revision || own.digest == other.digest {
@@ -130,7 +125,7 @@
         }
     }
 
-    /// A validated configuration is offered, by the platform or by a peer.
+    /// Offers a validated configuration from the platform or a peer.
     pub fn offer(&mut self, configuration: Arc<Configuration>, now: Micros) -> OfferOutcome {
         let offered = configuration.version;
         self.note_conflict(offered);
@@ -176,9 +171,9 @@
         }
     }
 
-    /// Applies a delta from a peer. Nothing when it does not start from what is at hand.
+    /// Applies a delta from a peer. Returns `None` if its base version is not available or it does not apply.
     ///
-    /// A step that ends below the floor is staged and not adopted: the rest of the way follows.
+    /// A result below the floor is staged instead of adopted, as the base for further deltas.
     pub fn offer_delta(&mut self, delta: &Arc<Delta>, now: Micros) -> Option<OfferOutcome> {
         self.note_conflict(delta.to);
         if delta.to <= self.version() {
@@ -196,24 +191,24 @@
         Some(OfferOutcome::Adopted { previous: Some(previous) })
     }
 
-    /// The configuration that a delta starts from: what is in force, or what is staged.
+    /// The base configuration of a delta: the one in force or the staged one.
     fn base_for(&self, delta: &Delta) -> Option<Arc<Configuration>> {
         let candidates = self.in_force.iter().chain(&self.staged);
         candidates.into_iter().find(|base| base.version == delta.from).cloned()
     }
 
-    /// The deltas that lead from `have` to what is in force; nothing when they are not kept.
+    /// The kept deltas from `have` to the latest version, or `None` if they are incomplete.
     pub fn deltas_since(&self, have: Version) -> Option<Vec<Arc<Delta>>> {
         let start = self.history.iter().position(|delta| delta.from == have)?;
         Some(self.history.iter().skip(start).cloned().collect())
     }
 
-    /// The last delta, when it led to what is in force.
+    /// The last delta, if it produced the version in force.
     pub fn last_delta(&self) -> Option<&Arc<Delta>> {
         self.history.back().filter(|delta| delta.to == self.version())
     }
 
-    /// Records a rejected revision. Returns whether it was news.
+    /// Records a rejected revision. Returns whether it was new.
     pub fn reject(&mut self, rejection: Rejection) -> bool {
         if self.rejections.iter().any(|known| known.version == rejection.version) {
             return false;
@@ -225,12 +220,12 @@
         true
     }
 
-    /// Revisions that were rejected, oldest first.
+    /// Rejected revisions, oldest first.
     pub fn rejections(&self) -> impl Iterator<Item = &Rejection> {
         self.rejections.iter()
     }
 
-    /// Conflicts that were noticed, oldest first.
+    /// Recorded conflicts, oldest first.
     pub fn conflicts(&self) -> impl Iterator<Item = &Conflict> {
         self.conflicts.iter()
     }
--- a/crates/sablebay-fleet/src/lease.rs
+++ b/crates/sablebay-fleet/src/lease.rs
@@ -1,12 +1,11 @@
-//! The freshness lease: how long ago a node knew that its configuration was the newest it could
-//! have heard of.
+//! The freshness lease, which bounds how long a node's configuration counts as confirmed.
 
 use sablebay_model::Micros;
 
-/// Holds while a peer has confirmed the configuration recently.
+/// A lease that is valid for a fixed time after the last confirmation.
 ///
-/// A process that was paused finds its lease expired on its first look, since the lease is a
-/// point in time and not a timer that has to fire.
+/// Expiry is computed from the current time rather than by a timer, so a process that resumes
+/// after a pause sees the lease as expired immediately.
 #[derive(Clone, Debug)]
 pub struct FreshnessLease {
     length: Micros,
@@ -14,25 +13,25 @@
 }
 
 impl FreshnessLease {
-    /// A lease of `length`, not confirmed yet.
+    /// Creates an unconfirmed lease.
     pub fn new(length: Micros) -> Self {
         Self { length, confirmed_at: None }
     }
 
-    /// Somebody answered a question that was asked at `asked_at`, and knew of nothing newer.
+    /// Records a confirmation requested at `asked_at`.
     ///
-    /// The time of the question counts, not that of the answer: what was newer in between may
-    /// not have been known.
+    /// The lease starts at the time of the request, since a newer configuration may have been
+    /// published between the request and the response.
     pub fn confirm(&mut self, asked_at: Micros) {
         self.confirmed_at = Some(self.confirmed_at.map_or(asked_at, |before| before.max(asked_at)));
     }
 
-    /// Whether the configuration is confirmed.
+    /// Whether the last confirmation is within the lease.
     pub fn is_fresh(&self, now: Micros) -> bool {
         self.age(now).is_some_and(|age| age <= self.length)
     }
 
-    /// How long ago the configuration was confirmed; nothing when it never was.
+    /// Time since the last confirmation, or `None` if there was none.
     pub fn age(&self, now: Micros) -> Option<Micros> {
         self.confirmed_at.map(|at| now.since(at))
     }
--- a/crates/sablebay-fleet/src/lib.rs
+++ b/crates/sablebay-fleet/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decision logic of the fleet: membership, the floor under the configuration, freshness,
-//! and claims on operations that may run once at most. No I/O, no clock, no ambient randomness.
+//! Decision logic of the fleet: membership, the configuration version floor, freshness leases, and
+//! claims on operations that run at most once. Performs no I/O and reads neither a clock nor ambient randomness.
 
 mod aggregators;
 mod census;
--- a/crates/sablebay-fleet/src/submission.rs
+++ b/crates/sablebay-fleet/src/submission.rs
@@ -1,39 +1,37 @@
-//! A node's way from a ticket to leave to run its operation: a state machine over the answers of
-//! the ticket's holders.
+//! State machine that claims a ticket from its holders before running the operation.
 //!
-//! The first holder is asked alone, so that nodes that race for a ticket meet there and not each
-//! at another holder. The others are asked when it has answered or is lost.
+//! The first holder is asked alone, so that competing claims are resolved there rather than split
+//! across holders. The others are asked once the first has replied or is lost.
 
 use crate::claims::{ClaimAnswer, Claimant, TicketState};
 use crate::ticket::Ticket;
 
-/// What came back from one holder.
+/// The result of asking a holder.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HolderReply {
-    /// It answered.
     Answer(ClaimAnswer),
-    /// It is gone: dead, replaced, or its connection was refused.
+    /// The holder is unreachable: dead, restarted, or refusing connections.
     Lost,
 }
 
-/// What the node has to do next.
+/// The next action of a submission.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SubmissionStep {
-    /// Ask these holders, by position.
+    /// Ask the holders at these positions.
     Ask(Vec<usize>),
-    /// Wait for more answers.
+    /// Wait for more replies.
     Wait,
-    /// Run the operation, now, once.
+    /// Run the operation. Returned at most once.
     Dispatch,
-    /// Another node has the claim.
+    /// Another claimant holds the claim.
     ClaimedElsewhere(TicketState),
-    /// Nobody can ever have a majority: it did not run, and never will.
+    /// No claimant can reach a majority, so the operation was not executed and never will be.
     NeverRuns,
-    /// Too few holders answered to know.
+    /// Too few holders replied to decide.
     HoldersLost,
-    /// Its lifetime is over, and it is known that nobody ran it.
+    /// The ticket expired, and the operation was not executed.
     ExpiredNotRun,
-    /// Its lifetime is over, and whether it ran is not known.
+    /// The ticket expired, and whether the operation was executed is unknown.
     ExpiredUnknown,
 }
 
@@ -48,7 +46,7 @@
 }
 
 impl Submission {
-    /// An attempt by `claimant`. Nothing is asked before [`Submission::start`].
+    /// Creates an attempt by `claimant`. No holder is asked before [`Submission::start`].
     pub fn new(ticket: &Ticket, claimant: Claimant) -> Self {
         let holders = ticket.holders.len();
         Self {
@@ -60,12 +58,11 @@
         }
     }
 
-    /// The claimant.
     pub fn claimant(&self) -> &Claimant {
         &self.claimant
     }
 
-    /// Whom to ask first.
+    /// Returns the first holder to ask.
     pub fn start(&mut self) -> SubmissionStep {
         self.ask_first(1)
     }
@@ -79,7 +76,7 @@
         if positions.is_empty() { SubmissionStep::Wait } else { SubmissionStep::Ask(positions) }
     }
 
-    /// A holder answered or is lost. After a decision every further reply means `Wait`.
+    /// Processes a holder's reply. Replies after a decision return [`SubmissionStep::Wait`].
     pub fn on_reply(&mut self, holder: usize, reply: HolderReply) -> SubmissionStep {
         if self.decided || holder >= self.replies.len() || self.replies[holder].is_some() {
             return SubmissionStep::Wait;
@@ -165,7 +162,7 @@
         claims.iter().map(same).max().unwrap_or(0)
     }
 
-    /// A recorded outcome settles the matter, wherever it is found.
+    /// A final state recorded by any holder for another claimant. Prefers [`TicketState::Done`].
     fn final_state_elsewhere(&self) -> Option<TicketState> {
         let recorded = self.other_claims().map(|(_, state)| state).filter(|state| state.is_final());
         recorded.max_by_key(|state| matches!(state, TicketState::Done { .. })).cloned()
--- a/crates/sablebay-fleet/src/ticket.rs
+++ b/crates/sablebay-fleet/src/ticket.rs
@@ -1,7 +1,7 @@
-//! Tickets: what makes two submissions of an operation the same request.
+//! Tickets, which identify repeated submissions of one operation.
 //!
-//! A ticket names, once and for all, the three node lives that hold its claim. The group never
-//! changes, so that no agreement on membership is needed.
+//! A ticket fixes the node incarnations that hold its claim when it is issued. The group never
+//! changes, so claims need no agreement on membership.
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,42 +13,42 @@
 
 use crate::error::FleetError;
 
-/// Nodes that hold the claim on one ticket.
+/// Number of nodes that hold the claim on a ticket.
 pub const CLAIM_HOLDERS: usize = 3;
-/// Holders that must have recorded a claim before the claimant may run the operation.
+/// Number of holders that must record a claim before the claimant may run the operation.
 pub const CLAIM_QUORUM: usize = 2;
 
 const FORMAT: &str = "t1";
 const FIELDS: usize = 5 + CLAIM_HOLDERS;
 
-/// Names a ticket among all tickets.
+/// Unique ticket identifier.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[display("{_0:032x}")]
 #[musli(transparent)]
 pub struct TicketId(pub u128);
 
-/// Leave to run one operation once. As text: fields with dots between them.
+/// Permission to run an operation at most once. Displayed as dot-separated fields.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Ticket {
-    /// Its identity, drawn at random.
+    /// Random identifier.
     pub id: TicketId,
-    /// When it was minted, by the minting node's wall clock.
+    /// Issue time, by the issuing node's wall clock.
     pub minted_at: WallMillis,
-    /// For how long it can be used, in milliseconds.
+    /// Validity period, in milliseconds.
     pub lifetime_ms: u64,
-    /// The service that the operation is for.
+    /// The service that the operation targets.
     pub service: ServiceId,
-    /// The node lives that hold its claim. Fewer than three in a smaller fleet.
+    /// The node incarnations that hold the claim. Fewer than [`CLAIM_HOLDERS`] in a smaller fleet.
     pub holders: Vec<InstanceKey>,
 }
 
 impl Ticket {
-    /// How many holders must have recorded a claim: a majority of them.
+    /// Number of holders that must record a claim: a majority.
     pub fn quorum(&self) -> usize {
         self.holders.len() / 2 + 1
     }
 
-    /// When it can no longer be used.
+    /// The wall-clock time after which the ticket is invalid.
     pub fn expires_at(&self) -> WallMillis {
         WallMillis(self.minted_at.0.saturating_add(self.lifetime_ms))
     }
--- a/crates/sablebay-fleet/src/transfer.rs
+++ b/crates/sablebay-fleet/src/transfer.rs
@@ -1,4 +1,4 @@
-//! Sending a whole configuration in parts, and putting it together again.
+//! Splits a full configuration into parts for transfer, and reassembles it.
 
 use std::collections::BTreeSet;
 
@@ -7,12 +7,12 @@
 
 use crate::message::{ConfigurationPart, FleetMessage};
 
-/// Content bytes of one part, roughly.
+/// Target content size of a part, in bytes.
 const PART_BYTES: usize = 256 * 1024;
-/// How long a part is waited for before the whole is asked for again.
+/// Time without a new part after which the full configuration is requested again.
 const PART_TIMEOUT: Micros = Micros::from_secs(5);
 
-/// The parts of a document.
+/// Splits a document into messages.
 pub fn parts_of(document: &Document) -> Vec<FleetMessage> {
     let mut parts: Vec<Vec<(EntryKey, String)>> = vec![Vec::new()];
     let mut bytes = 0;
@@ -22,7 +22,7 @@
             bytes = 0;
         }
         bytes += entry.content_bytes();
-        let last = parts.last_mut().expect("there is a first part");
+        let last = parts.last_mut().expect("at least one part exists");
         last.push((entry.key(), entry.body().to_string()));
     }
     let count = parts.len() as u32;
@@ -34,36 +34,34 @@
     parts.into_iter().enumerate().map(message).collect()
 }
 
-/// A whole configuration on its way in.
+/// A full configuration being received.
 #[derive(Clone, Debug)]
 pub struct Assembly {
     version: Version,
     parts: u32,
     received: BTreeSet<u32>,
-    /// What the received parts hold: they are not kept besides, since a whole configuration is the
-    /// largest thing that a node holds.
+    /// Entries received so far. The parts are not kept separately, to limit memory use.
     document: Document,
     last_part_at: Micros,
 }
 
 impl Assembly {
-    /// An assembly of `parts` parts.
     pub fn new(version: Version, parts: u32, now: Micros) -> Self {
         let document = Document::new(version.revision, []);
         Self { version, parts, received: BTreeSet::new(), document, last_part_at: now }
     }
 
-    /// The version that is put together.
+    /// The version being received.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Whether it has waited too long for its next part.
+    /// Whether no part has arrived within [`PART_TIMEOUT`].
     pub fn is_stalled(&self, now: Micros) -> bool {
         now.since(self.last_part_at) > PART_TIMEOUT
     }
 
-    /// Takes a part in. Returns the document when it is whole and has the digest it should.
+    /// Adds a part. Returns the document once all parts are present and its version matches the expected one.
     pub fn add(&mut self, part: u32, entries: Vec<(EntryKey, String)>, now: Micros) -> Option<Document> {
         if part >= self.parts || !self.received.insert(part) {
             return None;
