--- a/crates/sablebay-fleet/tests/census.rs
+++ b/crates/sablebay-fleet/tests/census.rs
@@ -1,4 +1,4 @@
-//! What a node may use of what is bounded for the fleet, by what it knows of the others.
+//! Guards against nodes using more than their share of fleet-wide limits during partitions and restarts.
 
 use std::net::SocketAddr;
 
@@ -16,7 +16,7 @@
     ([10, 0, 0, node as u8], 7_000).into()
 }
 
-/// Node 0 of a fleet whose seeds are the nodes 0, 1 and 2.
+/// The census of node 0, with nodes 0, 1 and 2 as seeds.
 fn census() -> FleetCensus {
     FleetCensus::new(address(0), [0, 1, 2].map(address))
 }
@@ -62,7 +62,7 @@
     let mut census = census();
     take(&mut census, &[(1, ALIVE), (2, ALIVE), (3, ALIVE)], at(1));
     census.settle(Micros::from_secs(4));
-    assert!(!census.knows_fleet(), "others may not have been met yet");
+    assert!(!census.knows_fleet(), "other nodes may not have been discovered yet");
     census.settle(SETTLING_TIME);
     assert!(census.knows_fleet());
     take(&mut census, &[(1, DEAD), (2, DEAD), (3, ALIVE)], at(20));
@@ -76,7 +76,7 @@
     let mut census = FleetCensus::of_known_fleet(address(0), [0, 1, 2].map(address));
     take(&mut census, &[(1, ALIVE), (2, ALIVE), (3, ALIVE)], at(0));
     take(&mut census, &[(1, ALIVE), (2, DEAD), (3, MemberStatus::Leaving)], at(1));
-    assert_eq!(share(&census, 2), 0.5, "who leaves may be back behind a cut");
+    assert_eq!(share(&census, 2), 0.5, "a leaving node may have returned behind a partition");
     assert_eq!(share(&census, 40), 2.0 / 3.0);
     assert_eq!(share(&census, 1_000_000), 2.0 / 3.0);
 }
@@ -87,7 +87,11 @@
     take(&mut census, &[(1, ALIVE)], at(0));
     census.record_reported_size(8, at(0));
     assert_eq!(share(&census, 1), 0.25);
-    assert_eq!(census.size_to_report(at(1)), None, "a number is not passed on without the names behind it");
+    assert_eq!(
+        census.size_to_report(at(1)),
+        None,
+        "a reported size is not forwarded without the nodes' names"
+    );
     let members: Vec<_> = (1..8).map(|node| (node, if node < 4 { ALIVE } else { DEAD })).collect();
     take(&mut census, &members, at(2));
     assert_eq!(share(&census, 2), 0.5);
--- a/crates/sablebay-fleet/tests/claims.rs
+++ b/crates/sablebay-fleet/tests/claims.rs
@@ -1,8 +1,7 @@
-//! At most once: every interleaving of a small fleet is tried, with loss and replacement.
+//! Guards against operations that run twice, or are reported as not run although they ran.
 //!
-//! The search is over the product's own machines: three holders, two submissions of one ticket
-//! through two nodes. At each point any undelivered message may be delivered or lost, and any
-//! holder may be replaced by a new life that knows nothing.
+//! An exhaustive search over message orders, message losses and holder restarts, with competing
+//! submissions of one ticket.
 
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -39,14 +38,14 @@
     Reply { submission: usize, holder: usize, reply: HolderReply },
 }
 
-/// What may go wrong in one run.
+/// Fault budget of one run.
 #[derive(Clone, Copy)]
 struct Faults {
     losses: usize,
     replacements: usize,
 }
 
-/// A state of the whole: two states that print alike behave alike.
+/// System state. States with equal `Debug` output behave equally.
 #[derive(Clone, Debug)]
 struct Model {
     holders: Vec<ClaimHolder>,
@@ -83,7 +82,7 @@
         model
     }
 
-    /// An invariant is violated: run twice, or called not run although it ran.
+    /// Whether the operation ran twice, or ran although reported as never running.
     fn violates_invariant(&self) -> bool {
         self.dispatches > 1 || (self.never_runs && self.dispatches > 0)
     }
@@ -109,7 +108,7 @@
         }
     }
 
-    /// Options: deliver or lose each message, or replace a holder.
+    /// Number of possible actions: deliver or lose each message, or restart a holder.
     fn options(&self) -> usize {
         let losses = if self.losses_left > 0 { self.messages.len() } else { 0 };
         let replacements = if self.replacements_left > 0 { CLAIM_HOLDERS } else { 0 };
@@ -128,7 +127,7 @@
         } else {
             let before = if self.losses_left > 0 { 2 * messages } else { messages };
             self.replacements_left -= 1;
-            // A new life of the node holds nothing, and knows that it is not the holder.
+            // A new incarnation has no records and is not among the ticket's holders.
             self.holders[choice - before] = ClaimHolder::new(key(choice - before, 2));
         }
     }
@@ -149,7 +148,7 @@
         }
     }
 
-    /// A claim or a reply that is lost looks the same to the asker: the holder is lost.
+    /// A lost claim and a lost reply both appear to the submission as a lost holder.
     fn lose(&mut self, message: Message) {
         let (Message::Claim { submission, holder } | Message::Reply { submission, holder, .. }) = message;
         let step = self.submissions[submission].on_reply(holder, HolderReply::Lost);
@@ -157,8 +156,7 @@
     }
 }
 
-/// Visits every state that can be reached; returns how many there are, and how many of them break
-/// a must-hold.
+/// Visits all reachable states. Returns the number of states, and of those that violate an invariant.
 fn explore(write_once: bool, submissions: usize, faults: Faults) -> (usize, usize) {
     let first = Model::new(write_once, submissions, faults);
     let mut seen = HashSet::from([first.fingerprint()]);
@@ -184,7 +182,7 @@
     for (submissions, faults) in [(2, many), (3, few)] {
         let (states, violations) = explore(true, submissions, faults);
         println!("{states} states of {submissions} submissions explored");
-        assert!(states > 1_000, "only {states} states: the model has lost its messages");
+        assert!(states > 1_000, "only {states} states explored: the model delivers too few messages");
         assert_eq!(violations, 0);
     }
 }
--- a/crates/sablebay-fleet/tests/members.rs
+++ b/crates/sablebay-fleet/tests/members.rs
@@ -1,4 +1,4 @@
-//! The life of a member, and which nodes connect to a service's leaves.
+//! Guards against member tables that diverge between nodes, and service assignments that move without need.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -55,7 +55,7 @@
 proptest! {
     #![proptest_config(settings())]
 
-    /// Whatever order claims come in, nodes that heard the same believe the same.
+    /// Nodes that receive the same claims in any order end in the same state.
     #[test]
     fn belief_does_not_depend_on_the_order(claims in proptest::collection::vec(any_claim(), 1..12), seed in any::<u64>()) {
         let mut shuffled = claims.clone();
@@ -121,5 +121,5 @@
         assert_eq!(zones.len(), 4, "the aggregators of service {service} are not in all zones");
     }
     let most = held.values().max().unwrap();
-    assert!(*most < 90, "a node holds {most} of 200 services, where 40 is the mean");
+    assert!(*most < 90, "a node holds {most} of 200 services, expected about 40");
 }
