--- a/crates/sablebay-fleet/src/members.rs
+++ b/crates/sablebay-fleet/src/members.rs
@@ -29,17 +29,17 @@
     pub version: Version,
     /// Time of the last direct message from the member.
     pub last_contact: Micros,
-    life: StateMachine<MemberLifecycle>,
+    lifecycle: StateMachine<MemberLifecycle>,
 }
 
 impl Member {
     fn new(claim: &MemberClaim, now: Micros) -> Self {
-        let life = MemberLifecycle { refutation: 0, since: now };
+        let lifecycle = MemberLifecycle { refutation: 0, since: now };
         let mut member = Self {
             info: claim.info.clone(),
             version: Version::default(),
             last_contact: Micros(0),
-            life: life.state_machine(),
+            lifecycle: lifecycle.state_machine(),
         };
         member.claimed(claim.status, claim.refutation, now);
         member
@@ -47,21 +47,21 @@
 
     fn claimed(&mut self, status: MemberStatus, refutation: u32, now: Micros) -> bool {
         let before = (self.status(), self.refutation());
-        self.life.handle(&MemberEvent::Claimed { status, refutation, now });
+        self.lifecycle.handle(&MemberEvent::Claimed { status, refutation, now });
         before != (self.status(), self.refutation())
     }
 
     pub fn status(&self) -> MemberStatus {
-        self.life.state().status()
+        self.lifecycle.state().status()
     }
 
     pub fn refutation(&self) -> u32 {
-        self.life.refutation
+        self.lifecycle.refutation
     }
 
     /// Time of the last status change.
     pub fn since(&self) -> Micros {
-        self.life.since
+        self.lifecycle.since
     }
 
     /// A claim with the member's status as seen by this node.
@@ -142,12 +142,12 @@
     pub fn merge(&mut self, claim: &MemberClaim, now: Micros) -> bool {
         let node = &claim.info.key.node;
         let before = self.members.get(node).map(|member| (member.status(), member.info.zone.clone()));
-        let life_before = self.members.get(node).map(|member| member.info.key.incarnation);
-        let news = self.merge_claim(claim, now);
+        let incarnation_before = self.members.get(node).map(|member| member.info.key.incarnation);
+        let changed = self.merge_claim(claim, now);
         self.update_counts(node, before, now);
-        let life = self.members.get(node).map(|member| member.info.key.incarnation);
-        self.changes += u64::from(life != life_before);
-        news
+        let incarnation = self.members.get(node).map(|member| member.info.key.incarnation);
+        self.changes += u64::from(incarnation != incarnation_before);
+        changed
     }
 
     /// Updates the counts of present members and the set of suspects after a change to `node`.
@@ -205,7 +205,7 @@
         if member.status() != MemberStatus::Suspect {
             return None;
         }
-        member.life.handle(&MemberEvent::SuspicionExpired { now });
+        member.lifecycle.handle(&MemberEvent::SuspicionExpired { now });
         let claim = member.claim();
         self.update_counts(node, Some((MemberStatus::Suspect, claim.info.zone.clone())), now);
         Some(claim)
--- a/crates/sablebay-fleet/tests/claims.rs
+++ b/crates/sablebay-fleet/tests/claims.rs
@@ -14,8 +14,8 @@
 
 const NOW: WallMillis = WallMillis(10_000);
 
-fn key(node: usize, life: u64) -> InstanceKey {
-    InstanceKey { node: NodeId::new(format!("node-{node}")), incarnation: Incarnation(life) }
+fn key(node: usize, incarnation: u64) -> InstanceKey {
+    InstanceKey { node: NodeId::new(format!("node-{node}")), incarnation: Incarnation(incarnation) }
 }
 
 fn ticket() -> Ticket {
--- a/crates/sablebay-fleet/tests/members.rs
+++ b/crates/sablebay-fleet/tests/members.rs
@@ -44,7 +44,8 @@
         Just(MemberStatus::Leaving),
         Just(MemberStatus::Dead),
     ];
-    (1u64..4, 0u32..4, status).prop_map(|(life, refutation, status)| claim(life, refutation, status))
+    (1u64..4, 0u32..4, status)
+        .prop_map(|(incarnation, refutation, status)| claim(incarnation, refutation, status))
 }
 
 fn believed(table: &MemberTable) -> Option<(Incarnation, u32, MemberStatus)> {
