--- a/crates/sablebay-fleet/src/fleet_node/membership.rs
+++ b/crates/sablebay-fleet/src/fleet_node/membership.rs
@@ -1,4 +1,4 @@
-//! Joining, probing, suspicion and rumours.
+//! Joining, probing, suspicion and gossip handling.
 
 use std::net::SocketAddr;
 
@@ -17,20 +17,20 @@
 use crate::probing::ProbeStep;
 use crate::rumour::{LeafNotice, Reach, Rumour};
 
-/// Members that are asked to probe a silent one.
+/// Number of members asked to probe an unresponsive member.
 const INDIRECT_PROBES: usize = 3;
-/// Members of another zone that are probed at once when one there is silent. Each that is silent too has as many
-/// probed in turn, until enough of them are that every node watches the zone.
-const PROBES_BESIDE: usize = 3;
-/// Probe periods that a suspicion lasts, for each factor of ten of the fleet's size.
+/// Number of further members of a remote zone probed immediately when a member there is unresponsive. Further failures
+/// repeat this, until all zones probe the zone.
+const ZONE_NEIGHBOUR_PROBES: usize = 3;
+/// Suspicion timeout in probe periods, multiplied by the decimal logarithm of the fleet size.
 const SUSPICION_PERIODS: f64 = 3.0;
-/// How long members that said that they leave are remembered, so that old rumours do not bring them back.
-const REMEMBER_LEFT: Micros = Micros::from_secs(300);
-/// How often a starting node asks its seeds again.
+/// How long members that left are kept, so that stale rumours do not re-add them.
+const LEFT_RETENTION: Micros = Micros::from_secs(300);
+/// Minimum time between join attempts.
 const JOIN_INTERVAL: Micros = Micros::from_millis(300);
-/// The shortest time between exchanges of the whole member list.
+/// Base interval between exchanges of the full member list, before jitter.
 const MINIMUM_SYNC_INTERVAL: Micros = Micros::from_secs(30);
-/// Added to that time for each member, so that its cost does not grow with the fleet.
+/// Added to the base interval per member, so that the exchange cost does not grow with the fleet.
 const SYNC_INTERVAL_PER_MEMBER: Micros = Micros::from_millis(200);
 
 impl FleetNode {
@@ -38,7 +38,7 @@
         outputs.push(FleetOutput::Send { to, message });
     }
 
-    /// Addresses of `count` present members drawn at random.
+    /// Addresses of up to `count` random present members.
     pub(super) fn random_peers(&mut self, count: usize) -> Vec<SocketAddr> {
         let present = self.members.present().map(|member| member.info.peer_address);
         present.sample(&mut self.random, count)
@@ -51,13 +51,13 @@
         }
         self.next_join_at = now.plus(JOIN_INTERVAL).plus(self.jitter(JOIN_INTERVAL));
         for seed in self.seeds.clone() {
-            self.send(seed, FleetMessage::MembersWanted, outputs);
+            self.send(seed, FleetMessage::MembersRequest, outputs);
             let have = self.floor.version();
-            self.send(seed, FleetMessage::ConfigurationWanted { have }, outputs);
+            self.send(seed, FleetMessage::ConfigurationRequest { have }, outputs);
         }
     }
 
-    /// A random time up to `limit`.
+    /// A random duration from zero to `limit`.
     pub(super) fn jitter(&mut self, limit: Micros) -> Micros {
         Micros(self.random.random_range(0..=limit.0))
     }
@@ -66,7 +66,7 @@
         for step in self.probes.tick(&self.members, now, &mut self.random) {
             match step {
                 ProbeStep::Direct(node) => self.probe(&node, None, now, outputs),
-                ProbeStep::Indirect(node, sequence) => self.probe_through_others(node, sequence, outputs),
+                ProbeStep::Indirect(node, sequence) => self.probe_indirectly(node, sequence, outputs),
                 ProbeStep::Failed(key) => self.suspect(&key, now, outputs),
             }
         }
@@ -97,11 +97,11 @@
             info: self.info.clone(),
             refutation: self.refutation,
             version: self.floor.floor(),
-            rumours: self.take_waiting(reach),
+            rumours: self.take_queued(reach),
         })
     }
 
-    /// Asks `count` random members at once whether they know of a newer configuration.
+    /// Probes `count` random members immediately, to confirm that no newer configuration is known.
     pub fn ask_for_confirmation(&mut self, count: usize, now: Micros, outputs: &mut Vec<FleetOutput>) {
         let present = self.members.present().map(|member| member.info.key.node.clone());
         let nodes: Vec<NodeId> = present.sample(&mut self.random, count);
@@ -110,7 +110,7 @@
         }
     }
 
-    fn probe_through_others(&mut self, target: NodeId, sequence: u64, outputs: &mut Vec<FleetOutput>) {
+    fn probe_indirectly(&mut self, target: NodeId, sequence: u64, outputs: &mut Vec<FleetOutput>) {
         let helpers = self.members.present().filter(|member| member.info.key.node != target);
         let addresses = helpers.map(|member| member.info.peer_address);
         let chosen: Vec<SocketAddr> = addresses.sample(&mut self.random, INDIRECT_PROBES);
@@ -120,9 +120,8 @@
         }
     }
 
-    /// A member did not answer, directly or through others. It is told so itself, and probed again
-    /// for as long as it is suspected: rumours reach it, and its answer everybody, only after about
-    /// as many periods as a suspicion lasts.
+    /// Handles a failed probe. The member is suspected, notified directly, and probed again while it is
+    /// suspected, since gossip alone may not deliver its refutation before the suspicion timeout.
     fn suspect(&mut self, key: &InstanceKey, now: Micros, outputs: &mut Vec<FleetOutput>) {
         let Some(member) = self.members.get(&key.node) else {
             return;
@@ -134,59 +133,60 @@
             MemberStatus::Alive => {
                 let claim = MemberClaim { status: MemberStatus::Suspect, ..member.claim() };
                 let zone = claim.info.zone.clone();
-                self.take_member_claim(claim, Source::Own, now, outputs);
-                self.probe_beside(&zone, now, outputs);
+                self.apply_member_claim(claim, Source::Local, now, outputs);
+                self.probe_zone_neighbours(&zone, now, outputs);
             }
             MemberStatus::Suspect => {}
             _ => return,
         }
-        self.tell_suspect(&key.node, outputs);
+        self.notify_suspect(&key.node, outputs);
         self.probe(&key.node, None, now, outputs);
     }
 
-    /// A silent member of another zone may be the first sign that the zone is cut off: some beside it are probed
-    /// at once.
-    fn probe_beside(&mut self, zone: &ZoneName, now: Micros, outputs: &mut Vec<FleetOutput>) {
+    /// Probes other members of a remote zone immediately, to detect early whether the zone is partitioned.
+    fn probe_zone_neighbours(&mut self, zone: &ZoneName, now: Micros, outputs: &mut Vec<FleetOutput>) {
         if self.reach_of(zone) != Reach::Far {
             return;
         }
-        let is_beside =
+        let is_neighbour =
             |member: &&Member| member.info.zone == *zone && member.status() == MemberStatus::Alive;
-        let beside = self.members.iter().filter(is_beside);
-        let nodes = beside.map(|member| member.info.key.node.clone()).sample(&mut self.random, PROBES_BESIDE);
+        let neighbours = self.members.iter().filter(is_neighbour);
+        let nodes = neighbours
+            .map(|member| member.info.key.node.clone())
+            .sample(&mut self.random, ZONE_NEIGHBOUR_PROBES);
         for node in nodes {
             self.probe(&node, None, now, outputs);
         }
     }
 
-    /// Tells a suspected member of the suspicion, so that it can refute it.
-    fn tell_suspect(&self, node: &NodeId, outputs: &mut Vec<FleetOutput>) {
+    /// Notifies a suspected member of the suspicion, so that it can refute it.
+    fn notify_suspect(&self, node: &NodeId, outputs: &mut Vec<FleetOutput>) {
         if let Some(member) = self.members.get(node) {
             let rumours = vec![Rumour::Member(member.claim())];
-            self.send(member.info.peer_address, FleetMessage::News { rumours }, outputs);
+            self.send(member.info.peer_address, FleetMessage::Gossip { rumours }, outputs);
         }
     }
 
     pub(super) fn tick_suspicions(&mut self, now: Micros, outputs: &mut Vec<FleetOutput>) {
         let size = self.members.present_count() as f64 + 1.0;
         let periods = SUSPICION_PERIODS * size.log10().max(1.0);
-        let patience = Micros((self.settings.probe_period.0 as f64 * periods) as u64);
+        let timeout = Micros((self.settings.probe_period.0 as f64 * periods) as u64);
         let overdue: Vec<NodeId> = self
             .members
             .suspects()
-            .filter(|member| now.since(member.since()) >= patience)
+            .filter(|member| now.since(member.since()) >= timeout)
             .map(|member| member.info.key.node.clone())
             .collect();
         for node in overdue {
             if let Some(claim) = self.members.expire_suspicion(&node, now) {
                 outputs.push(FleetOutput::MemberChanged(claim.info.key.clone(), claim.status));
-                self.queue(Rumour::Member(claim), Source::Own);
+                self.queue(Rumour::Member(claim), Source::Local);
             }
         }
     }
 
-    /// Now and then exchanges the whole list with one member, present or gone: this mends what
-    /// rumours missed, and joins the halves of a fleet that was cut.
+    /// Periodically requests the full member list from a random member and probes a dead one. Repairs lost
+    /// gossip and rejoins the sides of a healed partition.
     pub(super) fn tick_sync(&mut self, now: Micros, outputs: &mut Vec<FleetOutput>) {
         if now < self.next_sync_at || !self.joined || self.leaving {
             return;
@@ -194,14 +194,14 @@
         let per_member = SYNC_INTERVAL_PER_MEMBER.0 * self.members.len() as u64;
         let interval = Micros(MINIMUM_SYNC_INTERVAL.0 + per_member);
         self.next_sync_at = now.plus(Micros(interval.0 / 2)).plus(self.jitter(interval));
-        self.members.forget_gone(Micros(now.0.saturating_sub(REMEMBER_LEFT.0)));
+        self.members.remove_departed(Micros(now.0.saturating_sub(LEFT_RETENTION.0)));
         for to in self.random_peers(1) {
-            self.send(to, FleetMessage::MembersWanted, outputs);
+            self.send(to, FleetMessage::MembersRequest, outputs);
         }
         self.probe_a_dead_member(now, outputs);
     }
 
-    /// A member that is believed dead is probed now and then: it may have been cut off.
+    /// Probes a random dead member, which may be reachable again after a partition.
     fn probe_a_dead_member(&mut self, now: Micros, outputs: &mut Vec<FleetOutput>) {
         let gone = self.members.iter().filter(|member| member.status() == MemberStatus::Dead);
         let nodes = gone.map(|member| member.info.key.node.clone());
@@ -216,27 +216,27 @@
         let reach = self.reach_of(&probe.info.zone);
         let claim =
             MemberClaim { info: probe.info, status: MemberStatus::Alive, refutation: probe.refutation };
-        self.take_member_claim(claim, Source::Heard, now, outputs);
-        self.tell_if_believed_gone(&from, to, outputs);
-        self.members.heard(&from, probe.version, now);
-        self.take_rumours(probe.rumours, to, now, outputs);
+        self.apply_member_claim(claim, Source::Received, now, outputs);
+        self.notify_if_not_alive(&from, to, outputs);
+        self.members.record_contact(&from, probe.version, now);
+        self.apply_rumours(probe.rumours, to, now, outputs);
         let ack = FleetMessage::ProbeAck {
             sequence: probe.sequence,
             version: self.floor.floor(),
-            rumours: self.take_waiting(reach),
+            rumours: self.take_queued(reach),
         };
         self.send(to, ack, outputs);
-        self.hear_version(to, probe.version, now, outputs);
+        self.on_peer_version(to, probe.version, now, outputs);
     }
 
-    /// A member that probes while it is believed dead is told so, and can refute it.
-    fn tell_if_believed_gone(&self, key: &InstanceKey, to: SocketAddr, outputs: &mut Vec<FleetOutput>) {
+    /// Sends a member its recorded status unless it is alive, so that it can refute the status.
+    fn notify_if_not_alive(&self, key: &InstanceKey, to: SocketAddr, outputs: &mut Vec<FleetOutput>) {
         let Some(member) = self.members.get(&key.node) else {
             return;
         };
         if member.status() != MemberStatus::Alive {
             let rumours = vec![Rumour::Member(member.claim())];
-            self.send(to, FleetMessage::News { rumours }, outputs);
+            self.send(to, FleetMessage::Gossip { rumours }, outputs);
         }
     }
 
@@ -249,16 +249,16 @@
         now: Micros,
         outputs: &mut Vec<FleetOutput>,
     ) {
-        self.members.heard(from, version, now);
+        self.members.record_contact(from, version, now);
         let address = self.members.get(&from.node).map(|member| member.info.peer_address);
         if let Some(address) = address {
-            self.take_rumours(rumours, address, now, outputs);
+            self.apply_rumours(rumours, address, now, outputs);
         }
         let Some(probe) = self.probes.answered(sequence, from) else {
             return;
         };
         if let Some(address) = address {
-            self.hear_version(address, version, now, outputs);
+            self.on_peer_version(address, version, now, outputs);
         }
         if !self.floor.lags() {
             self.lease.confirm(probe.sent_at);
@@ -282,7 +282,7 @@
         self.probe(target, Some((from.node.clone(), sequence)), now, outputs);
     }
 
-    pub(super) fn on_members_wanted(&mut self, to: SocketAddr, outputs: &mut Vec<FleetOutput>) {
+    pub(super) fn on_members_request(&mut self, to: SocketAddr, outputs: &mut Vec<FleetOutput>) {
         let own = MemberClaim {
             info: self.info.clone(),
             status: if self.leaving { MemberStatus::Leaving } else { MemberStatus::Alive },
@@ -294,7 +294,7 @@
         self.send(to, FleetMessage::Members { members, version }, outputs);
         let notices: Vec<Rumour> = self.leaves.notices().map(Rumour::Leaf).collect();
         if !notices.is_empty() {
-            self.send(to, FleetMessage::News { rumours: notices }, outputs);
+            self.send(to, FleetMessage::Gossip { rumours: notices }, outputs);
         }
     }
 
@@ -308,11 +308,11 @@
     ) {
         if self.joined {
             let claims = members.into_iter().map(Rumour::Member).collect();
-            self.take_rumours(claims, from, now, outputs);
+            self.apply_rumours(claims, from, now, outputs);
         } else {
-            self.take_first_list(members, now, outputs);
+            self.apply_initial_list(members, now, outputs);
         }
-        self.hear_version(from, version, now, outputs);
+        self.on_peer_version(from, version, now, outputs);
         if !self.joined {
             self.joined = true;
             self.next_sync_at = now.plus(self.jitter(MINIMUM_SYNC_INTERVAL));
@@ -320,9 +320,9 @@
         }
     }
 
-    /// The list that a starting node is given is news to nobody else: passed on, it would fill the
-    /// node's probes for many minutes, and what is new would wait behind it.
-    fn take_first_list(&mut self, members: Vec<MemberClaim>, now: Micros, outputs: &mut Vec<FleetOutput>) {
+    /// Merges the first member list without spreading it. Other nodes already know its entries, and
+    /// they would delay new rumours in the queue.
+    fn apply_initial_list(&mut self, members: Vec<MemberClaim>, now: Micros, outputs: &mut Vec<FleetOutput>) {
         for claim in members.iter().filter(|claim| claim.info.key.node != self.info.key.node) {
             if self.members.merge(claim, now) {
                 outputs.push(FleetOutput::MemberChanged(claim.info.key.clone(), claim.status));
@@ -330,7 +330,7 @@
         }
     }
 
-    pub(super) fn take_rumours(
+    pub(super) fn apply_rumours(
         &mut self,
         rumours: Vec<Rumour>,
         from: SocketAddr,
@@ -342,17 +342,17 @@
                 Rumour::Member(claim) if claim.info.key == self.info.key => {
                     self.refute(&claim, from, outputs);
                 }
-                Rumour::Member(claim) => self.take_member_claim(claim, Source::Heard, now, outputs),
-                Rumour::Leaf(notice) => self.take_leaf_notice(notice, Source::Heard, outputs),
+                Rumour::Member(claim) => self.apply_member_claim(claim, Source::Received, now, outputs),
+                Rumour::Leaf(notice) => self.apply_leaf_notice(notice, Source::Received, outputs),
                 Rumour::Rejected { version, by, findings } => {
                     let rejection = Rejection { version, by: by.to_string(), findings };
-                    self.take_rejection(rejection, by, outputs);
+                    self.apply_rejection(rejection, by, outputs);
                 }
             }
         }
     }
 
-    pub(super) fn take_member_claim(
+    pub(super) fn apply_member_claim(
         &mut self,
         claim: MemberClaim,
         source: Source,
@@ -373,9 +373,8 @@
         self.spread(Rumour::Member(claim), source, outputs);
     }
 
-    /// Somebody says that this node is suspected, dead or leaving: it says that it lives. Whoever
-    /// said so is answered directly, also when the suspicion was refuted before: it may have missed
-    /// that, and rumours are not passed on for ever.
+    /// Refutes a claim that this node is suspected, dead or leaving. The sender is always answered
+    /// directly, since it may have missed an earlier refutation.
     fn refute(&mut self, claim: &MemberClaim, from: SocketAddr, outputs: &mut Vec<FleetOutput>) {
         if claim.status == MemberStatus::Alive || self.leaving {
             return;
@@ -385,14 +384,14 @@
             self.announce_alive(outputs);
         }
         let rumours = vec![Rumour::Member(self.own_claim(MemberStatus::Alive))];
-        self.send(from, FleetMessage::News { rumours }, outputs);
+        self.send(from, FleetMessage::Gossip { rumours }, outputs);
     }
 
     pub(super) fn own_claim(&self, status: MemberStatus) -> MemberClaim {
         MemberClaim { info: self.info.clone(), status, refutation: self.refutation }
     }
 
-    pub(super) fn take_leaf_notice(
+    pub(super) fn apply_leaf_notice(
         &mut self,
         notice: LeafNotice,
         source: Source,
@@ -407,21 +406,21 @@
         }
     }
 
-    /// Tells the fleet that this node stops.
+    /// Announces that this node is stopping.
     pub fn leave(&mut self, outputs: &mut Vec<FleetOutput>) {
         self.leaving = true;
         let claim = self.own_claim(MemberStatus::Leaving);
-        self.spread(Rumour::Member(claim), Source::Own, outputs);
+        self.spread(Rumour::Member(claim), Source::Local, outputs);
     }
 
-    /// Takes back [`FleetNode::leave`]: the node was undrained before it stopped.
-    pub fn return_to_work(&mut self, outputs: &mut Vec<FleetOutput>) {
+    /// Reverts [`FleetNode::leave`], when the node is undrained before it stops.
+    pub fn cancel_leave(&mut self, outputs: &mut Vec<FleetOutput>) {
         self.leaving = false;
         self.refutation += 1;
         self.announce_alive(outputs);
     }
 
-    /// Whether the node has said that it stops.
+    /// Whether the node has announced that it is stopping.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
--- a/crates/sablebay-fleet/src/lib.rs
+++ b/crates/sablebay-fleet/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decision logic of the fleet: membership, the floor under the configuration, freshness,
-//! and claims on operations that may run once at most. No I/O, no clock, no ambient randomness.
+//! Decision logic of the fleet: membership, the configuration version floor, freshness leases, and
+//! claims on operations that run at most once. Performs no I/O and reads neither a clock nor ambient randomness.
 
 mod aggregators;
 mod census;
@@ -23,9 +23,9 @@
 pub use claims::{ClaimAnswer, ClaimHolder, ClaimRequest, Claimant, TicketState};
 pub use error::FleetError;
 pub use fleet_node::{FleetMechanisms, FleetNode, FleetOutput, FleetSettings};
-pub use floor::{ConfigurationFloor, Conflict, Offer, Rejection};
+pub use floor::{ConfigurationFloor, Conflict, OfferOutcome, Rejection};
 pub use lease::FreshnessLease;
-pub use member::{LifeEvent, MemberInfo, MemberStatus};
+pub use member::{MemberEvent, MemberInfo, MemberStatus};
 pub use members::{Member, MemberClaim, MemberTable};
 pub use message::{ConfigurationPart, FleetMessage, Probe};
 pub use rumour::{LeafNotice, Rumour};
--- a/crates/sablebay-fleet/tests/claims.rs
+++ b/crates/sablebay-fleet/tests/claims.rs
@@ -1,8 +1,7 @@
-//! At most once: every interleaving of a small fleet is tried, with loss and replacement.
+//! Guards against operations that run twice, or are reported as not run although they ran.
 //!
-//! The search is over the product's own machines: three holders, two submissions of one ticket
-//! through two nodes. At each point any undelivered message may be delivered or lost, and any
-//! holder may be replaced by a new life that knows nothing.
+//! An exhaustive search over message orders, message losses and holder restarts, with competing
+//! submissions of one ticket.
 
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -15,8 +14,8 @@
 
 const NOW: WallMillis = WallMillis(10_000);
 
-fn key(node: usize, life: u64) -> InstanceKey {
-    InstanceKey { node: NodeId::new(format!("node-{node}")), incarnation: Incarnation(life) }
+fn key(node: usize, incarnation: u64) -> InstanceKey {
+    InstanceKey { node: NodeId::new(format!("node-{node}")), incarnation: Incarnation(incarnation) }
 }
 
 fn ticket() -> Ticket {
@@ -39,14 +38,14 @@
     Reply { submission: usize, holder: usize, reply: HolderReply },
 }
 
-/// What may go wrong in one run.
+/// Fault budget of one run.
 #[derive(Clone, Copy)]
 struct Faults {
     losses: usize,
     replacements: usize,
 }
 
-/// A state of the whole: two states that print alike behave alike.
+/// System state. States with equal `Debug` output behave equally.
 #[derive(Clone, Debug)]
 struct Model {
     holders: Vec<ClaimHolder>,
@@ -83,8 +82,8 @@
         model
     }
 
-    /// A must-hold is broken: run twice, or called not run although it ran.
-    fn is_broken(&self) -> bool {
+    /// Whether the operation ran twice, or ran although reported as never running.
+    fn violates_invariant(&self) -> bool {
         self.dispatches > 1 || (self.never_runs && self.dispatches > 0)
     }
 
@@ -109,7 +108,7 @@
         }
     }
 
-    /// Options: deliver or lose each message, or replace a holder.
+    /// Number of possible actions: deliver or lose each message, or restart a holder.
     fn options(&self) -> usize {
         let losses = if self.losses_left > 0 { self.messages.len() } else { 0 };
         let replacements = if self.replacements_left > 0 { CLAIM_HOLDERS } else { 0 };
@@ -128,7 +127,7 @@
         } else {
             let before = if self.losses_left > 0 { 2 * messages } else { messages };
             self.replacements_left -= 1;
-            // A new life of the node holds nothing, and knows that it is not the holder.
+            // A new incarnation has no records and is not among the ticket's holders.
             self.holders[choice - before] = ClaimHolder::new(key(choice - before, 2));
         }
     }
@@ -149,7 +148,7 @@
         }
     }
 
-    /// A claim or a reply that is lost looks the same to the asker: the holder is lost.
+    /// A lost claim and a lost reply both appear to the submission as a lost holder.
     fn lose(&mut self, message: Message) {
         let (Message::Claim { submission, holder } | Message::Reply { submission, holder, .. }) = message;
         let step = self.submissions[submission].on_reply(holder, HolderReply::Lost);
@@ -157,15 +156,14 @@
     }
 }
 
-/// Visits every state that can be reached; returns how many there are, and how many of them break
-/// a must-hold.
+/// Visits all reachable states. Returns the number of states, and of those that violate an invariant.
 fn explore(write_once: bool, submissions: usize, faults: Faults) -> (usize, usize) {
     let first = Model::new(write_once, submissions, faults);
     let mut seen = HashSet::from([first.fingerprint()]);
     let mut open = vec![first];
-    let mut broken = 0;
+    let mut violations = 0;
     while let Some(model) = open.pop() {
-        broken += usize::from(model.is_broken());
+        violations += usize::from(model.violates_invariant());
         for choice in 0..model.options() {
             let mut next = model.clone();
             next.act(choice);
@@ -174,7 +172,7 @@
             }
         }
     }
-    (seen.len(), broken)
+    (seen.len(), violations)
 }
 
 #[test]
@@ -182,17 +180,17 @@
     let many = Faults { losses: 2, replacements: 1 };
     let few = Faults { losses: 1, replacements: 0 };
     for (submissions, faults) in [(2, many), (3, few)] {
-        let (states, broken) = explore(true, submissions, faults);
+        let (states, violations) = explore(true, submissions, faults);
         println!("{states} states of {submissions} submissions explored");
-        assert!(states > 1_000, "only {states} states: the model has lost its messages");
-        assert_eq!(broken, 0);
+        assert!(states > 1_000, "only {states} states explored: the model delivers too few messages");
+        assert_eq!(violations, 0);
     }
 }
 
 #[test]
 fn the_search_finds_the_fault_when_write_once_is_off() {
-    let (_, broken) = explore(false, 2, Faults { losses: 2, replacements: 1 });
-    assert!(broken > 0);
+    let (_, violations) = explore(false, 2, Faults { losses: 2, replacements: 1 });
+    assert!(violations > 0);
 }
 
 #[test]
@@ -212,7 +210,7 @@
     assert!(holder.record(TicketId(1), &claimant(0), done.clone()));
     assert!(!holder.record(TicketId(1), &claimant(0), TicketState::NotRun { reason: Reason::Overloaded }));
     let expected = ClaimAnswer::HeldBy { claimant: claimant(0), state: done };
-    assert_eq!(holder.question(&ticket(), NOW), expected);
+    assert_eq!(holder.lookup(&ticket(), NOW), expected);
 }
 
 #[test]
