--- a/crates/sablebay-catalogue/src/evacuation.rs
+++ b/crates/sablebay-catalogue/src/evacuation.rs
@@ -46,7 +46,7 @@
     /// The last revision at which it was said to be evacuated.
     evacuated_by: Option<CatalogueRevision>,
     /// When this node learnt that the zone was taken back; nothing while it is evacuated.
-    taken_back_at: Option<Micros>,
+    restored_at: Option<Micros>,
 }
 
 /// What operators said of zones, by zone. A zone that was never named takes work.
@@ -64,8 +64,8 @@
             return false;
         }
         let was_evacuated = known.is_some_and(|known| known.evacuated);
-        let before = known.and_then(|known| known.taken_back_at);
-        let taken_back_at = match (was_evacuated, notice.evacuated) {
+        let before = known.and_then(|known| known.restored_at);
+        let restored_at = match (was_evacuated, notice.evacuated) {
             (_, true) => None,
             (true, false) => Some(now),
             (false, false) => before,
@@ -73,14 +73,14 @@
         let revision = notice.revision();
         let evacuated_by =
             if notice.evacuated { Some(revision) } else { known.and_then(|known| known.evacuated_by) };
-        let next = KnownNotice { evacuated: notice.evacuated, revision, evacuated_by, taken_back_at };
+        let next = KnownNotice { evacuated: notice.evacuated, revision, evacuated_by, restored_at };
         self.notices.insert(notice.zone.clone(), next);
         was_evacuated != notice.evacuated
     }
 
     /// Takes back the zones that were evacuated before revision `at`, but for those in `listed`, which were
     /// evacuated then. Those of before a return stay until the era is settled. Returns whether there was one.
-    pub fn take_back_others(
+    pub fn restore_unlisted(
         &mut self,
         listed: impl Fn(&ZoneName) -> bool,
         at: CatalogueRevision,
@@ -117,8 +117,8 @@
     }
 
     /// When this node learnt that a zone was taken back, if it was.
-    pub fn taken_back_at(&self, zone: &ZoneName) -> Option<Micros> {
-        self.notices.get(zone).and_then(|known| known.taken_back_at)
+    pub fn restored_at(&self, zone: &ZoneName) -> Option<Micros> {
+        self.notices.get(zone).and_then(|known| known.restored_at)
     }
 
     /// Everything that was said, for a peer.
--- a/crates/sablebay-catalogue/src/incoming_configuration.rs
+++ b/crates/sablebay-catalogue/src/incoming_configuration.rs
@@ -12,7 +12,7 @@
 
 /// A configuration that was heard of and is not in force here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeardVersion {
+pub struct AnnouncedVersion {
     /// Its version.
     pub version: u64,
     /// When it was heard of first that there is one newer than the one in force.
@@ -22,33 +22,33 @@
 /// What is known of configurations that are newer than the one in force.
 #[derive(Debug, Default)]
 pub struct IncomingConfiguration {
-    heard: Option<HeardVersion>,
+    heard: Option<AnnouncedVersion>,
     /// The version that is being fetched.
     fetching: Option<u64>,
     /// Steps that start from it, one after the other.
     staged: Vec<ConfigurationStep>,
     /// Whether steps did not lead to what they were made for: the contents in force are not those of the peers.
-    needs_whole: bool,
+    needs_full: bool,
 }
 
 impl IncomingConfiguration {
     /// Notes that somebody has a version.
-    pub fn hear_of(&mut self, version: u64, in_force: u64, now: Micros) {
+    pub fn note_version(&mut self, version: u64, in_force: u64, now: Micros) {
         if version <= in_force {
             return;
         }
-        let heard = self.heard.get_or_insert(HeardVersion { version, since: now });
+        let heard = self.heard.get_or_insert(AnnouncedVersion { version, since: now });
         heard.version = heard.version.max(version);
     }
 
     /// The newest version that was heard of, while it is not in force.
-    pub fn heard(&self) -> Option<HeardVersion> {
+    pub fn announced(&self) -> Option<AnnouncedVersion> {
         self.heard
     }
 
     /// The version that a question for news names: what is on its way here is not asked for again.
-    pub fn asks_from(&self, in_force: u64) -> u64 {
-        if self.needs_whole {
+    pub fn request_from(&self, in_force: u64) -> u64 {
+        if self.needs_full {
             return 0;
         }
         let staged = self.staged.last().map(|step| step.version);
@@ -78,18 +78,18 @@
     }
 
     /// Asks for a whole configuration next.
-    pub fn need_whole(&mut self) {
-        self.needs_whole = true;
+    pub fn need_full(&mut self) {
+        self.needs_full = true;
     }
 
     /// Whether a whole configuration is asked for next.
-    pub fn needs_whole(&self) -> bool {
-        self.needs_whole
+    pub fn needs_full(&self) -> bool {
+        self.needs_full
     }
 
     /// A whole configuration came, newer or not.
-    pub fn got_whole(&mut self) {
-        self.needs_whole = false;
+    pub fn received_full(&mut self) {
+        self.needs_full = false;
     }
 
     /// A version is in force. Returns the steps that waited for it.
--- a/crates/sablebay-catalogue/src/known_configuration.rs
+++ b/crates/sablebay-catalogue/src/known_configuration.rs
@@ -15,13 +15,13 @@
 
 /// What a peer is missing of the configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ConfigurationNews {
+pub enum ConfigurationUpdate {
     /// Nothing.
     None,
     /// These steps, of this many bytes.
     Steps(Vec<ConfigurationStep>, usize),
     /// All of it: no steps are known from what the peer has.
-    Whole,
+    Full,
 }
 
 /// The configuration in force, how it came about, and what is known of newer ones.
@@ -54,8 +54,8 @@
     }
 
     /// Notes that somebody has a version.
-    pub fn hear_of(&mut self, version: u64, now: Micros) {
-        self.incoming.hear_of(version, self.version(), now);
+    pub fn note_version(&mut self, version: u64, now: Micros) {
+        self.incoming.note_version(version, self.version(), now);
     }
 
     /// Takes the last of these configurations into force that is newer than all before it. Peers may have any of
@@ -77,7 +77,7 @@
 
     /// Takes a whole configuration of a peer. Returns whether it was newer.
     pub fn take_whole(&mut self, configuration: RoutingConfiguration) -> bool {
-        self.incoming.got_whole();
+        self.incoming.received_full();
         self.offer(vec![configuration])
     }
 
@@ -92,7 +92,7 @@
             return false;
         };
         let Ok(next) = ConfigurationStep::follow(&steps[first..], routes.configuration()) else {
-            self.incoming.need_whole();
+            self.incoming.need_full();
             return false;
         };
         for step in steps.into_iter().skip(first) {
@@ -112,13 +112,13 @@
     }
 
     /// What a peer that has a version is missing.
-    pub fn news_since(&self, version: u64) -> ConfigurationNews {
+    pub fn news_since(&self, version: u64) -> ConfigurationUpdate {
         if self.version() <= version {
-            return ConfigurationNews::None;
+            return ConfigurationUpdate::None;
         }
         match self.history.since(version) {
-            Some((steps, bytes)) => ConfigurationNews::Steps(steps.into_iter().cloned().collect(), bytes),
-            None => ConfigurationNews::Whole,
+            Some((steps, bytes)) => ConfigurationUpdate::Steps(steps.into_iter().cloned().collect(), bytes),
+            None => ConfigurationUpdate::Full,
         }
     }
 }
--- a/crates/sablebay-catalogue/src/lib.rs
+++ b/crates/sablebay-catalogue/src/lib.rs
@@ -32,14 +32,14 @@
 };
 pub use document::{CHUNK_BYTES, Distribution, DocumentDigest, DocumentOffer, FAN_OUT, INLINE_BYTES};
 pub use evacuation::{Evacuations, ZoneNotice};
-pub use incoming_configuration::{HeardVersion, IncomingConfiguration};
-pub use known_configuration::ConfigurationNews;
+pub use incoming_configuration::{AnnouncedVersion, IncomingConfiguration};
+pub use known_configuration::ConfigurationUpdate;
 pub use reading::{
-    LONGEST_UNAWARE, LimitedAge, READERS, ReadFailure, ReadingInputs, ReadingPolicy, SourceRead, SourceStep,
+    LimitedAge, MAXIMUM_STALENESS, READERS, ReadFailure, ReadingInputs, ReadingPolicy, SourceRead, SourceStep,
 };
 pub use replica::{Replica, ReplicaEntry, ReplicaId, ReplicaPhase, ServiceName};
 pub use revision::{CataloguePosition, CatalogueRevision, Era, EraStage, PeerPosition};
 pub use route_table::RouteTable;
 pub use snapshot::CatalogueSnapshot;
-pub use source_return::{SETTLING, SourceEra};
+pub use source_return::{SETTLE_PERIOD, SourceEra};
 pub use view::{CatalogueView, Listing, ReplicaChange, RoutableReplica};
--- a/crates/sablebay-catalogue/src/reading.rs
+++ b/crates/sablebay-catalogue/src/reading.rs
@@ -4,7 +4,7 @@
 //! from these, and read by themselves only when nobody has confirmed the catalogue to them of late.
 //!
 //! Invariant kept here: a node that can reach the source reads it, or hears from one that did,
-//! within [`LONGEST_UNAWARE`], so that a configuration that was accepted meanwhile is in force in
+//! within [`MAXIMUM_STALENESS`], so that a configuration that was accepted meanwhile is in force in
 //! time (must-hold 8) and a leaving replica gets no new work (must-hold 6). A wait may be lost
 //! without any sign; that is why it is short.
 
@@ -34,7 +34,7 @@
 /// How often a node that waits looks again.
 const LOOK_PERIOD: Duration = Duration::from_millis(100);
 /// The longest time between the last news, or the last word that there is none, and the next question to the source.
-pub const LONGEST_UNAWARE: Duration = Duration::from_millis(2_300);
+pub const MAXIMUM_STALENESS: Duration = Duration::from_millis(2_300);
 
 /// The part of the limit on a configuration's age from which the source is asked for what there is now. Beyond what
 /// the age comes to while all answers are in time; a wait for changes would end close to the limit.
@@ -69,7 +69,7 @@
     /// For everything.
     All {
         /// How long the answer may take.
-        patience: Duration,
+        timeout: Duration,
     },
     /// For what changes after a revision.
     Changes {
@@ -78,7 +78,7 @@
         /// How long the source may wait for a change.
         wait: Duration,
         /// How long the answer may take.
-        patience: Duration,
+        timeout: Duration,
     },
 }
 
@@ -97,7 +97,7 @@
     /// What changed cannot be told any more.
     MustReadAll,
     /// The source has come back from an older copy: what changed since a revision of before means nothing.
-    Returned,
+    Restored,
     /// No answer came in time.
     NoAnswer,
     /// The source refused for now.
@@ -115,7 +115,7 @@
     pub running_for: Duration,
     /// How long a starting node waits for others to tell it what there is. Nodes that all start at
     /// one moment, with time to spare, need not all read; one that comes back is in a hurry.
-    pub starting_patience: Duration,
+    pub startup_wait: Duration,
     /// How long ago it heard of the catalogue, from the source or from a peer, if only that there is nothing newer;
     /// nothing before the first time.
     pub contact_ago: Option<Duration>,
@@ -150,13 +150,13 @@
         if let Some(wait) = waits_for_others(inputs) {
             return SourceStep::Wait(wait);
         }
-        let patience = (PATIENCE * 2u32.pow(self.unanswered.min(4))).min(LONGEST_PATIENCE);
+        let timeout = (PATIENCE * 2u32.pow(self.unanswered.min(4))).min(LONGEST_PATIENCE);
         if inputs.known_up_to.is_nothing() || self.must_read_all || inputs.must_settle {
-            return SourceStep::Read(SourceRead::All { patience });
+            return SourceStep::Read(SourceRead::All { timeout });
         }
         let wait = if inputs.is_near_limit() { Duration::ZERO } else { WAIT };
         let after = inputs.known_up_to.revision();
-        SourceStep::Read(SourceRead::Changes { after, wait, patience: wait + patience })
+        SourceStep::Read(SourceRead::Changes { after, wait, timeout: wait + timeout })
     }
 
     /// Whether the last read failed.
@@ -187,14 +187,14 @@
         };
         self.failures += 1;
         match failure {
-            ReadFailure::MustReadAll | ReadFailure::Returned => self.must_read_all = true,
+            ReadFailure::MustReadAll | ReadFailure::Restored => self.must_read_all = true,
             ReadFailure::NoAnswer => self.unanswered += 1,
             ReadFailure::Refused => {}
         }
         match failure {
             ReadFailure::MustReadAll => pause.mul_f64(0.7),
-            ReadFailure::Returned if is_reader => pause.mul_f64(0.7),
-            ReadFailure::Returned => pause + RETURN_SPREAD.mul_f64(jitter),
+            ReadFailure::Restored if is_reader => pause.mul_f64(0.7),
+            ReadFailure::Restored => pause + RETURN_SPREAD.mul_f64(jitter),
             ReadFailure::NoAnswer | ReadFailure::Refused => pause.mul_f64(0.7 + 0.6 * jitter),
         }
     }
@@ -202,7 +202,7 @@
 
 /// How long a node leaves the reading to others before it looks again; nothing when it reads.
 fn waits_for_others(inputs: &ReadingInputs) -> Option<Duration> {
-    let starting = inputs.running_for < inputs.starting_patience;
+    let starting = inputs.running_for < inputs.startup_wait;
     if inputs.is_reader && (inputs.has_peers || !starting) {
         return None;
     }
--- a/crates/sablebay-catalogue/src/replica.rs
+++ b/crates/sablebay-catalogue/src/replica.rs
@@ -50,11 +50,11 @@
         Self(Arc::from(name.as_ref()))
     }
 
-    /// The life of a replica that started at `born_ms`, in Unix milliseconds; 0 when it does not tell.
-    pub fn of_life(name: impl AsRef<str>, born_ms: u64) -> Self {
-        match born_ms {
+    /// The life of a replica that started at `started_ms`, in Unix milliseconds; 0 when it does not tell.
+    pub fn with_incarnation(name: impl AsRef<str>, started_ms: u64) -> Self {
+        match started_ms {
             0 => Self::new(name),
-            _ => Self(Arc::from(format!("{}{LIFE_MARK}{born_ms}", name.as_ref()))),
+            _ => Self(Arc::from(format!("{}{LIFE_MARK}{started_ms}", name.as_ref()))),
         }
     }
 
@@ -74,18 +74,18 @@
     }
 
     /// When the life began, in Unix milliseconds; 0 when that is not known.
-    pub fn born_ms(&self) -> u64 {
+    pub fn started_ms(&self) -> u64 {
         self.0.split_once(LIFE_MARK).and_then(|(_, born)| born.parse().ok()).unwrap_or_default()
     }
 
     /// How another life of the replica stands to this one by when they began; nothing where that is not known of both.
-    pub fn order_of_lives(&self, other: &Self) -> Option<Ordering> {
-        let known = self.born_ms() > 0 && other.born_ms() > 0;
-        known.then(|| other.born_ms().cmp(&self.born_ms()))
+    pub fn incarnation_order(&self, other: &Self) -> Option<Ordering> {
+        let known = self.started_ms() > 0 && other.started_ms() > 0;
+        known.then(|| other.started_ms().cmp(&self.started_ms()))
     }
 
     /// What all lives of the replica are known by.
-    pub fn any_life(&self) -> Self {
+    pub fn without_incarnation(&self) -> Self {
         if self.0.contains(LIFE_MARK) { Self::new(self.name()) } else { self.clone() }
     }
 }
@@ -125,11 +125,11 @@
 impl Replica {
     /// How another word of the same replica stands to this one by what replicas count themselves; nothing where that does
     /// not tell.
-    pub fn own_order(&self, other: &Self) -> Option<Ordering> {
+    pub fn version_order(&self, other: &Self) -> Option<Ordering> {
         if self.id == other.id {
             return Some(other.sequence.cmp(&self.sequence));
         }
-        self.id.order_of_lives(&other.id)
+        self.id.incarnation_order(&other.id)
     }
 }
 
@@ -145,7 +145,7 @@
     phase: ReplicaPhase,
     warm_up_left_ms: u64,
     #[musli(default)]
-    born_ms: u64,
+    started_ms: u64,
     #[musli(default)]
     sequence: u64,
     /// Of the revision that it is told with.
@@ -156,14 +156,14 @@
 impl From<&Replica> for ReplicaEntry {
     fn from(replica: &Replica) -> Self {
         Self {
-            name: replica.id.any_life(),
+            name: replica.id.without_incarnation(),
             service: replica.service.clone(),
             address: replica.address,
             zone: replica.zone.clone(),
             slots: replica.slots,
             phase: replica.phase,
             warm_up_left_ms: replica.warm_up_left_ms,
-            born_ms: replica.id.born_ms(),
+            started_ms: replica.id.started_ms(),
             sequence: replica.sequence,
             era: Era::UNNAMED,
         }
@@ -173,7 +173,7 @@
 impl From<ReplicaEntry> for Replica {
     fn from(entry: ReplicaEntry) -> Self {
         Self {
-            id: ReplicaId::of_life(entry.name.name(), entry.born_ms),
+            id: ReplicaId::with_incarnation(entry.name.name(), entry.started_ms),
             service: entry.service,
             address: entry.address,
             zone: entry.zone,
--- a/crates/sablebay-catalogue/src/revision.rs
+++ b/crates/sablebay-catalogue/src/revision.rs
@@ -80,7 +80,7 @@
 
 /// Up to where a node knows the catalogue.
 ///
-/// An era is settled once the writers have had the time to write again what was lost ([`crate::SETTLING`]). Until then the
+/// An era is settled once the writers have had the time to write again what was lost ([`crate::SETTLE_PERIOD`]). Until then the
 /// source may say less than nodes know, and what it does not say is no word of anybody's.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 #[display("{era}/{number}{}", if *settled { "" } else { " unsettled" })]
--- a/crates/sablebay-catalogue/src/snapshot.rs
+++ b/crates/sablebay-catalogue/src/snapshot.rs
@@ -14,11 +14,11 @@
 
 /// More of an entry that went, for nodes that know lives and eras.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct EndedLife {
+pub struct RemovedIncarnation {
     /// The era of the revision at which it went.
     era: Era,
     /// The start of the life that it was of; 0 when that is not known.
-    born_ms: u64,
+    started_ms: u64,
 }
 
 /// What one node knows, with the revisions that order it.
@@ -41,12 +41,12 @@
     pub nodes_met: Option<u64>,
     /// Whether `replicas` are all that there are; otherwise they are those that changed since the
     /// revision that the receiver knew.
-    pub whole: bool,
+    pub full: bool,
     /// The replicas with the numbers of the revisions of their entries, which tell their eras.
     pub replicas: Vec<(ReplicaEntry, u64)>,
     /// The names of the replicas whose entries went since the revision that the receiver knew, with the
     /// numbers of the revisions at which they went.
-    pub gone: Vec<(ReplicaId, u64)>,
+    pub removed: Vec<(ReplicaId, u64)>,
     /// What operators said of zones, all of it. Nothing from a node of an earlier release, which takes
     /// the catalogue for confirmed without having read this.
     #[musli(default)]
@@ -63,7 +63,7 @@
     pub stage: Option<EraStage>,
     /// More of what is `gone`, in the same order.
     #[musli(default)]
-    pub ended: Vec<EndedLife>,
+    pub removed_incarnations: Vec<RemovedIncarnation>,
     /// The lowest number that was heard of in the source's era.
     #[musli(default)]
     pub first_number: u64,
@@ -72,7 +72,7 @@
     pub era_age: Option<Micros>,
     /// Whether the sender knows what the fleet knew before it started, or before the source's last return.
     #[musli(default)]
-    pub learnt: bool,
+    pub caught_up: bool,
     /// Up to where the sender knew the catalogue before the source's era.
     #[musli(default)]
     pub known_before: CataloguePosition,
@@ -99,16 +99,17 @@
     }
 
     /// Tells of a replica.
-    pub fn tell(&mut self, replica: &Replica, revision: CatalogueRevision) {
+    pub fn push_replica(&mut self, replica: &Replica, revision: CatalogueRevision) {
         let mut entry = ReplicaEntry::from(replica);
         entry.era = revision.era();
         self.replicas.push((entry, revision.number()));
     }
 
     /// Tells that the entry of a replica went, of a life where that is known.
-    pub fn tell_gone(&mut self, id: ReplicaId, revision: CatalogueRevision) {
-        self.ended.push(EndedLife { era: revision.era(), born_ms: id.born_ms() });
-        self.gone.push((id.any_life(), revision.number()));
+    pub fn push_removed(&mut self, id: ReplicaId, revision: CatalogueRevision) {
+        self.removed_incarnations
+            .push(RemovedIncarnation { era: revision.era(), started_ms: id.started_ms() });
+        self.removed.push((id.without_incarnation(), revision.number()));
     }
 
     /// Takes out the replicas that are told of, with the revisions of their entries.
@@ -122,13 +123,14 @@
     }
 
     /// Takes out those whose entries went, with the revisions at which they did.
-    pub fn take_gone(&mut self) -> Vec<(ReplicaId, CatalogueRevision)> {
-        let ended =
-            std::mem::take(&mut self.ended).into_iter().chain(std::iter::repeat(EndedLife::default()));
-        let told = std::mem::take(&mut self.gone).into_iter().zip(ended);
+    pub fn take_removed(&mut self) -> Vec<(ReplicaId, CatalogueRevision)> {
+        let ended = std::mem::take(&mut self.removed_incarnations)
+            .into_iter()
+            .chain(std::iter::repeat(RemovedIncarnation::default()));
+        let told = std::mem::take(&mut self.removed).into_iter().zip(ended);
         told.map(|((id, number), ended)| {
             let revision = CatalogueRevision::new(ended.era, number);
-            (ReplicaId::of_life(id.name(), ended.born_ms), revision)
+            (ReplicaId::with_incarnation(id.name(), ended.started_ms), revision)
         })
         .collect()
     }
--- a/crates/sablebay-catalogue/src/source_return.rs
+++ b/crates/sablebay-catalogue/src/source_return.rs
@@ -11,7 +11,7 @@
 /// How long after a return writers have written again: three heartbeats of 1.2 s, after which the entry of a replica that does
 /// not write is gone as well, and 0.4 s on the way. Until then nothing is taken for gone because the source does not
 /// have it.
-pub const SETTLING: Micros = Micros::from_millis(4_000);
+pub const SETTLE_PERIOD: Micros = Micros::from_millis(4_000);
 
 /// The era that the source is in, as far as a node knows.
 #[derive(Clone, Copy, Debug, Default)]
@@ -41,7 +41,7 @@
 
     /// Whether writers have had the time to write again.
     pub fn is_settled(&self, now: Micros) -> bool {
-        self.era == Era::UNNAMED || self.age(now) >= SETTLING
+        self.era == Era::UNNAMED || self.age(now) >= SETTLE_PERIOD
     }
 
     /// Whether a change was surely made after the last return. Of one of an earlier era nobody can tell: its writer may have
--- a/crates/sablebay-catalogue/src/view.rs
+++ b/crates/sablebay-catalogue/src/view.rs
@@ -10,7 +10,7 @@
 //!   (must-hold 6). An entry may also vanish while the source is in trouble and come back with the
 //!   replica's next heartbeat, so that a vanished replica stays a last resort until then;
 //! - a source that comes back from an older copy takes nothing back: what was known holds until its own writer has said
-//!   otherwise, or has had the time to ([`crate::SETTLING`]).
+//!   otherwise, or has had the time to ([`crate::SETTLE_PERIOD`]).
 
 mod entry;
 mod exchange;
@@ -24,7 +24,7 @@
 use crate::confirmation::ConfigurationRevisions;
 use crate::evacuation::{Evacuations, ZoneNotice};
 use crate::incoming_configuration::IncomingConfiguration;
-use crate::known_configuration::{ConfigurationNews, KnownConfiguration};
+use crate::known_configuration::{ConfigurationUpdate, KnownConfiguration};
 use crate::replica::{Replica, ReplicaId, ReplicaPhase, ServiceName};
 use crate::revision::{CataloguePosition, CatalogueRevision, Era};
 use crate::route_table::RouteTable;
@@ -51,7 +51,7 @@
     /// Its entry as written.
     Written(Replica),
     /// Its entry is gone, or names no replica: whichever life it was.
-    Gone(ReplicaId),
+    Removed(ReplicaId),
 }
 
 /// Every replica that there was when a listing was taken.
@@ -143,7 +143,7 @@
 
     /// The number of replicas and evacuated zones that are kept by what was known before the source's return, which the
     /// source has not confirmed. Nothing once its era is settled.
-    pub fn kept(&self) -> usize {
+    pub fn retained(&self) -> usize {
         if self.replicas_at.is_settled() || self.known_before.is_nothing() {
             return 0;
         }
@@ -234,8 +234,8 @@
     }
 
     /// Notes that somebody has a version.
-    pub fn hear_of(&mut self, version: u64, now: Micros) {
-        self.configuration.hear_of(version, now);
+    pub fn note_version(&mut self, version: u64, now: Micros) {
+        self.configuration.note_version(version, now);
     }
 
     /// Takes a configuration into force if it is newer. Returns whether it was.
@@ -249,7 +249,7 @@
     }
 
     /// What a peer that has a version is missing of the configuration.
-    pub fn configuration_news(&self, version: u64) -> ConfigurationNews {
+    pub fn configuration_update(&self, version: u64) -> ConfigurationUpdate {
         self.configuration.news_since(version)
     }
 
@@ -263,7 +263,7 @@
     pub fn source_confirms(&self) -> bool {
         let read = self.revisions.read();
         let written = read.era() == self.source.era() && self.source.is_written(read);
-        (self.replicas_at.is_settled() || written) && self.incoming().heard().is_none()
+        (self.replicas_at.is_settled() || written) && self.incoming().announced().is_none()
     }
 
     /// Whether no configuration is known to be newer than the one that was read.
@@ -276,7 +276,7 @@
         let settled = self.replicas_at.is_settled();
         match change {
             ReplicaChange::Written(replica) => self.write(replica, revision, settled, now),
-            ReplicaChange::Gone(id) => self.vanish(&id, revision, settled, now),
+            ReplicaChange::Removed(id) => self.vanish(&id, revision, settled, now),
         }
     }
 
@@ -297,11 +297,11 @@
     pub fn replace(&mut self, listing: Listing, now: Micros) -> bool {
         let returned = !self.replicas_at.is_nothing() && listing.at.era() > self.replicas_at.era();
         if returned && self.learning.is_none() {
-            self.begin_learning(now);
+            self.begin_catch_up(now);
         }
         if listing.at.era() == Era::UNNAMED {
             // A source that never comes back from a copy says all that there is.
-            self.end_learning();
+            self.end_catch_up();
         }
         self.hear_of_source(listing.at, Micros(0), now);
         let settled = self.is_era_settled(now);
@@ -337,7 +337,7 @@
             };
         }
         let listed = |zone: &ZoneName| listing.evacuated.iter().any(|(named, _)| named == zone);
-        self.evacuations.take_back_others(listed, listing.at, &self.source, settled, now) || changed
+        self.evacuations.restore_unlisted(listed, listing.at, &self.source, settled, now) || changed
     }
 
     /// Takes a whole list of replicas. Those that it does not mention, and that were written before it, are gone.
@@ -350,7 +350,7 @@
         now: Micros,
     ) -> bool {
         let mut changed = false;
-        mentioned.extend(replicas.iter().map(|(replica, _)| replica.id.any_life()));
+        mentioned.extend(replicas.iter().map(|(replica, _)| replica.id.without_incarnation()));
         for (replica, revision) in replicas {
             changed |= self.write(replica, revision, settled, now);
         }
@@ -375,7 +375,7 @@
     }
 
     fn write(&mut self, replica: Replica, revision: CatalogueRevision, settled: bool, now: Micros) -> bool {
-        let id = replica.id.any_life();
+        let id = replica.id.without_incarnation();
         if let Some(entry) = self.entries.get_mut(&id) {
             if entry.has(&replica) && revision.era() > entry.revision.era() {
                 entry.kept = false;
@@ -400,7 +400,8 @@
 
     fn vanish(&mut self, id: &ReplicaId, revision: CatalogueRevision, settled: bool, now: Micros) -> bool {
         let source = &self.source;
-        let entry = self.entries.entry(id.any_life()).or_insert_with(|| Entry::absent(id.clone(), now));
+        let entry =
+            self.entries.entry(id.without_incarnation()).or_insert_with(|| Entry::absent(id.clone(), now));
         if !entry.is_ended_by(id, revision, source, settled) {
             return false;
         }
@@ -460,7 +461,7 @@
     /// Until when a replica is cold: by its own word, and after its zone was taken back, when nothing was
     /// sent to it for long.
     fn warm_at(&self, entry: &Entry, replica: &Replica) -> Micros {
-        let Some(returned_at) = self.evacuations.taken_back_at(&replica.zone) else {
+        let Some(returned_at) = self.evacuations.restored_at(&replica.zone) else {
             return entry.warm_at;
         };
         let service = self.routes().and_then(|routes| routes.service(&replica.service));
--- a/crates/sablebay-catalogue/src/view/entry.rs
+++ b/crates/sablebay-catalogue/src/view/entry.rs
@@ -52,8 +52,8 @@
         let later = told > self.revision;
         let same_life = self.life == replica.id;
         let order = match &self.replica {
-            Some(known) => known.own_order(replica),
-            None => self.life.order_of_lives(&replica.id).filter(|order| order.is_ne()),
+            Some(known) => known.version_order(replica),
+            None => self.life.incarnation_order(&replica.id).filter(|order| order.is_ne()),
         };
         match order {
             Some(Ordering::Greater) => later || same_life || !source.is_written(self.revision),
@@ -78,7 +78,7 @@
             return settled || source.is_written(told);
         }
         // What is known may be the copy's: then it is older than what went after it. A later life is not.
-        let is_later_life = life.order_of_lives(&self.life) == Some(Ordering::Greater);
+        let is_later_life = life.incarnation_order(&self.life) == Some(Ordering::Greater);
         !source.is_written(self.revision) && told > self.revision.in_era(told.era()) && !is_later_life
     }
 
--- a/crates/sablebay-catalogue/src/view/exchange.rs
+++ b/crates/sablebay-catalogue/src/view/exchange.rs
@@ -15,23 +15,23 @@
     }
 
     /// Notes that the node starts, and that others may know more than the source says.
-    pub fn begin_learning(&mut self, now: Micros) {
+    pub fn begin_catch_up(&mut self, now: Micros) {
         self.learning = Some(Learning { from: self.replicas_at, since: now });
     }
 
     /// Notes that no peer knows more than this node does.
-    pub fn end_learning(&mut self) {
+    pub fn end_catch_up(&mut self) {
         self.learning = None;
     }
 
     /// Whether the node knows what the fleet knew before it started, or has waited for a peer that does for long enough.
-    pub fn has_learnt(&self, now: Micros) -> bool {
+    pub fn has_caught_up(&self, now: Micros) -> bool {
         self.learning.is_none_or(|learning| now.since(learning.since) >= LEARNING_PATIENCE)
     }
 
     /// From where on a peer that has learnt is to tell what it knows; nothing where that is no matter.
-    pub fn learns_from(&self, now: Micros) -> Option<CataloguePosition> {
-        self.learning.filter(|_| !self.has_learnt(now)).map(|learning| learning.from)
+    pub fn catch_up_from(&self, now: Micros) -> Option<CataloguePosition> {
+        self.learning.filter(|_| !self.has_caught_up(now)).map(|learning| learning.from)
     }
 
     /// Whether a peer that has a version, and knows the replicas up to a position, is missing something.
@@ -72,32 +72,31 @@
     pub fn snapshot(&self, version: u64, peer: impl Into<PeerPosition>, now: Micros) -> CatalogueSnapshot {
         let routes = self.routes().filter(|routes| routes.version() > version);
         let configuration = routes.map(|routes| routes.configuration().clone());
-        CatalogueSnapshot { configuration, ..self.replica_news(peer.into(), now) }
+        CatalogueSnapshot { configuration, ..self.replica_update(peer.into(), now) }
     }
 
     /// What a peer is missing of the replicas. One that knew the catalogue at a moment
     /// whose vanished entries are forgotten here is told everything.
-    pub fn replica_news(&self, peer: PeerPosition, now: Micros) -> CatalogueSnapshot {
-        let whole = self.tells_all(peer);
+    pub fn replica_update(&self, peer: PeerPosition, now: Micros) -> CatalogueSnapshot {
+        let full = self.tells_all(peer);
         let mut snapshot = CatalogueSnapshot {
-            whole,
+            full,
             zones: Some(self.evacuations.notices()),
             revisions: self.revisions,
             first_number: self.source.first_number(),
             era_age: Some(self.source.age(now)),
-            learnt: self.has_learnt(now),
+            caught_up: self.has_caught_up(now),
             known_before: self.known_before,
             ..CatalogueSnapshot::at(self.replicas_at)
         };
         if self.replicas_at <= peer.at {
             return snapshot;
         }
-        for entry in
-            self.entries.values().filter(|entry| whole || entry.is_news_to(peer.at, self.replicas_at))
+        for entry in self.entries.values().filter(|entry| full || entry.is_news_to(peer.at, self.replicas_at))
         {
             match (&entry.replica, entry.vanished_at) {
-                (Some(replica), None) => snapshot.tell(replica, entry.revision),
-                _ => snapshot.tell_gone(entry.life.clone(), entry.revision),
+                (Some(replica), None) => snapshot.push_replica(replica, entry.revision),
+                _ => snapshot.push_removed(entry.life.clone(), entry.revision),
             }
         }
         snapshot
@@ -111,7 +110,7 @@
     pub fn merge(&mut self, mut snapshot: CatalogueSnapshot, now: Micros) -> bool {
         self.revisions.merge(snapshot.revisions);
         if let Some(version) = snapshot.version().max(snapshot.offer.map(|offer| offer.version)) {
-            self.hear_of(version, now);
+            self.note_version(version, now);
         }
         let mut changed = self.configuration.take_steps(std::mem::take(&mut snapshot.steps));
         if let Some(configuration) = snapshot.configuration.take() {
@@ -139,12 +138,12 @@
             // have heard of one that is evacuated either.
             let named = |zone: &ZoneName| zones.iter().any(|notice| notice.evacuated && notice.zone == *zone);
             changed |=
-                self.evacuations.take_back_others(named, told_up_to.revision(), &self.source, true, now);
+                self.evacuations.restore_unlisted(named, told_up_to.revision(), &self.source, true, now);
         }
         // A peer that knows less may bring back what went so long ago that it is forgotten here; unless this node is itself to
         // learn what was before.
         let says_more = told_up_to > self.replicas_at || self.learning.is_some();
-        if snapshot.learnt {
+        if snapshot.caught_up {
             self.learning = None;
         }
         (says_more && self.merge_replicas(snapshot, now)) || changed
@@ -159,12 +158,12 @@
         let is_old =
             |revision: CatalogueRevision| says_less && revision.era() == known.era() && revision <= known;
         let mut gone = HashSet::new();
-        for (id, revision) in snapshot.take_gone() {
-            gone.insert(id.any_life());
+        for (id, revision) in snapshot.take_removed() {
+            gone.insert(id.without_incarnation());
             changed |= self.vanish(&id, revision, settled, now);
         }
         let replicas = snapshot.take_replicas();
-        if snapshot.whole && told_up_to > self.replicas_at {
+        if snapshot.full && told_up_to > self.replicas_at {
             self.skip_to(told_up_to.revision());
             changed |= self.replace_replicas(told_up_to.revision(), replicas, gone, settled, now);
         } else {
--- a/crates/sablebay-catalogue/tests/incoming.rs
+++ b/crates/sablebay-catalogue/tests/incoming.rs
@@ -1,7 +1,7 @@
 //! A large configuration that is still being fetched, and small ones behind it.
 
 use sablebay_catalogue::{
-    CallerLimits, CatalogueSnapshot, CatalogueView, ConfigurationNews, ConfigurationStep,
+    CallerLimits, CatalogueSnapshot, CatalogueView, ConfigurationStep, ConfigurationUpdate,
     RoutingConfiguration,
 };
 use sablebay_model::Micros;
@@ -33,24 +33,24 @@
     assert!(view.merge(with_steps(vec![step(1, 3), step(3, 4)]), NOW));
     assert_eq!(view.routes().map(|routes| routes.configuration().clone()), Some(configuration(4)));
     // What it learnt by steps it passes on by steps.
-    assert!(matches!(view.configuration_news(1), ConfigurationNews::Steps(steps, _) if steps.len() == 2));
-    assert!(matches!(view.configuration_news(3), ConfigurationNews::Steps(steps, _) if steps.len() == 1));
-    assert_eq!(view.configuration_news(2), ConfigurationNews::Whole);
-    assert_eq!(view.configuration_news(4), ConfigurationNews::None);
+    assert!(matches!(view.configuration_update(1), ConfigurationUpdate::Steps(steps, _) if steps.len() == 2));
+    assert!(matches!(view.configuration_update(3), ConfigurationUpdate::Steps(steps, _) if steps.len() == 1));
+    assert_eq!(view.configuration_update(2), ConfigurationUpdate::Full);
+    assert_eq!(view.configuration_update(4), ConfigurationUpdate::None);
 }
 
 #[test]
 fn steps_wait_for_what_they_start_from() {
     let mut view = view_at(1);
     view.incoming_mut().begin_fetch(3);
-    assert_eq!(view.incoming().asks_from(view.version()), 3);
+    assert_eq!(view.incoming().request_from(view.version()), 3);
     assert!(!view.merge(with_steps(vec![step(3, 4)]), NOW));
     assert!(!view.merge(with_steps(vec![step(4, 7)]), NOW));
-    assert_eq!(view.incoming().asks_from(view.version()), 7);
-    assert_eq!(view.incoming().heard().map(|heard| heard.version), Some(7));
+    assert_eq!(view.incoming().request_from(view.version()), 7);
+    assert_eq!(view.incoming().announced().map(|heard| heard.version), Some(7));
     assert!(view.merge(with_steps(vec![step(1, 3)]), NOW));
     assert_eq!(view.version(), 7);
-    assert_eq!(view.incoming().heard(), None);
+    assert_eq!(view.incoming().announced(), None);
 }
 
 #[test]
@@ -59,7 +59,7 @@
     view.incoming_mut().begin_fetch(3);
     view.merge(with_steps(vec![step(3, 4)]), NOW);
     view.incoming_mut().end_fetch();
-    assert_eq!(view.incoming().asks_from(view.version()), 1);
+    assert_eq!(view.incoming().request_from(view.version()), 1);
     assert_eq!(view.version(), 1);
 }
 
@@ -70,8 +70,8 @@
     assert!(!view.merge(with_steps(vec![step(6, 7)]), NOW));
     assert_eq!(view.version(), 5);
     // It knows that there is a newer one, and asks for it by the one that it has.
-    assert_eq!(view.incoming().heard().map(|heard| heard.version), Some(7));
-    assert_eq!(view.incoming().asks_from(5), 5);
+    assert_eq!(view.incoming().announced().map(|heard| heard.version), Some(7));
+    assert_eq!(view.incoming().request_from(5), 5);
 }
 
 #[test]
@@ -89,23 +89,23 @@
     let step = ConfigurationStep::between(&base, &next);
     assert!(!view.merge(with_steps(vec![step]), NOW));
     assert_eq!(view.version(), 1);
-    assert_eq!(view.incoming().asks_from(1), 0);
+    assert_eq!(view.incoming().request_from(1), 0);
     let whole = CatalogueSnapshot { configuration: Some(next.clone()), ..CatalogueSnapshot::default() };
     assert!(view.merge(whole, NOW));
-    assert_eq!(view.incoming().asks_from(view.version()), 2);
+    assert_eq!(view.incoming().request_from(view.version()), 2);
     assert_eq!(view.routes().map(|routes| routes.configuration().clone()), Some(next));
 }
 
 #[test]
 fn a_version_heard_of_again_keeps_the_time_of_the_first() {
     let mut view = view_at(1);
-    view.hear_of(2, NOW);
-    view.hear_of(4, NOW.plus(Micros::from_secs(1)));
-    assert_eq!(view.incoming().heard().map(|heard| (heard.version, heard.since)), Some((4, NOW)));
+    view.note_version(2, NOW);
+    view.note_version(4, NOW.plus(Micros::from_secs(1)));
+    assert_eq!(view.incoming().announced().map(|heard| (heard.version, heard.since)), Some((4, NOW)));
     view.offer_configuration(configuration(3));
-    assert!(view.incoming().heard().is_some());
+    assert!(view.incoming().announced().is_some());
     view.offer_configuration(configuration(4));
-    assert_eq!(view.incoming().heard(), None);
+    assert_eq!(view.incoming().announced(), None);
 }
 
 #[test]
@@ -113,5 +113,5 @@
     let mut view = view_at(1);
     assert!(view.offer_configurations(vec![configuration(2), configuration(4), configuration(3)]));
     assert_eq!(view.version(), 4);
-    assert!(matches!(view.configuration_news(2), ConfigurationNews::Steps(steps, _) if steps.len() == 1));
+    assert!(matches!(view.configuration_update(2), ConfigurationUpdate::Steps(steps, _) if steps.len() == 1));
 }
--- a/crates/sablebay-catalogue/tests/lives.rs
+++ b/crates/sablebay-catalogue/tests/lives.rs
@@ -20,9 +20,9 @@
     EraStage::UNNAMED.at(number)
 }
 
-fn replica(born_ms: u64, phase: ReplicaPhase) -> Replica {
+fn replica(started_ms: u64, phase: ReplicaPhase) -> Replica {
     Replica {
-        id: ReplicaId::of_life("a", born_ms),
+        id: ReplicaId::with_incarnation("a", started_ms),
         service: ServiceName::new("s"),
         address: "127.0.0.1:1".parse().expect("an address"),
         zone: ZoneName::new("z"),
@@ -33,24 +33,24 @@
     }
 }
 
-fn written(born_ms: u64, phase: ReplicaPhase) -> ReplicaChange {
-    ReplicaChange::Written(replica(born_ms, phase))
+fn written(started_ms: u64, phase: ReplicaPhase) -> ReplicaChange {
+    ReplicaChange::Written(replica(started_ms, phase))
 }
 
 /// The lives that may get new work, and whether only as a last resort.
 fn lives(view: &CatalogueView) -> Vec<(u64, bool)> {
     let services = view.routable(START);
     let replicas = services.get(&ServiceName::new("s")).map(Vec::as_slice).unwrap_or_default();
-    replicas.iter().map(|known| (known.replica.id.born_ms(), known.last_resort)).collect()
+    replicas.iter().map(|known| (known.replica.id.started_ms(), known.last_resort)).collect()
 }
 
 #[test]
 fn lives_of_one_name_are_told_apart() {
-    let (first, second) = (ReplicaId::of_life("a", 5), ReplicaId::of_life("a", 6));
+    let (first, second) = (ReplicaId::with_incarnation("a", 5), ReplicaId::with_incarnation("a", 6));
     assert_ne!(first, second);
-    assert_eq!((first.name(), first.born_ms(), first.to_string().as_str()), ("a", 5, "a@5"));
-    assert_eq!(first.any_life(), second.any_life());
-    assert_eq!(ReplicaId::of_life("a", 0), ReplicaId::new("a"));
+    assert_eq!((first.name(), first.started_ms(), first.to_string().as_str()), ("a", 5, "a@5"));
+    assert_eq!(first.without_incarnation(), second.without_incarnation());
+    assert_eq!(ReplicaId::with_incarnation("a", 0), ReplicaId::new("a"));
     assert!(ReplicaId::is_name("i-7f3a91c2"));
     for name in ["", "a@5", "two words", "line\nbreak", "caf\u{e9}"] {
         assert!(!ReplicaId::is_name(name), "{name:?}");
@@ -76,7 +76,7 @@
 fn an_entry_that_went_names_no_life() {
     let mut view = CatalogueView::default();
     view.apply(written(5, ReplicaPhase::Ready), at(1), START);
-    view.apply(ReplicaChange::Gone(ReplicaId::new("a")), at(2), START);
+    view.apply(ReplicaChange::Removed(ReplicaId::new("a")), at(2), START);
     assert_eq!(lives(&view), [(5, true)]);
     view.apply(written(6, ReplicaPhase::Ready), at(3), START);
     assert_eq!(lives(&view), [(6, false)]);
@@ -93,7 +93,7 @@
     teller.advance(at(2));
     assert!(hearer.merge(teller.snapshot(0, up_to(1), START), START));
     assert_eq!(lives(&hearer), [(6, false)]);
-    teller.apply(ReplicaChange::Gone(ReplicaId::new("a")), at(3), START);
+    teller.apply(ReplicaChange::Removed(ReplicaId::new("a")), at(3), START);
     teller.advance(at(3));
     assert!(hearer.merge(teller.snapshot(0, up_to(2), START), START));
     assert_eq!(lives(&hearer), [(6, true)]);
--- a/crates/sablebay-catalogue/tests/reading.rs
+++ b/crates/sablebay-catalogue/tests/reading.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sablebay_catalogue::{
-    CataloguePosition, CatalogueRevision, Era, LONGEST_UNAWARE, LimitedAge, ReadFailure, ReadingInputs,
+    CataloguePosition, CatalogueRevision, Era, LimitedAge, MAXIMUM_STALENESS, ReadFailure, ReadingInputs,
     ReadingPolicy, SourceRead, SourceStep,
 };
 
@@ -20,7 +20,7 @@
         is_reader,
         has_peers: true,
         running_for: Duration::from_secs(60),
-        starting_patience: Duration::from_millis(500),
+        startup_wait: Duration::from_millis(500),
         contact_ago: heard_ago_ms.map(Duration::from_millis),
         configuration_age: None,
         position: 0.5,
@@ -31,7 +31,7 @@
 
 fn patience_of(step: SourceStep) -> Duration {
     match step {
-        SourceStep::Read(SourceRead::All { patience } | SourceRead::Changes { patience, .. }) => patience,
+        SourceStep::Read(SourceRead::All { timeout } | SourceRead::Changes { timeout, .. }) => timeout,
         SourceStep::Wait(_) => panic!("a reader reads"),
     }
 }
@@ -44,8 +44,8 @@
         let mut policy = ReadingPolicy::default();
         let reader = inputs(true, Some(0));
         let lost = patience_of(policy.next(&reader)) + policy.failed(ReadFailure::NoAnswer, true, jitter);
-        assert!(lost <= LONGEST_UNAWARE, "{lost:?}");
-        assert!(LONGEST_UNAWARE + WAY < CONFIGURATION_BOUND);
+        assert!(lost <= MAXIMUM_STALENESS, "{lost:?}");
+        assert!(MAXIMUM_STALENESS + WAY < CONFIGURATION_BOUND);
     }
 }
 
@@ -53,7 +53,7 @@
 fn who_is_no_reader_reads_when_nobody_confirms_the_catalogue() {
     let policy = ReadingPolicy::default();
     assert!(matches!(policy.next(&inputs(false, Some(0))), SourceStep::Wait(_)));
-    let longest = LONGEST_UNAWARE.as_millis() as u64;
+    let longest = MAXIMUM_STALENESS.as_millis() as u64;
     assert!(matches!(policy.next(&inputs(false, Some(longest))), SourceStep::Read(_)));
     // Between these it looks often enough to be in time.
     let mut ago = Duration::ZERO;
@@ -61,7 +61,7 @@
         assert!(wait > Duration::ZERO);
         ago += wait;
     }
-    assert!(ago <= LONGEST_UNAWARE, "{ago:?}");
+    assert!(ago <= MAXIMUM_STALENESS, "{ago:?}");
 }
 
 #[test]
@@ -71,7 +71,7 @@
         is_reader,
         has_peers,
         running_for: Duration::from_millis(milliseconds),
-        starting_patience: Duration::from_millis(500),
+        startup_wait: Duration::from_millis(500),
         contact_ago: None,
         configuration_age: None,
         position: 0.5,
@@ -91,7 +91,7 @@
 fn a_node_that_comes_back_reads_at_once() {
     let hurried = ReadingInputs {
         running_for: Duration::ZERO,
-        starting_patience: Duration::ZERO,
+        startup_wait: Duration::ZERO,
         has_peers: false,
         known_up_to: CataloguePosition::NOTHING,
         ..inputs(false, None)
--- a/crates/sablebay-catalogue/tests/returns.rs
+++ b/crates/sablebay-catalogue/tests/returns.rs
@@ -11,7 +11,7 @@
 
 use sablebay_catalogue::{
     CataloguePosition, CatalogueRevision, CatalogueView, Era, Listing, PeerPosition, Replica, ReplicaChange,
-    ReplicaId, ReplicaPhase, SETTLING, ServiceName, ZoneNotice,
+    ReplicaId, ReplicaPhase, SETTLE_PERIOD, ServiceName, ZoneNotice,
 };
 use sablebay_model::{Micros, ZoneName};
 
@@ -25,9 +25,9 @@
 /// What a replica says of itself: its life, its count of words, and whether it takes work.
 type Word = (u64, u64, bool);
 
-fn replica(id: u8, (born_ms, sequence, ready): Word) -> Replica {
+fn replica(id: u8, (started_ms, sequence, ready): Word) -> Replica {
     Replica {
-        id: ReplicaId::of_life(format!("r{id}"), born_ms),
+        id: ReplicaId::with_incarnation(format!("r{id}"), started_ms),
         service: ServiceName::new("s"),
         address: "127.0.0.1:1".parse().expect("an address"),
         zone: ZoneName::new(ZONE),
@@ -186,7 +186,7 @@
                     view.apply(ReplicaChange::Written(replica(*id, *word)), revision, now);
                 }
                 (Key::Replica(id), None) => {
-                    view.apply(ReplicaChange::Gone(ReplicaId::new(format!("r{id}"))), revision, now);
+                    view.apply(ReplicaChange::Removed(ReplicaId::new(format!("r{id}"))), revision, now);
                 }
                 (Key::Evacuation, word) => {
                     let notice = ZoneNotice::new(ZoneName::new(ZONE), word.is_some(), revision);
@@ -207,9 +207,9 @@
 
 /// The first node asks the second, as nodes do.
 fn ask(asker: &mut CatalogueView, peer: &CatalogueView, now: Micros) {
-    let learns_from = asker.learns_from(now).filter(|_| peer.has_learnt(now));
+    let catch_up_from = asker.catch_up_from(now).filter(|_| peer.has_caught_up(now));
     let position = asker.position();
-    let from = PeerPosition { at: learns_from.unwrap_or(position.at), ..position };
+    let from = PeerPosition { at: catch_up_from.unwrap_or(position.at), ..position };
     asker.merge(peer.snapshot(0, from, now), now);
 }
 
@@ -218,7 +218,7 @@
     let services = view.routable(now);
     let replicas = services.get(&ServiceName::new("s")).map(Vec::as_slice).unwrap_or_default();
     let in_use = replicas.iter().filter(|known| !known.last_resort);
-    let word = |replica: &Replica| (replica.id.born_ms(), replica.sequence);
+    let word = |replica: &Replica| (replica.id.started_ms(), replica.sequence);
     in_use.map(|known| (known.replica.id.name().to_string(), word(&known.replica))).collect()
 }
 
@@ -277,7 +277,7 @@
     /// All writers write again, and the time is over that they have for it.
     fn settle(&mut self) {
         self.source.write_all_again();
-        self.now = self.now.plus(SETTLING);
+        self.now = self.now.plus(SETTLE_PERIOD);
     }
 
     fn run(&mut self, step: Step) {
@@ -300,7 +300,7 @@
             Step::Ask(..) => {}
             Step::Start(node) => {
                 self.views[node] = CatalogueView::default();
-                self.views[node].begin_learning(self.now);
+                self.views[node].begin_catch_up(self.now);
                 self.seen[node].clear();
             }
         }
@@ -340,7 +340,7 @@
         for view in &self.views {
             prop_assert_eq!(view.is_evacuated(&ZoneName::new(ZONE)), self.source.evacuated);
             prop_assert_eq!(in_use(view, self.now), expected.clone());
-            prop_assert_eq!(view.kept(), 0);
+            prop_assert_eq!(view.retained(), 0);
         }
         Ok(())
     }
@@ -393,7 +393,7 @@
     let mut source = Source::new();
     let mut view = CatalogueView::default();
     read(&source, &mut view, START);
-    let now = START.plus(SETTLING);
+    let now = START.plus(SETTLE_PERIOD);
     read(&source, &mut view, now);
     source.change(0);
     source.change(1);
@@ -408,7 +408,7 @@
     let (source, view, now) = returned();
     assert_eq!(source.contents.replicas[&0].0.1, 1, "the copy has it as ready");
     assert_eq!(in_use(&view, now).into_keys().collect::<Vec<_>>(), ["r2"]);
-    assert_eq!(view.kept(), 2);
+    assert_eq!(view.retained(), 2);
     assert!(!view.replicas_at().is_settled());
     assert!(!view.source_confirms(), "a copy proves nothing newer wrong");
 }
@@ -423,7 +423,7 @@
     source.come_back();
     read(&source, &mut view, START);
     assert_eq!(in_use(&view, START).len(), 3, "absence in the copy is no word of anybody");
-    let settled = START.plus(SETTLING);
+    let settled = START.plus(SETTLE_PERIOD);
     assert!(view.must_settle(settled));
     read(&source, &mut view, settled);
     assert_eq!(in_use(&view, settled).into_keys().collect::<Vec<_>>(), ["r0", "r1"]);
@@ -442,12 +442,12 @@
     let (mut source, view, now) = returned();
     let before = CataloguePosition::new(CatalogueRevision::new(Era::new(1), 15), true);
     let told = view.snapshot(0, before, now);
-    assert_eq!((told.replicas.len(), told.gone.len(), told.whole), (0, 0, false));
+    assert_eq!((told.replicas.len(), told.removed.len(), told.full), (0, 0, false));
     source.change(2);
     let mut view = view;
     read(&source, &mut view, now);
     let told = view.snapshot(0, before, now);
-    assert_eq!((told.replicas.len(), told.gone.len(), told.whole), (1, 0, false));
+    assert_eq!((told.replicas.len(), told.removed.len(), told.full), (1, 0, false));
 }
 
 /// A node that lists the new era before it hears of what it missed in the old one learns that from a peer.
--- a/crates/sablebay-catalogue/tests/view.rs
+++ b/crates/sablebay-catalogue/tests/view.rs
@@ -66,7 +66,7 @@
 fn a_vanished_replica_is_a_last_resort_and_then_nothing() {
     let mut view = CatalogueView::default();
     view.apply(ReplicaChange::Written(replica("a", ReplicaPhase::Ready)), at(1), START);
-    view.apply(ReplicaChange::Gone(ReplicaId::new("a")), at(2), START);
+    view.apply(ReplicaChange::Removed(ReplicaId::new("a")), at(2), START);
     assert_eq!(routable(&view, START), [("a".to_string(), true)]);
     let expiry = view.next_expiry(START).expect("it expires");
     assert!(expiry.since(START) < Micros::from_secs(3), "well within the bound on leaving back ends");
@@ -142,17 +142,17 @@
     }
     view.advance(at(50));
     view.apply(ReplicaChange::Written(replica("r7", ReplicaPhase::Draining)), at(51), START);
-    view.apply(ReplicaChange::Gone(ReplicaId::new("r8")), at(52), START);
+    view.apply(ReplicaChange::Removed(ReplicaId::new("r8")), at(52), START);
     view.advance(at(52));
     let told = view.snapshot(0, up_to(50), START);
-    assert_eq!((told.replicas.len(), told.gone.len(), told.whole), (1, 1, false));
+    assert_eq!((told.replicas.len(), told.removed.len(), told.full), (1, 1, false));
     assert_eq!(view.snapshot(0, up_to(0), START).replicas.len(), 49, "who knows nothing is told all");
     view.expire(START.plus(Micros::from_secs(120)));
     assert!(
-        view.snapshot(0, up_to(50), START).whole,
+        view.snapshot(0, up_to(50), START).full,
         "what went is forgotten here, and can only be told by the whole"
     );
-    assert!(!view.snapshot(0, up_to(52), START).whole);
+    assert!(!view.snapshot(0, up_to(52), START).full);
 }
 
 /// Seen in a property of returns: a node that started after an entry went never knew it, and whoever went on from what it told
@@ -171,11 +171,11 @@
     };
     started.replace(listing, START);
     let told = started.snapshot(0, view.replicas_at(), START);
-    assert!(told.whole);
+    assert!(told.full);
     view.merge(told, START);
     let later = START.plus(Micros::from_secs(2));
     assert_eq!(routable(&view, later), [("a".to_string(), false)]);
-    assert!(!started.snapshot(0, view.replicas_at(), START).whole, "who knows as much is told no more");
+    assert!(!started.snapshot(0, view.replicas_at(), START).full, "who knows as much is told no more");
 }
 
 #[derive(Clone, Debug)]
@@ -197,7 +197,7 @@
             let phase = if *draining { ReplicaPhase::Draining } else { ReplicaPhase::Ready };
             ReplicaChange::Written(replica(&format!("r{id}"), phase))
         }
-        Step::Remove(id) => ReplicaChange::Gone(ReplicaId::new(format!("r{id}"))),
+        Step::Remove(id) => ReplicaChange::Removed(ReplicaId::new(format!("r{id}"))),
     }
 }
 
--- a/crates/sablebay-gateway/src/catalogue_reader.rs
+++ b/crates/sablebay-gateway/src/catalogue_reader.rs
@@ -10,7 +10,7 @@
 
 use sablebay_catalogue::{
     CataloguePosition, CatalogueRevision, CatalogueView, Era, ReadFailure, ReadingInputs, ReadingPolicy,
-    RoutableReplica, SETTLING, ServiceName, SourceRead, SourceStep, bound_of_listing, bound_of_wait,
+    RoutableReplica, SETTLE_PERIOD, ServiceName, SourceRead, SourceStep, bound_of_listing, bound_of_wait,
 };
 use sablebay_model::Micros;
 
@@ -36,9 +36,9 @@
             }
         };
         let outcome = match read {
-            SourceRead::All { patience } => read_all(&context, &*source, patience).await,
-            SourceRead::Changes { after, wait, patience } => {
-                read_changes(&context, &*source, after, wait, patience).await
+            SourceRead::All { timeout } => read_all(&context, &*source, timeout).await,
+            SourceRead::Changes { after, wait, timeout } => {
+                read_changes(&context, &*source, after, wait, timeout).await
             }
         };
         let pause = match outcome {
@@ -64,7 +64,7 @@
         is_reader: fleet.is_reader(),
         has_peers: fleet.has_peers(),
         running_for: context.clock().running_for(),
-        starting_patience: Duration::from_millis(context.settings.load().start_patience_ms),
+        startup_wait: Duration::from_millis(context.settings.load().start_patience_ms),
         contact_ago: context.node.catalogue.contact_ago(now).map(Micros::as_duration),
         configuration_age: context.limited_age(),
         position: fleet.position(),
@@ -76,7 +76,7 @@
 fn failure_of(error: SourceError) -> ReadFailure {
     match error {
         SourceError::HistoryLost | SourceError::Malformed => ReadFailure::MustReadAll,
-        SourceError::Returned => ReadFailure::Returned,
+        SourceError::Returned => ReadFailure::Restored,
         SourceError::Unavailable => ReadFailure::NoAnswer,
         SourceError::Busy | SourceError::Outdated => ReadFailure::Refused,
     }
@@ -267,7 +267,7 @@
 fn has_to_learn<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>) -> bool {
     let (now, running_for) = (context.clock().now(), context.clock().running_for());
     let (has_learnt, era) =
-        context.node.catalogue.read(|view| (view.has_learnt(now), view.replicas_at().era()));
+        context.node.catalogue.read(|view| (view.has_caught_up(now), view.replicas_at().era()));
     // A large configuration arrives after the answer that tells of it.
     let has_all = has_learnt && (era == Era::UNNAMED || !context.is_behind());
     let is_alone = running_for >= MEETING_TIME && !context.fleet.lock().has_peers();
@@ -281,7 +281,7 @@
     now: Micros,
 ) {
     let read =
-        |view: &CatalogueView| (view.replicas_at(), view.kept(), view.version(), view.source().age(now));
+        |view: &CatalogueView| (view.replicas_at(), view.retained(), view.version(), view.source().age(now));
     let (position, kept, version, age) = context.node.catalogue.read(read);
     let before = std::mem::replace(known_up_to, position);
     context.metrics.source_era.set(position.era().count() as i64);
@@ -292,7 +292,7 @@
     let settled = position.is_settled();
     let (position, before) = (position.to_string(), before.to_string());
     if !settled {
-        let settles_in_ms = SETTLING.since(age).as_millis();
+        let settles_in_ms = SETTLE_PERIOD.since(age).as_millis();
         log::warn!(up_to = position.as_str(), before = before.as_str(), version = version, kept = kept, settles_in_ms = settles_in_ms; "catalogue: the source came back from an older copy; what was known is kept until it settles.");
     } else {
         log::info!(up_to = position.as_str(), before = before.as_str(), version = version; "catalogue: the source's era is settled; what it does not have is gone.");
--- a/crates/sablebay-gateway/src/confirmation.rs
+++ b/crates/sablebay-gateway/src/confirmation.rs
@@ -39,13 +39,13 @@
 
     /// Whether a configuration was heard of that is newer than the one in force here.
     pub fn is_behind(&self) -> bool {
-        self.node.catalogue.read(|view| view.incoming().heard().is_some())
+        self.node.catalogue.read(|view| view.incoming().announced().is_some())
     }
 
     /// Puts both ages into the metrics, and how far this node knows itself behind.
     pub fn note_ages(&self) {
         let now = self.clock().now();
-        let (version, heard) = self.node.catalogue.read(|view| (view.version(), view.incoming().heard()));
+        let (version, heard) = self.node.catalogue.read(|view| (view.version(), view.incoming().announced()));
         self.metrics.heard_version.set(heard.map_or(version, |heard| heard.version) as i64);
         self.metrics.behind.set(heard.map_or(0, |heard| now.since(heard.since).as_millis()) as i64);
         self.metrics.catalogue_age.set(self.catalogue_age().as_millis() as i64);
--- a/crates/sablebay-gateway/src/gateway.rs
+++ b/crates/sablebay-gateway/src/gateway.rs
@@ -117,7 +117,7 @@
         });
         let started_at = context.clock().now();
         context.node.catalogue.update(|view| {
-            view.begin_learning(started_at);
+            view.begin_catch_up(started_at);
             false
         });
         let (phase, phases) = watch::channel(ListenerPhase::Open);
--- a/crates/sablebay-gateway/src/peer_catalogue.rs
+++ b/crates/sablebay-gateway/src/peer_catalogue.rs
@@ -117,7 +117,7 @@
     let has_met_others = context.clock().running_for() >= MEETING_TIME;
     if has_met_others && unlearnt_peers >= context.fleet.lock().ranked.len() {
         context.node.catalogue.update(|view| {
-            view.end_learning();
+            view.end_catch_up();
             false
         });
     }
@@ -125,7 +125,7 @@
 
 /// Says once a version that this node knows itself behind it.
 fn note_behind<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>, told_of: &mut u64) {
-    let (version, heard) = context.node.catalogue.read(|view| (view.version(), view.incoming().heard()));
+    let (version, heard) = context.node.catalogue.read(|view| (view.version(), view.incoming().announced()));
     let Some(heard) = heard.filter(|heard| heard.version > *told_of) else {
         return;
     };
@@ -205,7 +205,7 @@
 ) -> Answer {
     let asked_at = context.clock().now();
     let (version, position, learns_from) = context.node.catalogue.read(|view| {
-        (view.incoming().asks_from(view.version()), view.position(), view.learns_from(asked_at))
+        (view.incoming().request_from(view.version()), view.position(), view.catch_up_from(asked_at))
     });
     let replicas_at = position.at;
     let stage = replicas_at.stage();
@@ -241,7 +241,7 @@
     let is_in_touch = told.1.era() >= replicas_at.era();
     let contact_ago = snapshot.heard_ms_ago.filter(|_| snapshot.zones.is_some() && is_in_touch);
     let confirmation = snapshot.confirmation.filter(|_| is_in_touch);
-    let is_unlearnt = learns_from.is_some() && !snapshot.learnt && offer.is_none();
+    let is_unlearnt = learns_from.is_some() && !snapshot.caught_up && offer.is_none();
     context.fleet.lock().note_told(snapshot.nodes_met, context.clock().now());
     if context.node.catalogue.update(|view| view.merge(*snapshot, now)) {
         log::info!(peer = peer.node.as_str(), version = told.0.unwrap_or(version), replicas_at = told.1.to_string().as_str(), had = replicas_at.to_string().as_str(), heard_ms_ago = contact_ago.unwrap_or(0), confirmed_ms_ago = confirmation.map_or(-1, |said| said.age.as_millis() as i64); "catalogue: news from a peer.");
@@ -249,7 +249,7 @@
     if let Some(offer) = offer {
         return Answer::Offer(offer);
     }
-    if context.node.catalogue.read(|view| view.incoming().needs_whole()) {
+    if context.node.catalogue.read(|view| view.incoming().needs_full()) {
         log::warn!(peer = peer.node.as_str(), version = version, told = told.0.unwrap_or(0); "catalogue: steps of a peer lead to other contents; the whole configuration is asked for.");
     }
     // The peer's word holds for what it knows; this node knows as much by now, or more: unless it is still fetching it.
--- a/crates/sablebay-node/src/catalogue_answer.rs
+++ b/crates/sablebay-node/src/catalogue_answer.rs
@@ -30,7 +30,7 @@
 impl CatalogueQuestion {
     /// Whether this node knows what the asker has yet to learn: it is answered at once.
     fn is_taught(&self, view: &CatalogueView, now: Micros) -> bool {
-        self.standing.is_some_and(|standing| standing.learns_from.is_some()) && view.has_learnt(now)
+        self.standing.is_some_and(|standing| standing.learns_from.is_some()) && view.has_caught_up(now)
     }
 
     /// From where on the asker is told.
@@ -41,7 +41,7 @@
             return view.replicas_at().stage().at(self.number).into();
         };
         let at = standing.stage.at(self.number);
-        let at = standing.learns_from.filter(|_| view.has_learnt(now)).unwrap_or(at);
+        let at = standing.learns_from.filter(|_| view.has_caught_up(now)).unwrap_or(at);
         PeerPosition { at, known_before: standing.known_before }
     }
 }
--- a/crates/sablebay-node/src/catalogue_store.rs
+++ b/crates/sablebay-node/src/catalogue_store.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 
 use sablebay_catalogue::{
-    CataloguePosition, CatalogueSnapshot, CatalogueView, ConfigurationNews, DocumentDigest, INLINE_BYTES,
+    CataloguePosition, CatalogueSnapshot, CatalogueView, ConfigurationUpdate, DocumentDigest, INLINE_BYTES,
     PeerConfirmation, PeerPosition,
 };
 use sablebay_model::Micros;
@@ -137,7 +137,7 @@
 
     /// Notes that a peer has a version of the configuration.
     pub fn hear_of(&self, version: u64, now: Micros) {
-        self.view.lock().hear_of(version, now);
+        self.view.lock().note_version(version, now);
     }
 
     /// Waits until there is something that a peer with these revisions is missing.
@@ -188,14 +188,14 @@
         now: Micros,
     ) -> (CatalogueSnapshot, Option<LargeNews>) {
         let lists_replicas = view.lists_all_replicas(peer) && view.known_replicas() >= LARGE_LISTING;
-        match view.configuration_news(version) {
-            ConfigurationNews::None if !lists_replicas => (view.replica_news(peer, now), None),
-            ConfigurationNews::Steps(steps, bytes) if bytes <= INLINE_BYTES && !lists_replicas => {
-                (CatalogueSnapshot { steps, ..view.replica_news(peer, now) }, None)
+        match view.configuration_update(version) {
+            ConfigurationUpdate::None if !lists_replicas => (view.replica_update(peer, now), None),
+            ConfigurationUpdate::Steps(steps, bytes) if bytes <= INLINE_BYTES && !lists_replicas => {
+                (CatalogueSnapshot { steps, ..view.replica_update(peer, now) }, None)
             }
             news => match self.document(view, version, news, lists_replicas, now) {
                 Some(large) if lists_replicas => (CatalogueSnapshot::default(), Some(large)),
-                Some(large) => (view.replica_news(peer, now), Some(large)),
+                Some(large) => (view.replica_update(peer, now), Some(large)),
                 // It cannot be encoded, and no other answer can.
                 None => (CatalogueSnapshot::default(), None),
             },
@@ -207,7 +207,7 @@
         &self,
         view: &CatalogueView,
         version: u64,
-        news: ConfigurationNews,
+        news: ConfigurationUpdate,
         lists_replicas: bool,
         now: Micros,
     ) -> Option<LargeNews> {
@@ -221,14 +221,14 @@
             return Some(made.news);
         }
         let listing = if lists_replicas {
-            view.replica_news(PeerPosition::default(), now)
+            view.replica_update(PeerPosition::default(), now)
         } else {
             CatalogueSnapshot::default()
         };
         let content = match news {
-            ConfigurationNews::None => listing,
-            ConfigurationNews::Steps(steps, _) => CatalogueSnapshot { steps, ..listing },
-            ConfigurationNews::Whole => {
+            ConfigurationUpdate::None => listing,
+            ConfigurationUpdate::Steps(steps, _) => CatalogueSnapshot { steps, ..listing },
+            ConfigurationUpdate::Full => {
                 let configuration = view.routes().map(|routes| routes.configuration().clone());
                 CatalogueSnapshot { configuration, ..listing }
             }
--- a/crates/sablebay-node/src/report.rs
+++ b/crates/sablebay-node/src/report.rs
@@ -157,12 +157,12 @@
     let confirmed_ms_ago = shared.catalogue.confirmed_ago(now).map(|ago| ago.as_millis());
     Some(shared.catalogue.read(|view| CatalogueReport {
         version: view.version(),
-        heard_version: view.incoming().heard().map(|heard| heard.version),
-        behind_ms: view.incoming().heard().map(|heard| now.since(heard.since).as_millis()),
+        heard_version: view.incoming().announced().map(|heard| heard.version),
+        behind_ms: view.incoming().announced().map(|heard| now.since(heard.since).as_millis()),
         replicas_at: view.replicas_at().revision().number(),
         era: view.replicas_at().era().count(),
         settled: view.replicas_at().is_settled(),
-        kept: view.kept(),
+        kept: view.retained(),
         replicas: view.routable(now).values().map(Vec::len).sum(),
         evacuated_zones: view.evacuations().evacuated().map(ToString::to_string).collect(),
         confirmed_ms_ago,
