--- a/crates/sablebay-catalogue/src/evacuation.rs
+++ b/crates/sablebay-catalogue/src/evacuation.rs
@@ -11,7 +11,7 @@
 use sablebay_model::{Micros, ZoneName};
 
 use crate::revision::{CatalogueRevision, Era};
-use crate::source_return::SourceEra;
+use crate::source_era::SourceEra;
 
 /// Whether the replicas of a zone get new work, as the operator said at a revision.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
@@ -132,17 +132,19 @@
 
 /// Whether a notice takes the place of what is known.
 fn replaces(notice: &ZoneNotice, known: &KnownNotice, source: &SourceEra, settled: bool) -> bool {
-    let told = notice.revision();
-    if told.era() == known.revision.era() {
-        return told > known.revision;
+    let incoming = notice.revision();
+    if incoming.era() == known.revision.era() {
+        return incoming > known.revision;
     }
-    if told < known.revision {
+    if incoming < known.revision {
         // What is known may be the copy's: then it is older than what was said after it.
-        let is_copy = !source.is_written(known.revision);
-        return is_copy && told > known.revision.in_era(told.era());
+        let is_copy = !source.is_written_since_restore(known.revision);
+        return is_copy && incoming > known.revision.in_era(incoming.era());
     }
     // The copy may hold a notice that was taken back since. One that was never heard of is taken for the operator's: a zone that
     // is left alone for some seconds costs less than one that is used when it is to be empty.
-    let is_overruled = known.evacuated_by.is_some_and(|by| by.in_era(told.era()) == told);
-    settled || source.is_written(told) || (notice.evacuated && !known.evacuated && !is_overruled)
+    let is_overruled = known.evacuated_by.is_some_and(|by| by.in_era(incoming.era()) == incoming);
+    settled
+        || source.is_written_since_restore(incoming)
+        || (notice.evacuated && !known.evacuated && !is_overruled)
 }
--- a/crates/sablebay-catalogue/src/incoming_configuration.rs
+++ b/crates/sablebay-catalogue/src/incoming_configuration.rs
@@ -22,7 +22,7 @@
 /// What is known of configurations that are newer than the one in force.
 #[derive(Debug, Default)]
 pub struct IncomingConfiguration {
-    heard: Option<AnnouncedVersion>,
+    announced: Option<AnnouncedVersion>,
     /// The version that is being fetched.
     fetching: Option<u64>,
     /// Steps that start from it, one after the other.
@@ -37,13 +37,13 @@
         if version <= in_force {
             return;
         }
-        let heard = self.heard.get_or_insert(AnnouncedVersion { version, since: now });
-        heard.version = heard.version.max(version);
+        let announced = self.announced.get_or_insert(AnnouncedVersion { version, since: now });
+        announced.version = announced.version.max(version);
     }
 
     /// The newest version that was heard of, while it is not in force.
     pub fn announced(&self) -> Option<AnnouncedVersion> {
-        self.heard
+        self.announced
     }
 
     /// The version that a question for news names: what is on its way here is not asked for again.
@@ -94,7 +94,7 @@
 
     /// A version is in force. Returns the steps that waited for it.
     pub fn reached(&mut self, version: u64) -> Vec<ConfigurationStep> {
-        self.heard = self.heard.filter(|heard| heard.version > version);
+        self.announced = self.announced.filter(|announced| announced.version > version);
         if self.fetching.is_some_and(|fetching| fetching <= version) {
             self.fetching = None;
         }
--- a/crates/sablebay-catalogue/src/known_configuration.rs
+++ b/crates/sablebay-catalogue/src/known_configuration.rs
@@ -76,7 +76,7 @@
     }
 
     /// Takes a whole configuration of a peer. Returns whether it was newer.
-    pub fn take_whole(&mut self, configuration: RoutingConfiguration) -> bool {
+    pub fn take_full(&mut self, configuration: RoutingConfiguration) -> bool {
         self.incoming.received_full();
         self.offer(vec![configuration])
     }
--- a/crates/sablebay-catalogue/src/lib.rs
+++ b/crates/sablebay-catalogue/src/lib.rs
@@ -17,7 +17,7 @@
 mod revision;
 mod route_table;
 mod snapshot;
-mod source_return;
+mod source_era;
 mod urgency;
 mod view;
 
@@ -41,5 +41,5 @@
 pub use revision::{CataloguePosition, CatalogueRevision, Era, EraStage, PeerPosition};
 pub use route_table::RouteTable;
 pub use snapshot::CatalogueSnapshot;
-pub use source_return::{SETTLE_PERIOD, SourceEra};
+pub use source_era::{SETTLE_PERIOD, SourceEra};
 pub use view::{CatalogueView, Listing, ReplicaChange, RoutableReplica};
--- a/crates/sablebay-catalogue/src/reading.rs
+++ b/crates/sablebay-catalogue/src/reading.rs
@@ -17,22 +17,22 @@
 /// How long one wait for changes lasts.
 const WAIT: Duration = Duration::from_millis(900);
 /// How long an answer may take beyond what was asked for.
-const PATIENCE: Duration = Duration::from_millis(400);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 /// The most that patience grows to while answers do not come.
-const LONGEST_PATIENCE: Duration = Duration::from_millis(4_000);
+const MAXIMUM_RESPONSE_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// Changes come in groups: how long after some the next wait begins.
-const GROUP_PAUSE: Duration = Duration::from_millis(250);
+const BATCH_PAUSE: Duration = Duration::from_millis(250);
 /// Bounds of a reader's pause after a failure.
 const FAILURE_PAUSE: (Duration, Duration) = (Duration::from_millis(120), Duration::from_millis(700));
 /// The pause of another node after a failure: readers try for it too.
-const BYSTANDER_PAUSE: Duration = Duration::from_millis(1_200);
+const NON_READER_PAUSE: Duration = Duration::from_millis(1_200);
 /// Over how long the nodes that are no readers spread their listings after a return of the source: the first few tell the
 /// others, which then need none. All of a fleet are told within a second.
-const RETURN_SPREAD: Duration = Duration::from_millis(2_000);
+const RESTORE_SPREAD: Duration = Duration::from_millis(2_000);
 /// How long ago a node that is no reader heard of the catalogue when it reads by itself.
-const OLD_NEWS: Duration = Duration::from_millis(2_100);
+const NON_READER_STALENESS: Duration = Duration::from_millis(2_100);
 /// How often a node that waits looks again.
-const LOOK_PERIOD: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// The longest time between the last news, or the last word that there is none, and the next question to the source.
 pub const MAXIMUM_STALENESS: Duration = Duration::from_millis(2_300);
 
@@ -147,10 +147,10 @@
 impl ReadingPolicy {
     /// What to do next.
     pub fn next(&self, inputs: &ReadingInputs) -> SourceStep {
-        if let Some(wait) = waits_for_others(inputs) {
+        if let Some(wait) = wait_for_others(inputs) {
             return SourceStep::Wait(wait);
         }
-        let timeout = (PATIENCE * 2u32.pow(self.unanswered.min(4))).min(LONGEST_PATIENCE);
+        let timeout = (RESPONSE_TIMEOUT * 2u32.pow(self.unanswered.min(4))).min(MAXIMUM_RESPONSE_TIMEOUT);
         if inputs.known_up_to.is_nothing() || self.must_read_all || inputs.must_settle {
             return SourceStep::Read(SourceRead::All { timeout });
         }
@@ -169,9 +169,9 @@
     pub fn succeeded(&mut self, changed: bool, inputs: &ReadingInputs) -> Duration {
         *self = Self::default();
         match inputs.is_near_limit() {
-            true if !inputs.is_reader => BYSTANDER_PAUSE,
-            true => GROUP_PAUSE,
-            false if changed => GROUP_PAUSE,
+            true if !inputs.is_reader => NON_READER_PAUSE,
+            true => BATCH_PAUSE,
+            false if changed => BATCH_PAUSE,
             false => Duration::ZERO,
         }
     }
@@ -183,7 +183,7 @@
         let pause = if is_reader {
             (shortest * 2u32.pow(self.failures.min(4))).min(longest)
         } else {
-            BYSTANDER_PAUSE
+            NON_READER_PAUSE
         };
         self.failures += 1;
         match failure {
@@ -194,23 +194,23 @@
         match failure {
             ReadFailure::MustReadAll => pause.mul_f64(0.7),
             ReadFailure::Restored if is_reader => pause.mul_f64(0.7),
-            ReadFailure::Restored => pause + RETURN_SPREAD.mul_f64(jitter),
+            ReadFailure::Restored => pause + RESTORE_SPREAD.mul_f64(jitter),
             ReadFailure::NoAnswer | ReadFailure::Refused => pause.mul_f64(0.7 + 0.6 * jitter),
         }
     }
 }
 
 /// How long a node leaves the reading to others before it looks again; nothing when it reads.
-fn waits_for_others(inputs: &ReadingInputs) -> Option<Duration> {
+fn wait_for_others(inputs: &ReadingInputs) -> Option<Duration> {
     let starting = inputs.running_for < inputs.startup_wait;
     if inputs.is_reader && (inputs.has_peers || !starting) {
         return None;
     }
-    let others_tell = match inputs.contact_ago {
+    let others_inform = match inputs.contact_ago {
         None => starting,
-        Some(ago) => ago < OLD_NEWS && !is_non_readers_turn(inputs),
+        Some(ago) => ago < NON_READER_STALENESS && !is_non_readers_turn(inputs),
     };
-    others_tell.then_some(LOOK_PERIOD)
+    others_inform.then_some(POLL_INTERVAL)
 }
 
 /// Whether the configuration of a node that is no reader is so close to its limit that it reads by itself.
--- a/crates/sablebay-catalogue/src/replica.rs
+++ b/crates/sablebay-catalogue/src/replica.rs
@@ -33,7 +33,7 @@
 }
 
 /// Between a replica's name and the start of its life. No name may hold it.
-const LIFE_MARK: char = '@';
+const INCARNATION_SEPARATOR: char = '@';
 
 /// One life of one replica: a replica that starts again has another, also under the name that it had. All that is known of
 /// a replica is kept by its life: a new one has no latencies, no failures, no open calls and no connections.
@@ -54,13 +54,15 @@
     pub fn with_incarnation(name: impl AsRef<str>, started_ms: u64) -> Self {
         match started_ms {
             0 => Self::new(name),
-            _ => Self(Arc::from(format!("{}{LIFE_MARK}{started_ms}", name.as_ref()))),
+            _ => Self(Arc::from(format!("{}{INCARNATION_SEPARATOR}{started_ms}", name.as_ref()))),
         }
     }
 
     /// Whether a name can be one: requests can carry it in a header, and it does not look like one with a life.
     pub fn is_name(name: &str) -> bool {
-        !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_graphic()) && !name.contains(LIFE_MARK)
+        !name.is_empty()
+            && name.bytes().all(|byte| byte.is_ascii_graphic())
+            && !name.contains(INCARNATION_SEPARATOR)
     }
 
     /// The identifier as text, the life in it.
@@ -70,12 +72,12 @@
 
     /// The replica's name, the same in all of its lives.
     pub fn name(&self) -> &str {
-        self.0.split_once(LIFE_MARK).map_or(&self.0, |(name, _)| name)
+        self.0.split_once(INCARNATION_SEPARATOR).map_or(&self.0, |(name, _)| name)
     }
 
     /// When the life began, in Unix milliseconds; 0 when that is not known.
     pub fn started_ms(&self) -> u64 {
-        self.0.split_once(LIFE_MARK).and_then(|(_, born)| born.parse().ok()).unwrap_or_default()
+        self.0.split_once(INCARNATION_SEPARATOR).and_then(|(_, born)| born.parse().ok()).unwrap_or_default()
     }
 
     /// How another life of the replica stands to this one by when they began; nothing where that is not known of both.
@@ -86,7 +88,7 @@
 
     /// What all lives of the replica are known by.
     pub fn without_incarnation(&self) -> Self {
-        if self.0.contains(LIFE_MARK) { Self::new(self.name()) } else { self.clone() }
+        if self.0.contains(INCARNATION_SEPARATOR) { Self::new(self.name()) } else { self.clone() }
     }
 }
 
--- a/crates/sablebay-catalogue/src/route_table.rs
+++ b/crates/sablebay-catalogue/src/route_table.rs
@@ -63,7 +63,7 @@
     /// How much less urgent a request is than the most urgent one that may come to a service of its route; 0 for
     /// that one.
     pub fn rank(&self, route: &Route, tenant: Option<&Tenant>) -> u32 {
-        let most_urgent = self.most_urgent.beside(route);
+        let most_urgent = self.most_urgent.for_route(route);
         most_urgent.map_or(0, |most_urgent| priority(route, tenant).saturating_sub(most_urgent))
     }
 
--- a/crates/sablebay-catalogue/src/source_return.rs
+++ b/crates/sablebay-catalogue/src/source_era.rs
@@ -20,7 +20,7 @@
     /// The lowest number that was heard of in it; 0 in the first era, in which nothing is a copy's.
     first_number: u64,
     /// When anybody was first heard to have been told of it, by the node's clock.
-    heard_at: Micros,
+    observed_at: Micros,
 }
 
 impl SourceEra {
@@ -36,7 +36,7 @@
 
     /// How long it has been known.
     pub fn age(&self, now: Micros) -> Micros {
-        now.since(self.heard_at)
+        now.since(self.observed_at)
     }
 
     /// Whether writers have had the time to write again.
@@ -46,24 +46,24 @@
 
     /// Whether a change was surely made after the last return. Of one of an earlier era nobody can tell: its writer may have
     /// made it then, or in the era before.
-    pub fn is_written(&self, revision: CatalogueRevision) -> bool {
+    pub fn is_written_since_restore(&self, revision: CatalogueRevision) -> bool {
         revision.era() == self.era && revision.number() > self.first_number
     }
 
     /// Hears that the source was at a number, or at a lower one, of an era that has been known for `age`. Returns whether the
     /// era is a new one.
-    pub fn hear(&mut self, at: CatalogueRevision, age: Micros, now: Micros) -> bool {
-        let heard_at = now.since(age);
+    pub fn observe(&mut self, at: CatalogueRevision, age: Micros, now: Micros) -> bool {
+        let observed_at = now.since(age);
         if at.era() < self.era {
             return false;
         }
         if at.era() > self.era {
-            *self = Self { era: at.era(), first_number: at.number(), heard_at };
+            *self = Self { era: at.era(), first_number: at.number(), observed_at };
             return true;
         }
         if self.era != Era::UNNAMED {
             self.first_number = self.first_number.min(at.number());
-            self.heard_at = self.heard_at.min(heard_at);
+            self.observed_at = self.observed_at.min(observed_at);
         }
         false
     }
--- a/crates/sablebay-catalogue/src/urgency.rs
+++ b/crates/sablebay-catalogue/src/urgency.rs
@@ -34,7 +34,7 @@
     }
 
     /// The most urgent priority that may come to a service of the route.
-    pub(crate) fn beside(&self, route: &Route) -> Option<u32> {
+    pub(crate) fn for_route(&self, route: &Route) -> Option<u32> {
         route.destination.services().filter_map(|service| self.by_service.get(service)).min().copied()
     }
 }
--- a/crates/sablebay-catalogue/src/view.rs
+++ b/crates/sablebay-catalogue/src/view.rs
@@ -6,7 +6,7 @@
 //!   from several sources;
 //! - a replica of an evacuated zone gets no new work: [`CatalogueView::routable`] leaves it out, so that
 //!   nothing which is made from the view can send there;
-//! - a replica that drains or whose entry is gone for [`ABSENCE_PATIENCE`] gets no new work
+//! - a replica that drains or whose entry is gone for [`ABSENCE_GRACE_PERIOD`] gets no new work
 //!   (must-hold 6). An entry may also vanish while the source is in trouble and come back with the
 //!   replica's next heartbeat, so that a vanished replica stays a last resort until then;
 //! - a source that comes back from an older copy takes nothing back: what was known holds until its own writer has said
@@ -28,20 +28,20 @@
 use crate::replica::{Replica, ReplicaId, ReplicaPhase, ServiceName};
 use crate::revision::{CataloguePosition, CatalogueRevision, Era};
 use crate::route_table::RouteTable;
-use crate::source_return::SourceEra;
+use crate::source_era::SourceEra;
 
 use entry::Entry;
 
 /// How long a replica whose entry vanished is a last resort.
-const ABSENCE_PATIENCE: Micros = Micros::from_millis(1_600);
+const ABSENCE_GRACE_PERIOD: Micros = Micros::from_millis(1_600);
 /// How long the replicas of a zone that was taken back are taken for cold where their service does not
 /// say how long that lasts: the three seconds that the users' sheets give for a started one.
 const ASSUMED_WARM_UP: Micros = Micros::from_secs(3);
 /// How long a node that has not learnt what the fleet knew waits for a peer that has: a node finds its first peer 0.1 s after
 /// its start, a peer answers such a question at once, and two that are gone without a sign cost 0.35 s each.
-const LEARNING_PATIENCE: Micros = Micros::from_millis(1_000);
+const CATCH_UP_TIMEOUT: Micros = Micros::from_millis(1_000);
 /// Spans of unheard changes that are kept: listings are seconds apart at the least, and a peer is behind by less.
-const MAXIMUM_UNHEARD: usize = 4;
+const MAXIMUM_GAPS: usize = 4;
 /// How long the revision of a vanished entry is remembered, against older news of it.
 const TOMBSTONE_LIFETIME: Micros = Micros::from_secs(60);
 
@@ -84,7 +84,7 @@
 
 /// Changes that a node knows by what they led to alone: it knew the catalogue up to a moment, and next as a whole.
 #[derive(Clone, Copy, Debug)]
-struct Unheard {
+struct Gap {
     after: CataloguePosition,
     until: CatalogueRevision,
 }
@@ -92,7 +92,7 @@
 /// What a node may still have to learn from its peers: what the fleet knew before it started, or before the source's last
 /// return.
 #[derive(Clone, Copy, Debug)]
-struct Learning {
+struct CatchUp {
     /// Up to where it knew the catalogue then.
     from: CataloguePosition,
     since: Micros,
@@ -108,13 +108,13 @@
     /// The highest revision of an entry that vanished and was forgotten.
     forgotten_up_to: CatalogueRevision,
     /// The last spans of changes that were not heard one by one: what came and went in them is not known here.
-    unheard: VecDeque<Unheard>,
+    gaps: VecDeque<Gap>,
     source: SourceEra,
     /// Up to where this node had heard everything before the source's era.
-    heard_before: CataloguePosition,
+    received_before: CataloguePosition,
     /// Up to where this node, or who told it, knew something before the source's era: what is kept may be from there.
     known_before: CataloguePosition,
-    learning: Option<Learning>,
+    catch_up: Option<CatchUp>,
     evacuations: Evacuations,
     revisions: ConfigurationRevisions,
     /// Whether leaving replicas get work; in the soak alone.
@@ -147,7 +147,7 @@
         if self.replicas_at.is_settled() || self.known_before.is_nothing() {
             return 0;
         }
-        let kept = |entry: &&Entry| entry.kept;
+        let kept = |entry: &&Entry| entry.retained;
         self.entries.values().filter(kept).count() + self.evacuations.known_before(self.source.era())
     }
 
@@ -158,14 +158,14 @@
     }
 
     /// Hears that the source is at a revision of an era that somebody has known for `age`.
-    fn hear_of_source(&mut self, at: CatalogueRevision, age: Micros, now: Micros) {
-        if self.source.hear(at, age, now) {
-            self.heard_before = self.replicas_at;
+    fn observe_source(&mut self, at: CatalogueRevision, age: Micros, now: Micros) {
+        if self.source.observe(at, age, now) {
+            self.received_before = self.replicas_at;
             // What is kept from before an era that never settled is kept on.
             if self.replicas_at.is_settled() || self.known_before.is_nothing() {
                 self.known_before = self.replicas_at;
             }
-            let kept = |entry: &mut Entry| entry.kept = false;
+            let kept = |entry: &mut Entry| entry.retained = false;
             self.entries.values_mut().for_each(kept);
         }
     }
@@ -203,13 +203,13 @@
 
     fn take_notice(&mut self, notice: &ZoneNotice, settled: bool, now: Micros) -> bool {
         // What a source says at first after its return was not heard in order.
-        let heard_up_to =
+        let received_up_to =
             if self.replicas_at.is_settled() || notice.revision().era() == self.replicas_at.era() {
                 self.replicas_at
             } else {
-                self.heard_before
+                self.received_before
             };
-        notice.revision() > heard_up_to.revision()
+        notice.revision() > received_up_to.revision()
             && self.evacuations.apply(notice, &self.source, settled, now)
     }
 
@@ -262,7 +262,7 @@
     /// written since. A key that was taken away just before the return lies in the copy.
     pub fn source_confirms(&self) -> bool {
         let read = self.revisions.read();
-        let written = read.era() == self.source.era() && self.source.is_written(read);
+        let written = read.era() == self.source.era() && self.source.is_written_since_restore(read);
         (self.replicas_at.is_settled() || written) && self.incoming().announced().is_none()
     }
 
@@ -296,14 +296,14 @@
     /// taken back; after a return of the source, not before its era is settled. Returns whether it changed anything.
     pub fn replace(&mut self, listing: Listing, now: Micros) -> bool {
         let returned = !self.replicas_at.is_nothing() && listing.at.era() > self.replicas_at.era();
-        if returned && self.learning.is_none() {
+        if returned && self.catch_up.is_none() {
             self.begin_catch_up(now);
         }
         if listing.at.era() == Era::UNNAMED {
             // A source that never comes back from a copy says all that there is.
             self.end_catch_up();
         }
-        self.hear_of_source(listing.at, Micros(0), now);
+        self.observe_source(listing.at, Micros(0), now);
         let settled = self.is_era_settled(now);
         self.skip_to(listing.at);
         let mut changed = self.replace_zones(&listing, settled, now);
@@ -317,9 +317,9 @@
         if until <= self.replicas_at.revision() {
             return;
         }
-        self.unheard.push_back(Unheard { after: self.replicas_at, until });
-        if self.unheard.len() > MAXIMUM_UNHEARD
-            && let Some(oldest) = self.unheard.pop_front()
+        self.gaps.push_back(Gap { after: self.replicas_at, until });
+        if self.gaps.len() > MAXIMUM_GAPS
+            && let Some(oldest) = self.gaps.pop_front()
         {
             self.forgotten_up_to = self.forgotten_up_to.max(oldest.until);
         }
@@ -367,7 +367,7 @@
     fn miss(&mut self, id: &ReplicaId, at: CatalogueRevision, settled: bool, now: Micros) -> bool {
         match self.entries.get_mut(id) {
             Some(entry) if entry.revision.era() != at.era() && !settled => {
-                entry.kept = entry.vanished_at.is_none();
+                entry.retained = entry.vanished_at.is_none();
                 false
             }
             _ => self.vanish(id, at, settled, now),
@@ -378,22 +378,22 @@
         let id = replica.id.without_incarnation();
         if let Some(entry) = self.entries.get_mut(&id) {
             if entry.has(&replica) && revision.era() > entry.revision.era() {
-                entry.kept = false;
+                entry.retained = false;
                 // Peers whose copy of it is older have yet to hear of what was written since.
-                if self.source.is_written(revision) {
+                if self.source.is_written_since_restore(revision) {
                     entry.revision = revision;
                 }
                 return false;
             }
             if !entry.is_replaced_by(&replica, revision, &self.source, settled) {
-                entry.kept |= revision.era() > entry.revision.era();
+                entry.retained |= revision.era() > entry.revision.era();
                 return false;
             }
         }
         let warm_at = now.plus(Micros::from_millis(replica.warm_up_left_ms));
-        let life = replica.id.clone();
+        let incarnation = replica.id.clone();
         let replica = Some(Arc::new(replica));
-        let entry = Entry { life, replica, revision, kept: false, warm_at, vanished_at: None };
+        let entry = Entry { incarnation, replica, revision, retained: false, warm_at, vanished_at: None };
         self.entries.insert(id, entry);
         true
     }
@@ -402,11 +402,11 @@
         let source = &self.source;
         let entry =
             self.entries.entry(id.without_incarnation()).or_insert_with(|| Entry::absent(id.clone(), now));
-        if !entry.is_ended_by(id, revision, source, settled) {
+        if !entry.is_removed_by(id, revision, source, settled) {
             return false;
         }
         entry.revision = revision;
-        entry.kept = false;
+        entry.retained = false;
         let first = entry.vanished_at.is_none();
         if first {
             entry.vanished_at = Some(now);
@@ -441,7 +441,7 @@
                 continue;
             }
             let vanished_for = entry.vanished_at.map(|vanished_at| now.since(vanished_at));
-            if vanished_for.is_some_and(|absence| absence >= ABSENCE_PATIENCE) {
+            if vanished_for.is_some_and(|absence| absence >= ABSENCE_GRACE_PERIOD) {
                 continue;
             }
             services.entry(replica.service.clone()).or_default().push(RoutableReplica {
@@ -473,6 +473,6 @@
     /// When [`CatalogueView::routable`] next changes by itself.
     pub fn next_expiry(&self, now: Micros) -> Option<Micros> {
         let expiries = self.entries.values().filter_map(|entry| entry.vanished_at);
-        expiries.map(|at| at.plus(ABSENCE_PATIENCE)).filter(|at| *at > now).min()
+        expiries.map(|at| at.plus(ABSENCE_GRACE_PERIOD)).filter(|at| *at > now).min()
     }
 }
--- a/crates/sablebay-catalogue/src/view/entry.rs
+++ b/crates/sablebay-catalogue/src/view/entry.rs
@@ -7,27 +7,34 @@
 
 use crate::replica::{Replica, ReplicaId};
 use crate::revision::{CataloguePosition, CatalogueRevision};
-use crate::source_return::SourceEra;
+use crate::source_era::SourceEra;
 
 /// What is known of the entry of one replica.
 #[derive(Debug)]
 pub(super) struct Entry {
     /// The life that it is or was of.
-    pub(super) life: ReplicaId,
+    pub(super) incarnation: ReplicaId,
     /// Nothing where it was only heard that the entry went.
     pub(super) replica: Option<Arc<Replica>>,
     pub(super) revision: CatalogueRevision,
     /// Whether the source has said something else since its return, or nothing, and this is kept by what was known before.
-    pub(super) kept: bool,
+    pub(super) retained: bool,
     pub(super) warm_at: Micros,
     pub(super) vanished_at: Option<Micros>,
 }
 
 impl Entry {
     /// That of a replica of which nothing was heard but that it went.
-    pub(super) fn absent(life: ReplicaId, now: Micros) -> Self {
+    pub(super) fn absent(incarnation: ReplicaId, now: Micros) -> Self {
         let revision = CatalogueRevision::NOTHING;
-        Self { life, replica: None, revision, kept: false, warm_at: Micros(0), vanished_at: Some(now) }
+        Self {
+            incarnation,
+            replica: None,
+            revision,
+            retained: false,
+            warm_at: Micros(0),
+            vanished_at: Some(now),
+        }
     }
 
     /// Whether it says what a replica says.
@@ -42,44 +49,49 @@
     pub(super) fn is_replaced_by(
         &self,
         replica: &Replica,
-        told: CatalogueRevision,
+        incoming: CatalogueRevision,
         source: &SourceEra,
         settled: bool,
     ) -> bool {
-        if told.era() == self.revision.era() {
-            return told > self.revision;
+        if incoming.era() == self.revision.era() {
+            return incoming > self.revision;
         }
-        let later = told > self.revision;
-        let same_life = self.life == replica.id;
+        let later = incoming > self.revision;
+        let same_incarnation = self.incarnation == replica.id;
         let order = match &self.replica {
             Some(known) => known.version_order(replica),
-            None => self.life.incarnation_order(&replica.id).filter(|order| order.is_ne()),
+            None => self.incarnation.incarnation_order(&replica.id).filter(|order| order.is_ne()),
         };
         match order {
-            Some(Ordering::Greater) => later || same_life || !source.is_written(self.revision),
-            Some(Ordering::Less) if same_life => false,
-            _ => later && (settled || source.is_written(told)),
+            Some(Ordering::Greater) => {
+                later || same_incarnation || !source.is_written_since_restore(self.revision)
+            }
+            Some(Ordering::Less) if same_incarnation => false,
+            _ => later && (settled || source.is_written_since_restore(incoming)),
         }
     }
 
     /// Whether the word that the entry went, or is not there, takes its place. It names the life that there was, where that is
     /// known.
-    pub(super) fn is_ended_by(
+    pub(super) fn is_removed_by(
         &self,
-        life: &ReplicaId,
-        told: CatalogueRevision,
+        incarnation: &ReplicaId,
+        incoming: CatalogueRevision,
         source: &SourceEra,
         settled: bool,
     ) -> bool {
-        if told.era() == self.revision.era() {
-            return told > self.revision;
+        if incoming.era() == self.revision.era() {
+            return incoming > self.revision;
         }
-        if told > self.revision {
-            return settled || source.is_written(told);
+        if incoming > self.revision {
+            return settled || source.is_written_since_restore(incoming);
         }
         // What is known may be the copy's: then it is older than what went after it. A later life is not.
-        let is_later_life = life.incarnation_order(&self.life) == Some(Ordering::Greater);
-        !source.is_written(self.revision) && told > self.revision.in_era(told.era()) && !is_later_life
+        let is_later_incarnation =
+            incarnation.incarnation_order(&self.incarnation) == Some(Ordering::Greater);
+        !source.is_written_since_restore(self.revision)
+            && incoming > self.revision.in_era(incoming.era())
+            && !is_later_incarnation
     }
 
     /// Whether a peer that knows the catalogue up to a position has yet to hear of it from a node that is at another. To one that
--- a/crates/sablebay-catalogue/tests/confirmation.rs
+++ b/crates/sablebay-catalogue/tests/confirmation.rs
@@ -31,12 +31,12 @@
     }
 
     /// Its bound in true time.
-    fn believed(&self) -> u64 {
+    fn bound_in_true_time(&self) -> u64 {
         self.bound.0.saturating_sub(self.clock_ahead)
     }
 
-    fn is_right(&self) -> bool {
-        self.believed() <= self.newest_up_to
+    fn is_valid(&self) -> bool {
+        self.bound_in_true_time() <= self.newest_up_to
     }
 }
 
@@ -44,40 +44,41 @@
 #[derive(Clone, Copy, Debug)]
 struct Delays {
     before: u64,
-    way_there: u64,
+    request_delay: u64,
     held: u64,
-    way_back: u64,
+    response_delay: u64,
 }
 
 fn delays() -> impl Strategy<Value = Delays> {
     let way = || prop_oneof![0..2_000_u64, 0..4_000_000_u64];
-    (way(), way(), 0..900_000_u64, way()).prop_map(|(before, way_there, held, way_back)| Delays {
+    (way(), way(), 0..900_000_u64, way()).prop_map(|(before, request_delay, held, response_delay)| Delays {
         before,
-        way_there,
+        request_delay,
         held,
-        way_back,
+        response_delay,
     })
 }
 
 /// The source answers at a moment between question and answer; a wait may have heard nothing for a while before.
 fn read_source(at: u64, delays: Delays, clock_ahead: u64, waits: bool) -> (Node, u64) {
     let asked_at = at + delays.before;
-    let answered = asked_at + delays.way_there + delays.held;
-    let unheard = if waits { WATCH_SILENCE.0 } else { 0 };
+    let answered = asked_at + delays.request_delay + delays.held;
+    let silence = if waits { WATCH_SILENCE.0 } else { 0 };
     let asked = Micros(asked_at + clock_ahead);
     let bound = if waits { bound_of_wait(asked) } else { bound_of_listing(asked) };
-    let node = Node { clock_ahead, bound, newest_up_to: answered - unheard };
-    (node, answered + delays.way_back)
+    let node = Node { clock_ahead, bound, newest_up_to: answered - silence };
+    (node, answered + delays.response_delay)
 }
 
 /// A node learns from another one.
 fn ask_peer(at: u64, delays: Delays, clock_ahead: u64, peer: &Node) -> (Node, u64) {
     let asked_at = at + delays.before;
-    let received = asked_at + delays.way_there;
-    let spoke = received + delays.held;
-    let arrived = spoke + delays.way_back;
-    let said = PeerConfirmation { held: Micros(delays.held), age: peer.clock(spoke).since(peer.bound) };
-    let bound = said.bound(Micros(asked_at + clock_ahead), Micros(arrived + clock_ahead));
+    let received = asked_at + delays.request_delay;
+    let responded_at = received + delays.held;
+    let arrived = responded_at + delays.response_delay;
+    let confirmation =
+        PeerConfirmation { held: Micros(delays.held), age: peer.clock(responded_at).since(peer.bound) };
+    let bound = confirmation.bound(Micros(asked_at + clock_ahead), Micros(arrived + clock_ahead));
     (Node { clock_ahead, bound, newest_up_to: peer.newest_up_to }, arrived)
 }
 
@@ -95,10 +96,10 @@
         clock_ahead in 0..10_000_000_u64,
     ) {
         let (mut node, mut at) = read_source(START, first, clock_ahead, waits);
-        prop_assert!(node.is_right(), "of the source: {node:?}");
+        prop_assert!(node.is_valid(), "of the source: {node:?}");
         for (delays, clock_ahead) in hops {
             (node, at) = ask_peer(at, delays, clock_ahead, &node);
-            prop_assert!(node.is_right(), "of a peer: {node:?}");
+            prop_assert!(node.is_valid(), "of a peer: {node:?}");
         }
     }
 
@@ -111,7 +112,7 @@
         let first = told.newest_up_to;
         for (turn, delays) in exchanges.iter().enumerate() {
             let (asker, arrived) = ask_peer(at, *delays, turn as u64 % 2 * 7_000_000, &told);
-            prop_assert!(asker.believed() <= first);
+            prop_assert!(asker.bound_in_true_time() <= first);
             (told, at) = (asker, arrived);
         }
         prop_assert!(told.clock(at).since(told.bound).0 >= at - first);
@@ -120,10 +121,10 @@
     /// Where ways are short the bound is close to the truth: a node in touch serves.
     #[test]
     fn a_bound_loses_no_more_than_the_way_there(held in 0..900_000_u64, way in 0..50_000_u64) {
-        let (reader, at) = read_source(START, Delays { before: 0, way_there: 0, held: 0, way_back: 0 }, 0, false);
-        let delays = Delays { before: 0, way_there: way, held, way_back: way };
+        let (reader, at) = read_source(START, Delays { before: 0, request_delay: 0, held: 0, response_delay: 0 }, 0, false);
+        let delays = Delays { before: 0, request_delay: way, held, response_delay: way };
         let (node, _) = ask_peer(at, delays, 0, &reader);
-        prop_assert!(node.newest_up_to - node.believed() <= way);
+        prop_assert!(node.newest_up_to - node.bound_in_true_time() <= way);
     }
 }
 
@@ -135,9 +136,9 @@
 /// A peer whose clock runs fast, or one that says nonsense, cannot make the bound later than the present less its age.
 #[test]
 fn a_peer_cannot_have_held_a_question_for_longer_than_the_answer_took() {
-    let said = PeerConfirmation { held: Micros::from_secs(60), age: Micros::from_secs(2) };
+    let confirmation = PeerConfirmation { held: Micros::from_secs(60), age: Micros::from_secs(2) };
     let (asked_at, now) = (Micros::from_secs(100), Micros::from_secs(101));
-    assert_eq!(said.bound(asked_at, now), Micros::from_secs(99));
+    assert_eq!(confirmation.bound(asked_at, now), Micros::from_secs(99));
 }
 
 #[test]
--- a/crates/sablebay-catalogue/tests/evacuation.rs
+++ b/crates/sablebay-catalogue/tests/evacuation.rs
@@ -137,7 +137,7 @@
 
 /// One thing that a node hears.
 #[derive(Clone, Debug)]
-enum News {
+enum Event {
     /// The change with this number, by itself.
     Change(usize),
     /// Everything as it was after this many changes.
@@ -151,31 +151,31 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(14), cases: 512, ..Config::default() })]
 
-    /// Whatever comes twice, late or not at all: who has heard the last word on a zone goes by it from then
+    /// Whatever comes twice, late or not at all: who has received the last word on a zone goes by it from then
     /// on, and nothing older overrules it.
     #[test]
     fn the_last_word_that_was_heard_stands(
-        said in history(),
-        heard in prop::collection::vec((any::<bool>(), any::<prop::sample::Index>()), 1..30),
+        notices in history(),
+        received in prop::collection::vec((any::<bool>(), any::<prop::sample::Index>()), 1..30),
     ) {
         let mut view = view_of_three_zones();
         let mut newest = [0u64; ZONES.len()];
-        for (by_listing, index) in heard {
-            let number = index.index(said.len());
-            let news = if by_listing { News::Listing(number) } else { News::Change(number) };
-            match news {
-                News::Change(number) => {
-                    let (zone, evacuated) = said[number];
+        for (by_listing, index) in received {
+            let number = index.index(notices.len());
+            let event = if by_listing { Event::Listing(number) } else { Event::Change(number) };
+            match event {
+                Event::Change(number) => {
+                    let (zone, evacuated) = notices[number];
                     let revision = 10 + number as u64;
                     view.apply_notice(&notice(ZONES[zone], evacuated, revision), START);
                     newest[zone] = newest[zone].max(revision);
                 }
-                News::Listing(number) => {
+                Event::Listing(number) => {
                     let listed_at = 10 + number as u64;
                     let mut evacuated = Vec::new();
                     for (zone, name) in ZONES.iter().enumerate() {
-                        let last = (0..=number).rev().find(|change| said[*change].0 == zone);
-                        if let Some(last) = last.filter(|change| said[*change].1) {
+                        let last = (0..=number).rev().find(|change| notices[*change].0 == zone);
+                        if let Some(last) = last.filter(|change| notices[*change].1) {
                             evacuated.push((ZoneName::new(name), at(10 + last as u64)));
                         }
                     }
@@ -187,8 +187,8 @@
                 }
             }
             for (zone, name) in ZONES.iter().enumerate() {
-                let last = said.iter().enumerate().rev()
-                    .find(|(number, (said_of, _))| *said_of == zone && 10 + *number as u64 <= newest[zone]);
+                let last = notices.iter().enumerate().rev()
+                    .find(|(number, (notice_zone, _))| *notice_zone == zone && 10 + *number as u64 <= newest[zone]);
                 let expected = last.is_some_and(|(_, (_, evacuated))| *evacuated);
                 prop_assert_eq!(view.is_evacuated(&ZoneName::new(name)), expected);
                 prop_assert_eq!(zones_in_use(&view, START).contains(&name.to_string()), !expected);
--- a/crates/sablebay-catalogue/tests/lives.rs
+++ b/crates/sablebay-catalogue/tests/lives.rs
@@ -38,7 +38,7 @@
 }
 
 /// The lives that may get new work, and whether only as a last resort.
-fn lives(view: &CatalogueView) -> Vec<(u64, bool)> {
+fn incarnations(view: &CatalogueView) -> Vec<(u64, bool)> {
     let services = view.routable(START);
     let replicas = services.get(&ServiceName::new("s")).map(Vec::as_slice).unwrap_or_default();
     replicas.iter().map(|known| (known.replica.id.started_ms(), known.last_resort)).collect()
@@ -62,14 +62,14 @@
     let mut view = CatalogueView::default();
     view.apply(written(5, ReplicaPhase::Ready), at(1), START);
     view.apply(written(5, ReplicaPhase::Draining), at(2), START);
-    assert_eq!(lives(&view), []);
+    assert_eq!(incarnations(&view), []);
     // It takes back that the one before was leaving; its clock may be behind.
     view.apply(written(4, ReplicaPhase::Ready), at(3), START);
-    assert_eq!(lives(&view), [(4, false)]);
+    assert_eq!(incarnations(&view), [(4, false)]);
     // Word of the one before that comes late changes nothing.
     view.apply(written(5, ReplicaPhase::Draining), at(2), START);
     view.apply(written(5, ReplicaPhase::Ready), at(1), START);
-    assert_eq!(lives(&view), [(4, false)]);
+    assert_eq!(incarnations(&view), [(4, false)]);
 }
 
 #[test]
@@ -77,36 +77,36 @@
     let mut view = CatalogueView::default();
     view.apply(written(5, ReplicaPhase::Ready), at(1), START);
     view.apply(ReplicaChange::Removed(ReplicaId::new("a")), at(2), START);
-    assert_eq!(lives(&view), [(5, true)]);
+    assert_eq!(incarnations(&view), [(5, true)]);
     view.apply(written(6, ReplicaPhase::Ready), at(3), START);
-    assert_eq!(lives(&view), [(6, false)]);
+    assert_eq!(incarnations(&view), [(6, false)]);
 }
 
 #[test]
 fn peers_tell_each_other_of_lives() {
-    let (mut teller, mut hearer) = (CatalogueView::default(), CatalogueView::default());
-    for view in [&mut teller, &mut hearer] {
+    let (mut sender, mut receiver) = (CatalogueView::default(), CatalogueView::default());
+    for view in [&mut sender, &mut receiver] {
         view.apply(written(5, ReplicaPhase::Draining), at(1), START);
         view.advance(at(1));
     }
-    teller.apply(written(6, ReplicaPhase::Ready), at(2), START);
-    teller.advance(at(2));
-    assert!(hearer.merge(teller.snapshot(0, up_to(1), START), START));
-    assert_eq!(lives(&hearer), [(6, false)]);
-    teller.apply(ReplicaChange::Removed(ReplicaId::new("a")), at(3), START);
-    teller.advance(at(3));
-    assert!(hearer.merge(teller.snapshot(0, up_to(2), START), START));
-    assert_eq!(lives(&hearer), [(6, true)]);
+    sender.apply(written(6, ReplicaPhase::Ready), at(2), START);
+    sender.advance(at(2));
+    assert!(receiver.merge(sender.snapshot(0, up_to(1), START), START));
+    assert_eq!(incarnations(&receiver), [(6, false)]);
+    sender.apply(ReplicaChange::Removed(ReplicaId::new("a")), at(3), START);
+    sender.advance(at(3));
+    assert!(receiver.merge(sender.snapshot(0, up_to(2), START), START));
+    assert_eq!(incarnations(&receiver), [(6, true)]);
     let mut starting = CatalogueView::default();
-    teller.apply(written(7, ReplicaPhase::Ready), at(4), START);
-    teller.advance(at(4));
-    assert!(starting.merge(teller.snapshot(0, up_to(0), START), START));
-    assert_eq!(lives(&starting), [(7, false)]);
+    sender.apply(written(7, ReplicaPhase::Ready), at(4), START);
+    sender.advance(at(4));
+    assert!(starting.merge(sender.snapshot(0, up_to(0), START), START));
+    assert_eq!(incarnations(&starting), [(7, false)]);
 }
 
 /// A replica as nodes of the release before lives told each other of it.
 #[derive(Debug, PartialEq, Encode, Decode)]
-struct FormerReplica {
+struct LegacyReplica {
     id: ReplicaId,
     service: ServiceName,
     address: std::net::SocketAddr,
@@ -118,11 +118,11 @@
 
 #[test]
 fn nodes_that_know_no_lives_are_told_names() {
-    let told =
+    let encoded =
         musli::wire::to_vec(&ReplicaEntry::from(&replica(5, ReplicaPhase::Ready))).expect("it is encoded");
-    let heard: FormerReplica = musli::wire::from_slice(&told).expect("a former node reads it");
-    assert_eq!(heard.id, ReplicaId::new("a"));
-    let told = musli::wire::to_vec(&heard).expect("it is encoded");
-    let entry: ReplicaEntry = musli::wire::from_slice(&told).expect("a node reads it");
+    let decoded: LegacyReplica = musli::wire::from_slice(&encoded).expect("a former node reads it");
+    assert_eq!(decoded.id, ReplicaId::new("a"));
+    let encoded = musli::wire::to_vec(&decoded).expect("it is encoded");
+    let entry: ReplicaEntry = musli::wire::from_slice(&encoded).expect("a node reads it");
     assert_eq!(Replica::from(entry), replica(0, ReplicaPhase::Ready));
 }
--- a/crates/sablebay-catalogue/tests/reading.rs
+++ b/crates/sablebay-catalogue/tests/reading.rs
@@ -10,7 +10,7 @@
 /// The bound on new configurations at the users' deployments.
 const CONFIGURATION_BOUND: Duration = Duration::from_millis(3_000);
 /// What is left of it for the answer and its way to the other nodes.
-const WAY: Duration = Duration::from_millis(500);
+const DELIVERY_TIME: Duration = Duration::from_millis(500);
 
 /// The revision that the inputs of these tests know the catalogue up to.
 const SEVEN: CatalogueRevision = CatalogueRevision::new(Era::UNNAMED, 7);
@@ -29,7 +29,7 @@
     }
 }
 
-fn patience_of(step: SourceStep) -> Duration {
+fn timeout_of(step: SourceStep) -> Duration {
     match step {
         SourceStep::Read(SourceRead::All { timeout } | SourceRead::Changes { timeout, .. }) => timeout,
         SourceStep::Wait(_) => panic!("a reader reads"),
@@ -43,9 +43,9 @@
     for jitter in [0.0, 0.5, 1.0] {
         let mut policy = ReadingPolicy::default();
         let reader = inputs(true, Some(0));
-        let lost = patience_of(policy.next(&reader)) + policy.failed(ReadFailure::NoAnswer, true, jitter);
+        let lost = timeout_of(policy.next(&reader)) + policy.failed(ReadFailure::NoAnswer, true, jitter);
         assert!(lost <= MAXIMUM_STALENESS, "{lost:?}");
-        assert!(MAXIMUM_STALENESS + WAY < CONFIGURATION_BOUND);
+        assert!(MAXIMUM_STALENESS + DELIVERY_TIME < CONFIGURATION_BOUND);
     }
 }
 
@@ -89,14 +89,14 @@
 /// waited for the others.
 #[test]
 fn a_node_that_comes_back_reads_at_once() {
-    let hurried = ReadingInputs {
+    let restarted = ReadingInputs {
         running_for: Duration::ZERO,
         startup_wait: Duration::ZERO,
         has_peers: false,
         known_up_to: CataloguePosition::NOTHING,
         ..inputs(false, None)
     };
-    assert!(matches!(ReadingPolicy::default().next(&hurried), SourceStep::Read(SourceRead::All { .. })));
+    assert!(matches!(ReadingPolicy::default().next(&restarted), SourceStep::Read(SourceRead::All { .. })));
 }
 
 #[test]
@@ -120,19 +120,19 @@
 fn a_slow_source_is_given_more_time_and_a_refusing_one_is_not_pressed() {
     let mut policy = ReadingPolicy::default();
     let reader = ReadingInputs { known_up_to: CataloguePosition::NOTHING, ..inputs(true, Some(0)) };
-    let first = patience_of(policy.next(&reader));
+    let first = timeout_of(policy.next(&reader));
     let mut pauses = Vec::new();
     for _ in 0..6 {
         pauses.push(policy.failed(ReadFailure::NoAnswer, true, 0.5));
     }
-    assert!(patience_of(policy.next(&reader)) >= first * 4);
+    assert!(timeout_of(policy.next(&reader)) >= first * 4);
     assert!(pauses.windows(2).all(|pair| pair[0] <= pair[1]));
     policy.succeeded(false, &reader);
     assert!(!policy.is_failing());
     assert!(policy.failed(ReadFailure::Refused, true, 0.5) > Duration::ZERO);
     // Who is no reader presses a source in trouble less than a reader does.
-    let mut bystander = ReadingPolicy::default();
-    assert!(bystander.failed(ReadFailure::NoAnswer, false, 0.5) > pauses[5]);
+    let mut non_reader = ReadingPolicy::default();
+    assert!(non_reader.failed(ReadFailure::NoAnswer, false, 0.5) > pauses[5]);
 }
 
 /// A node whose configuration is `age_ms` old where 5 seconds are the limit.
@@ -155,9 +155,9 @@
 fn a_reader_in_touch_waits_for_changes_as_where_ages_are_not_limited() {
     let policy = ReadingPolicy::default();
     let unlimited = wait_of(policy.next(&inputs(true, Some(0))));
-    let calm_ms = 1_000 + unlimited.as_millis() as u64;
-    assert_eq!(wait_of(policy.next(&limited(true, calm_ms, 0.0))), unlimited);
-    assert!(matches!(policy.next(&limited(false, calm_ms + 900 + 700, 0.0)), SourceStep::Wait(_)));
+    let usual_age_ms = 1_000 + unlimited.as_millis() as u64;
+    assert_eq!(wait_of(policy.next(&limited(true, usual_age_ms, 0.0))), unlimited);
+    assert!(matches!(policy.next(&limited(false, usual_age_ms + 900 + 700, 0.0)), SourceStep::Wait(_)));
 }
 
 /// A lost wait is followed by a question that is answered at once: with another wait, the age would come to
@@ -165,7 +165,7 @@
 #[test]
 fn a_reader_whose_configuration_is_close_to_its_limit_waits_for_nothing() {
     let mut policy = ReadingPolicy::default();
-    let lost = patience_of(policy.next(&limited(true, 1_900, 0.0)));
+    let lost = timeout_of(policy.next(&limited(true, 1_900, 0.0)));
     let pause = policy.failed(ReadFailure::NoAnswer, true, 1.0);
     let age = Duration::from_millis(1_900) + lost + pause;
     let next = policy.next(&limited(true, age.as_millis() as u64, 0.0));
--- a/crates/sablebay-catalogue/tests/returns.rs
+++ b/crates/sablebay-catalogue/tests/returns.rs
@@ -22,10 +22,10 @@
 const STEP: Micros = Micros::from_millis(20);
 const ZONE: &str = "z";
 
-/// What a replica says of itself: its life, its count of words, and whether it takes work.
-type Word = (u64, u64, bool);
+/// What a replica says of itself: its life, its count of announcements, and whether it takes work.
+type Announcement = (u64, u64, bool);
 
-fn replica(id: u8, (started_ms, sequence, ready): Word) -> Replica {
+fn replica(id: u8, (started_ms, sequence, ready): Announcement) -> Replica {
     Replica {
         id: ReplicaId::with_incarnation(format!("r{id}"), started_ms),
         service: ServiceName::new("s"),
@@ -38,7 +38,7 @@
     }
 }
 
-/// What lies at the source under a key.
+/// What stored at the source under a key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Key {
     Replica(u8),
@@ -48,9 +48,9 @@
 #[derive(Clone, Debug, Default)]
 struct Contents {
     number: u64,
-    replicas: BTreeMap<u8, (Word, u64)>,
+    replicas: BTreeMap<u8, (Announcement, u64)>,
     evacuated: Option<u64>,
-    changes: Vec<(u64, Key, Option<Word>)>,
+    changes: Vec<(u64, Key, Option<Announcement>)>,
 }
 
 /// The source, and what its writers last said.
@@ -61,8 +61,8 @@
     contents: Contents,
     copy: Contents,
     /// Nothing of one that has left.
-    words: BTreeMap<u8, Option<Word>>,
-    lives: u64,
+    announcements: BTreeMap<u8, Option<Announcement>>,
+    incarnations: u64,
     evacuated: bool,
 }
 
@@ -73,8 +73,8 @@
             eras: 1,
             contents: Contents { number: 10, ..Contents::default() },
             copy: Contents::default(),
-            words: BTreeMap::new(),
-            lives: 0,
+            announcements: BTreeMap::new(),
+            incarnations: 0,
             evacuated: false,
         };
         for id in 0..REPLICAS {
@@ -88,42 +88,42 @@
         CatalogueRevision::new(self.era, number)
     }
 
-    fn put(&mut self, key: Key, word: Option<Word>) {
+    fn put(&mut self, key: Key, announcement: Option<Announcement>) {
         self.contents.number += 1;
         let number = self.contents.number;
-        match (key, word) {
-            (Key::Replica(id), Some(word)) => {
-                self.contents.replicas.insert(id, (word, number));
+        match (key, announcement) {
+            (Key::Replica(id), Some(announcement)) => {
+                self.contents.replicas.insert(id, (announcement, number));
             }
             (Key::Replica(id), None) => {
                 self.contents.replicas.remove(&id);
             }
-            (Key::Evacuation, word) => self.contents.evacuated = word.map(|_| number),
+            (Key::Evacuation, announcement) => self.contents.evacuated = announcement.map(|_| number),
         }
-        self.contents.changes.push((number, key, word));
+        self.contents.changes.push((number, key, announcement));
     }
 
     fn start(&mut self, id: u8) {
-        self.lives += 1;
-        self.say(id, Some((self.lives, 1, true)));
+        self.incarnations += 1;
+        self.announce(id, Some((self.incarnations, 1, true)));
     }
 
-    fn say(&mut self, id: u8, word: Option<Word>) {
-        self.words.insert(id, word);
-        self.put(Key::Replica(id), word);
+    fn announce(&mut self, id: u8, announcement: Option<Announcement>) {
+        self.announcements.insert(id, announcement);
+        self.put(Key::Replica(id), announcement);
     }
 
     /// It says that it leaves, or that it takes work again.
     fn change(&mut self, id: u8) {
-        match self.words[&id] {
-            Some((life, count, ready)) => self.say(id, Some((life, count + 1, !ready))),
+        match self.announcements[&id] {
+            Some((life, count, ready)) => self.announce(id, Some((life, count + 1, !ready))),
             None => self.start(id),
         }
     }
 
     fn leave(&mut self, id: u8) {
-        if self.words[&id].is_some() {
-            self.say(id, None);
+        if self.announcements[&id].is_some() {
+            self.announce(id, None);
         }
     }
 
@@ -134,29 +134,29 @@
         }
     }
 
-    fn come_back(&mut self) {
+    fn restore(&mut self) {
         self.eras += 1;
         self.era = Era::new(self.eras);
         self.contents = self.copy.clone();
     }
 
     /// A replica writes its entry again where it is not there as it says; where it has left, its entry goes.
-    fn write_again(&mut self, id: u8) {
-        let lies = self.contents.replicas.get(&id).map(|(word, _)| *word);
-        if lies != self.words[&id] {
-            self.put(Key::Replica(id), self.words[&id]);
+    fn rewrite(&mut self, id: u8) {
+        let stored = self.contents.replicas.get(&id).map(|(announcement, _)| *announcement);
+        if stored != self.announcements[&id] {
+            self.put(Key::Replica(id), self.announcements[&id]);
         }
     }
 
-    fn write_evacuation_again(&mut self) {
+    fn rewrite_evacuation(&mut self) {
         if self.contents.evacuated.is_some() != self.evacuated {
             self.put(Key::Evacuation, self.evacuated.then_some((0, 0, false)));
         }
     }
 
-    fn write_all_again(&mut self) {
-        (0..REPLICAS).for_each(|id| self.write_again(id));
-        self.write_evacuation_again();
+    fn rewrite_all(&mut self) {
+        (0..REPLICAS).for_each(|id| self.rewrite(id));
+        self.rewrite_evacuation();
     }
 
     fn list(&self) -> Listing {
@@ -165,7 +165,9 @@
         let evacuated = self.contents.evacuated.iter();
         Listing {
             at: at(self.contents.number),
-            replicas: replicas.map(|(id, (word, number))| (replica(*id, *word), at(*number))).collect(),
+            replicas: replicas
+                .map(|(id, (announcement, number))| (replica(*id, *announcement), at(*number)))
+                .collect(),
             evacuated: evacuated.map(|number| (ZoneName::new(ZONE), at(*number))).collect(),
         }
     }
@@ -176,20 +178,20 @@
         if after.era() != self.era || after > self.revision(self.contents.number) {
             return false;
         }
-        for (number, key, word) in &self.contents.changes {
+        for (number, key, announcement) in &self.contents.changes {
             let revision = self.revision(*number);
             if revision <= after {
                 continue;
             }
-            match (key, word) {
-                (Key::Replica(id), Some(word)) => {
-                    view.apply(ReplicaChange::Written(replica(*id, *word)), revision, now);
+            match (key, announcement) {
+                (Key::Replica(id), Some(announcement)) => {
+                    view.apply(ReplicaChange::Written(replica(*id, *announcement)), revision, now);
                 }
                 (Key::Replica(id), None) => {
                     view.apply(ReplicaChange::Removed(ReplicaId::new(format!("r{id}"))), revision, now);
                 }
-                (Key::Evacuation, word) => {
-                    let notice = ZoneNotice::new(ZoneName::new(ZONE), word.is_some(), revision);
+                (Key::Evacuation, announcement) => {
+                    let notice = ZoneNotice::new(ZoneName::new(ZONE), announcement.is_some(), revision);
                     view.apply_notice(&notice, now);
                 }
             }
@@ -218,8 +220,8 @@
     let services = view.routable(now);
     let replicas = services.get(&ServiceName::new("s")).map(Vec::as_slice).unwrap_or_default();
     let in_use = replicas.iter().filter(|known| !known.last_resort);
-    let word = |replica: &Replica| (replica.id.started_ms(), replica.sequence);
-    in_use.map(|known| (known.replica.id.name().to_string(), word(&known.replica))).collect()
+    let announcement = |replica: &Replica| (replica.id.started_ms(), replica.sequence);
+    in_use.map(|known| (known.replica.id.name().to_string(), announcement(&known.replica))).collect()
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -228,9 +230,9 @@
     Leave(u8),
     Evacuate(bool),
     Copy,
-    Return,
-    WriteAgain(u8),
-    WriteEvacuationAgain,
+    Restore,
+    Rewrite(u8),
+    RewriteEvacuation,
     Settle,
     Read(usize),
     Ask(usize, usize),
@@ -244,9 +246,9 @@
         1 => (0..REPLICAS).prop_map(Step::Leave),
         1 => any::<bool>().prop_map(Step::Evacuate),
         1 => Just(Step::Copy),
-        2 => Just(Step::Return),
-        2 => (0..REPLICAS).prop_map(Step::WriteAgain),
-        1 => Just(Step::WriteEvacuationAgain),
+        2 => Just(Step::Restore),
+        2 => (0..REPLICAS).prop_map(Step::Rewrite),
+        1 => Just(Step::RewriteEvacuation),
         1 => Just(Step::Settle),
         5 => node().prop_map(Step::Read),
         4 => (node(), node()).prop_map(|(asker, peer)| Step::Ask(asker, peer)),
@@ -254,10 +256,10 @@
     ]
 }
 
-/// The last word in use, and whether the replica has stopped getting work since.
+/// The last announcement in use, and whether the replica has stopped getting work since.
 type Seen = ((u64, u64), bool);
 
-struct World {
+struct Simulation {
     source: Source,
     views: Vec<CatalogueView>,
     /// By node and replica.
@@ -265,18 +267,19 @@
     now: Micros,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let views = (0..NODES).map(|_| CatalogueView::default()).collect();
-        let mut world = Self { source: Source::new(), views, seen: vec![BTreeMap::new(); NODES], now: START };
-        (0..NODES).for_each(|node| read(&world.source, &mut world.views[node], START));
-        world.settle();
-        world
+        let mut simulation =
+            Self { source: Source::new(), views, seen: vec![BTreeMap::new(); NODES], now: START };
+        (0..NODES).for_each(|node| read(&simulation.source, &mut simulation.views[node], START));
+        simulation.settle();
+        simulation
     }
 
     /// All writers write again, and the time is over that they have for it.
     fn settle(&mut self) {
-        self.source.write_all_again();
+        self.source.rewrite_all();
         self.now = self.now.plus(SETTLE_PERIOD);
     }
 
@@ -287,9 +290,9 @@
             Step::Leave(id) => self.source.leave(id),
             Step::Evacuate(evacuated) => self.source.evacuate(evacuated),
             Step::Copy => self.source.copy = self.source.contents.clone(),
-            Step::Return => self.source.come_back(),
-            Step::WriteAgain(id) => self.source.write_again(id),
-            Step::WriteEvacuationAgain => self.source.write_evacuation_again(),
+            Step::Restore => self.source.restore(),
+            Step::Rewrite(id) => self.source.rewrite(id),
+            Step::RewriteEvacuation => self.source.rewrite_evacuation(),
             Step::Settle => self.settle(),
             Step::Read(node) => read(&self.source, &mut self.views[node], self.now),
             Step::Ask(asker, peer) if asker != peer => {
@@ -306,37 +309,42 @@
         }
     }
 
-    /// No node gives work to an older word of a replica than it has seen, nor to one again that had stopped.
-    fn check_none_goes_back(&mut self) -> Result<(), TestCaseError> {
+    /// No node gives work to an older announcement of a replica than it has seen, nor to one again that had stopped.
+    fn check_no_regression(&mut self) -> Result<(), TestCaseError> {
         for node in 0..NODES {
             if self.views[node].is_evacuated(&ZoneName::new(ZONE)) {
                 continue;
             }
             let in_use = in_use(&self.views[node], self.now);
-            for (name, (word, stopped)) in &mut self.seen[node] {
+            for (name, (announcement, stopped)) in &mut self.seen[node] {
                 match in_use.get(name) {
-                    Some(now) if *stopped => prop_assert!(now > word, "node {node}: {name} again at {now:?}"),
-                    Some(now) => prop_assert!(now >= word, "node {node}: {name} back to {now:?}"),
+                    Some(now) if *stopped => {
+                        prop_assert!(now > announcement, "node {node}: {name} again at {now:?}")
+                    }
+                    Some(now) => prop_assert!(now >= announcement, "node {node}: {name} back to {now:?}"),
                     None => *stopped = true,
                 }
             }
-            self.seen[node].extend(in_use.into_iter().map(|(name, word)| (name, (word, false))));
+            self.seen[node]
+                .extend(in_use.into_iter().map(|(name, announcement)| (name, (announcement, false))));
         }
         Ok(())
     }
 
     /// Once all is written again, and every node has read, all know what there is.
-    fn check_all_end_equal(&mut self) -> Result<(), TestCaseError> {
+    fn check_convergence(&mut self) -> Result<(), TestCaseError> {
         // First contact with the newest era; then its settling; then what was kept is over.
         (0..NODES).for_each(|node| read(&self.source, &mut self.views[node], self.now));
         self.settle();
         (0..NODES).for_each(|node| read(&self.source, &mut self.views[node], self.now));
         self.now = self.now.plus(Micros::from_secs(2));
-        let ready = |(id, word): (&u8, &Option<Word>)| {
-            word.filter(|word| word.2 && !self.source.evacuated)
-                .map(|word| (format!("r{id}"), (word.0, word.1)))
+        let ready = |(id, announcement): (&u8, &Option<Announcement>)| {
+            announcement
+                .filter(|announcement| announcement.2 && !self.source.evacuated)
+                .map(|announcement| (format!("r{id}"), (announcement.0, announcement.1)))
         };
-        let expected: BTreeMap<String, (u64, u64)> = self.source.words.iter().filter_map(ready).collect();
+        let expected: BTreeMap<String, (u64, u64)> =
+            self.source.announcements.iter().filter_map(ready).collect();
         for view in &self.views {
             prop_assert_eq!(view.is_evacuated(&ZoneName::new(ZONE)), self.source.evacuated);
             prop_assert_eq!(in_use(view, self.now), expected.clone());
@@ -353,43 +361,43 @@
 
     #[test]
     fn nothing_goes_back_and_all_end_equal(steps in prop::collection::vec(step(), 1..50)) {
-        let mut world = World::new();
-        world.check_none_goes_back()?;
+        let mut simulation = Simulation::new();
+        simulation.check_no_regression()?;
         for step in steps {
-            world.run(step);
-            world.check_none_goes_back()?;
+            simulation.run(step);
+            simulation.check_no_regression()?;
         }
-        world.check_all_end_equal()?;
+        simulation.check_convergence()?;
     }
 
     /// A zone that the operator has emptied, and that one node knows of, is in use at no node that has learnt; at any
     /// moment of a return.
     #[test]
-    fn an_evacuation_outlasts_a_return(returns in 1..3_u32, written_again in any::<bool>(), reads in any::<bool>()) {
-        let mut world = World::new();
-        world.run(Step::Copy);
-        world.run(Step::Evacuate(true));
-        world.run(Step::Read(0));
+    fn an_evacuation_outlasts_a_return(returns in 1..3_u32, rewritten in any::<bool>(), reads in any::<bool>()) {
+        let mut simulation = Simulation::new();
+        simulation.run(Step::Copy);
+        simulation.run(Step::Evacuate(true));
+        simulation.run(Step::Read(0));
         for _ in 0..returns {
-            world.run(Step::Return);
-            world.run(Step::Read(0));
+            simulation.run(Step::Restore);
+            simulation.run(Step::Read(0));
         }
-        if written_again {
-            world.run(Step::WriteEvacuationAgain);
+        if rewritten {
+            simulation.run(Step::RewriteEvacuation);
         }
-        world.run(Step::Start(1));
+        simulation.run(Step::Start(1));
         if reads {
-            world.run(Step::Read(1));
+            simulation.run(Step::Read(1));
         }
-        world.run(Step::Ask(1, 0));
-        for view in &world.views[..2] {
+        simulation.run(Step::Ask(1, 0));
+        for view in &simulation.views[..2] {
             prop_assert!(view.is_evacuated(&ZoneName::new(ZONE)));
         }
     }
 }
 
 /// What a view stands on after its source has come back once, a little after it was listed.
-fn returned() -> (Source, CatalogueView, Micros) {
+fn restored() -> (Source, CatalogueView, Micros) {
     let mut source = Source::new();
     let mut view = CatalogueView::default();
     read(&source, &mut view, START);
@@ -398,14 +406,14 @@
     source.change(0);
     source.change(1);
     read(&source, &mut view, now);
-    source.come_back();
+    source.restore();
     read(&source, &mut view, now);
     (source, view, now)
 }
 
 #[test]
 fn what_the_copy_says_takes_nothing_back() {
-    let (source, view, now) = returned();
+    let (source, view, now) = restored();
     assert_eq!(source.contents.replicas[&0].0.1, 1, "the copy has it as ready");
     assert_eq!(in_use(&view, now).into_keys().collect::<Vec<_>>(), ["r2"]);
     assert_eq!(view.retained(), 2);
@@ -420,9 +428,9 @@
     read(&source, &mut view, START);
     source.contents.replicas.remove(&2);
     source.copy = source.contents.clone();
-    source.come_back();
+    source.restore();
     read(&source, &mut view, START);
-    assert_eq!(in_use(&view, START).len(), 3, "absence in the copy is no word of anybody");
+    assert_eq!(in_use(&view, START).len(), 3, "absence in the copy is no announcement of anybody");
     let settled = START.plus(SETTLE_PERIOD);
     assert!(view.must_settle(settled));
     read(&source, &mut view, settled);
@@ -439,7 +447,7 @@
 /// What a return costs: the fleet's others are told what differs, and nothing else.
 #[test]
 fn a_return_is_told_by_its_differences() {
-    let (mut source, view, now) = returned();
+    let (mut source, view, now) = restored();
     let before = CataloguePosition::new(CatalogueRevision::new(Era::new(1), 15), true);
     let told = view.snapshot(0, before, now);
     assert_eq!((told.replicas.len(), told.removed.len(), told.full), (0, 0, false));
@@ -458,7 +466,7 @@
     read(&source, &mut behind, START);
     source.change(0);
     read(&source, &mut view, START);
-    source.come_back();
+    source.restore();
     read(&source, &mut behind, START);
     assert!(in_use(&behind, START).contains_key("r0"));
     ask(&mut behind, &view, START);
@@ -467,9 +475,9 @@
 
 #[test]
 fn a_listing_of_an_era_that_skips_some_is_one_of_a_later_era() {
-    let (mut source, mut view, now) = returned();
+    let (mut source, mut view, now) = restored();
     source.eras += 5;
-    source.come_back();
+    source.restore();
     read(&source, &mut view, now);
     assert_eq!(view.replicas_at().era(), Era::new(8));
     assert_eq!(in_use(&view, now).into_keys().collect::<Vec<_>>(), ["r2"]);
@@ -480,34 +488,34 @@
 fn interleavings_that_once_failed() {
     use Step::*;
     let cases: &[&[Step]] = &[
-        &[Evacuate(true), Copy, Read(0), Evacuate(false), Read(0), Evacuate(true), Return],
+        &[Evacuate(true), Copy, Read(0), Evacuate(false), Read(0), Evacuate(true), Restore],
         &[Evacuate(true), Read(1), Evacuate(false), Read(2), Ask(1, 2)],
-        &[Change(2), Change(2), Return, Read(2), Leave(2), Read(2), Read(1), Settle, Read(2), Ask(1, 2)],
+        &[Change(2), Change(2), Restore, Read(2), Leave(2), Read(2), Read(1), Settle, Read(2), Ask(1, 2)],
         &[Leave(0), Start(1), Read(1), Settle, Read(1), Ask(2, 1)],
-        &[Leave(0), Change(1), Read(1), Return, Change(0), Read(2), Ask(2, 1), Settle, Read(2)],
-        &[Change(0), Return, Settle, Read(0), Return, Read(0), Read(1), Settle, Read(0), Ask(1, 0)],
+        &[Leave(0), Change(1), Read(1), Restore, Change(0), Read(2), Ask(2, 1), Settle, Read(2)],
+        &[Change(0), Restore, Settle, Read(0), Restore, Read(0), Read(1), Settle, Read(0), Ask(1, 0)],
         &[Copy, Leave(0), Start(1), Read(1), Ask(1, 0), Start(2), Read(2), Settle, Read(2), Ask(1, 2)],
         &[
             Leave(0),
             Copy,
-            Return,
+            Restore,
             Start(0),
             Read(1),
             Read(0),
-            Return,
+            Restore,
             Read(0),
             Read(1),
             Settle,
             Read(0),
             Ask(1, 0),
         ],
-        &[Start(0), Return, Leave(0), Start(2), Read(1), Read(0), Ask(2, 1), Settle, Read(0), Ask(2, 0)],
+        &[Start(0), Restore, Leave(0), Start(2), Read(1), Read(0), Ask(2, 1), Settle, Read(0), Ask(2, 0)],
         &[
             Evacuate(true),
             Read(0),
             Evacuate(false),
             Read(2),
-            Return,
+            Restore,
             Evacuate(true),
             Read(1),
             Change(0),
@@ -520,7 +528,7 @@
             Evacuate(true),
             Evacuate(false),
             Read(1),
-            Return,
+            Restore,
             Read(1),
             Evacuate(true),
             Read(2),
@@ -531,11 +539,11 @@
         ],
     ];
     for steps in cases {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in *steps {
-            world.run(*step);
-            world.check_none_goes_back().unwrap_or_else(|error| panic!("{steps:?}: {error}"));
+            simulation.run(*step);
+            simulation.check_no_regression().unwrap_or_else(|error| panic!("{steps:?}: {error}"));
         }
-        world.check_all_end_equal().unwrap_or_else(|error| panic!("{steps:?}: {error}"));
+        simulation.check_convergence().unwrap_or_else(|error| panic!("{steps:?}: {error}"));
     }
 }
