--- a/crates/sablebay-catalogue/src/configuration.rs
+++ b/crates/sablebay-catalogue/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The routing configuration: what operators publish, whole, under a version that only rises.
+//! The routing configuration that operators publish, versioned as a whole; versions only increase.
 
 use musli::{Decode, Encode};
 
@@ -6,61 +6,56 @@
 
 use crate::replica::ServiceName;
 
-/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Repeatability {
-    /// It is idempotent: it may run on several replicas.
+    /// Idempotent: may run on several replicas.
     Repeatable,
-    /// It runs at most once for each attempt of the caller.
+    /// Runs at most once per caller attempt.
     AtMostOnce,
 }
 
-/// One part of a weighted split.
+/// One target of a weighted split.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct WeightedService {
-    /// The service.
     pub service: ServiceName,
-    /// Its share, relative to the others.
+    /// Relative to the other weights of the split.
     pub weight: f64,
 }
 
-/// A query over shards, each of which is a service.
+/// A query over shards; each shard is a service.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Gather {
-    /// The shards.
     pub shards: Vec<ServiceName>,
-    /// Records in the answer at the most.
+    /// Maximum number of records in the result.
     pub top: usize,
-    /// The share of the shards (0 to 1) without which the answer is no success.
+    /// Share of the shards (0 to 1) below which the query fails.
     pub minimum_share: f64,
 }
 
 impl Gather {
-    /// The number of shards without which the answer is no success; one at the least.
+    /// Number of shards below which the query fails; at least one.
     pub fn minimum_shards(&self) -> usize {
-        /// Keeps a product such as 0.95 x 20 from rounding up past its value.
+        /// Tolerance for floating-point error, so that a product such as 0.95 x 20 is not rounded up.
         const ROUNDING: f64 = 1e-9;
         let exact = self.minimum_share * self.shards.len() as f64;
         ((exact - ROUNDING).ceil().max(1.0)) as usize
     }
 }
 
-/// Where the requests of a route go.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Destination {
-    /// To one replica of one of these services.
+    /// One replica of one of these services.
     Services(Vec<WeightedService>),
-    /// To one replica of every shard.
+    /// One replica of every shard.
     Gather(Gather),
 }
 
 impl Destination {
-    /// Whether each request goes to all of its services.
     pub fn is_gather(&self) -> bool {
         matches!(self, Destination::Gather(_))
     }
 
-    /// Every service that requests may go to.
+    /// All services that requests of the route may reach.
     pub fn services(&self) -> impl Iterator<Item = &ServiceName> {
         let (weighted, shards): (&[WeightedService], &[ServiceName]) = match self {
             Destination::Services(parts) => (parts, &[]),
@@ -70,28 +65,24 @@
     }
 }
 
-/// One route.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Route {
-    /// Its name, unique in its configuration.
+    /// Unique within a configuration.
     pub name: String,
-    /// The host that it serves.
     pub host: String,
-    /// The beginning of the paths that it serves; starts and ends with a slash.
+    /// Path prefix; starts and ends with a slash.
     pub prefix: String,
-    /// Whether its requests may run more than once.
     pub repeatability: Repeatability,
-    /// The longest that a request is held, in milliseconds.
+    /// Maximum time that a request is held, in milliseconds.
     pub time_limit_ms: u64,
-    /// The time within which an answer is worth most, in milliseconds; 0 when there is none.
+    /// Latency target of a response, in milliseconds; 0 for none.
     pub target_latency_ms: u64,
-    /// Replicas that one request may be sent to, for each shard.
+    /// Maximum number of replicas tried per request and shard.
     pub maximum_attempts: u32,
-    /// Its rank; 0 is the most urgent.
+    /// 0 is the most urgent.
     pub priority: u32,
-    /// Where its requests go.
     pub destination: Destination,
-    /// Whether its callers need no key.
+    /// Whether callers need no key.
     #[musli(default)]
     pub public: bool,
 }
@@ -99,36 +90,33 @@
 /// A service as operators configure it.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct BackendService {
-    /// Its name.
     pub name: ServiceName,
-    /// Connections that one of its replicas takes from all callers together.
+    /// Maximum connections to one replica from all callers together.
     pub maximum_connections: u32,
-    /// What its replicas bear after a start, and for how long.
+    /// Load limit of replicas after a start.
     #[musli(default)]
     pub warm_up: WarmUp,
 }
 
-/// What the replicas of a service bear while they are cold: after a start, and whenever they turn cold
-/// again.
+/// Load limit of a service's replicas while they are cold, after a start or the end of an evacuation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Encode, Decode)]
 pub struct WarmUp {
-    /// How long a replica stays cold after its start, in milliseconds; 0 when it was not told.
+    /// Time a replica stays cold after its start, in milliseconds; 0 if unspecified.
     pub lasts_ms: u64,
-    /// Requests a second that a cold replica bears from all callers together; 0 when it was not told,
-    /// and nothing is bounded.
+    /// Requests per second that a cold replica accepts from all callers together; 0 for no limit.
     pub requests_per_s: f64,
 }
 
-/// What bounds a caller.
+/// Limits on requests and connections of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct CallerLimits {
-    /// The longest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// The longest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// How long the head of a request may take, in milliseconds.
+    /// Timeout for receiving a request head, in milliseconds.
     pub header_timeout_ms: u64,
-    /// How long a connection may rest, in milliseconds.
+    /// Maximum idle time of a connection, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -138,18 +126,15 @@
     }
 }
 
-/// Routes, services and limits under one version.
+/// Routes, services, limits and tenants under one version.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct RoutingConfiguration {
-    /// Rises with each change, in uneven steps.
+    /// Increases with each change, not necessarily by one.
     pub version: u64,
-    /// The routes.
     pub routes: Vec<Route>,
-    /// The services.
     pub services: Vec<BackendService>,
-    /// What bounds callers.
     pub limits: CallerLimits,
-    /// The tenants whose keys callers must show; nothing where callers need none.
+    /// Tenants whose keys are accepted; `None` if callers need no key.
     #[musli(default)]
     pub tenants: Option<Vec<Tenant>>,
 }
--- a/crates/sablebay-catalogue/src/configuration_history.rs
+++ b/crates/sablebay-catalogue/src/configuration_history.rs
@@ -1,13 +1,12 @@
-//! The last steps that led to the configuration in force, for peers that are some versions behind.
+//! Recent steps to the configuration in force, sent to peers that are a few versions behind.
 
 use std::collections::VecDeque;
 
 use crate::configuration_step::ConfigurationStep;
 
-/// Steps that are kept at the most: ten changes a second, as operators' tools make them in a row, for six seconds. Who
-/// is further behind gets the whole.
+/// Maximum number of steps; peers that are further behind get the full configuration.
 const MAXIMUM_STEPS: usize = 64;
-/// Bytes of steps that are kept at the most, beside the newest: two large changes of some hundred kilobytes.
+/// Maximum total size of the steps in bytes. The newest step is kept regardless of its size.
 const MAXIMUM_BYTES: usize = 512 * 1024;
 
 #[derive(Debug)]
@@ -16,14 +15,15 @@
     bytes: usize,
 }
 
-/// Steps that lead to the configuration in force, the oldest first; each starts where the one before it ends.
+/// Steps to the configuration in force, oldest first; each starts at the version where the previous one ends.
 #[derive(Debug, Default)]
 pub struct ConfigurationHistory {
     steps: VecDeque<KeptStep>,
 }
 
 impl ConfigurationHistory {
-    /// Keeps the step that led to the configuration now in force.
+    /// Appends the step that led to the configuration in force. Older steps that do not connect to it are
+    /// dropped.
     pub fn keep(&mut self, step: ConfigurationStep) {
         if self.steps.back().is_some_and(|last| last.step.version != step.base) {
             self.steps.clear();
@@ -39,7 +39,8 @@
         self.steps.iter().map(|kept| kept.bytes).sum()
     }
 
-    /// The steps from a version to the newest, and their bytes; nothing when they are not known from there on.
+    /// Returns the steps from `version` to the newest and their size in bytes, or `None` if the history does
+    /// not start there.
     pub fn since(&self, version: u64) -> Option<(Vec<&ConfigurationStep>, usize)> {
         let first = self.steps.iter().position(|kept| kept.step.base == version)?;
         let bytes = self.steps.iter().skip(first).map(|kept| kept.bytes).sum();
--- a/crates/sablebay-catalogue/src/configuration_step.rs
+++ b/crates/sablebay-catalogue/src/configuration_step.rs
@@ -1,12 +1,8 @@
-//! What one configuration changes in another.
+//! Deltas between configurations, which nodes exchange instead of full configurations.
 //!
-//! Nodes pass these on in place of whole configurations: what an answer costs is then what changed, times those who
-//! ask, however large the configuration is. A link of 14 Mbit/s bears 1.75 MB a second; a whole configuration of 300 kB
-//! to the 35 nodes of a zone would fill it for 6 s.
-//!
-//! Invariant kept here: a step gives the configuration that it was made from, or nothing. It names the version that it
-//! starts from and a digest of what it leads to, since two nodes may have read different contents under one version: one
-//! of an earlier release does not know every field.
+//! Invariant: a step yields exactly the configuration that it was computed for, or an error. It names its
+//! base version and carries a digest of the result, because two nodes may hold different contents under one
+//! version, for example after an upgrade that adds fields.
 
 use std::collections::HashMap;
 
@@ -18,38 +14,36 @@
 
 use crate::configuration::{BackendService, CallerLimits, Route, RoutingConfiguration};
 
-/// Why a step does not lead to a configuration.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum StepError {
-    /// It starts from another version.
-    #[display("it starts from another version")]
+    #[display("step starts from another version")]
     OtherBase,
-    /// It names entries that the version it starts from does not have.
-    #[display("it names entries that are not there")]
+    /// The step refers to entries that the base does not have.
+    #[display("step refers to entries that its base does not have")]
     NoSuchEntry,
-    /// What it leads to is not what it was made for.
-    #[display("it leads to other contents")]
+    /// The result does not match the digest.
+    #[display("result does not match the digest of the step")]
     OtherContents,
 }
 
-/// A part of a list that was changed: entries of the old list, and new ones behind them.
+/// A run of entries copied from the old list, followed by new entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 struct Run {
-    /// The place of the first old entry.
+    /// Index of the first copied entry.
     kept_from: u64,
-    /// The number of old entries.
+    /// Number of copied entries.
     kept: u64,
-    /// The number of new entries.
+    /// Number of new entries.
     added: u64,
 }
 
-/// How a list comes out of another.
+/// Edit script that turns one list into another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 struct Runs(Vec<Run>);
 
 impl Runs {
-    /// How `next` comes out of `base`, and the entries of it that `base` does not have. `name` tells which entries may be
-    /// the same.
+    /// Computes the edit script from `base` to `next` and the entries that `base` lacks. Entries with equal
+    /// `name` are compared.
     fn between<'a, T: Clone + PartialEq>(
         base: &'a [T],
         next: &'a [T],
@@ -76,7 +70,7 @@
         (Self(runs), added)
     }
 
-    /// The list that comes out of `base` and the added entries.
+    /// Applies the edit script to `base`, taking new entries from `added`.
     fn apply<T: Clone>(&self, base: &[T], added: &[T]) -> Result<Vec<T>, StepError> {
         let mut list = Vec::with_capacity(base.len() + added.len());
         let mut added = added.iter();
@@ -93,32 +87,29 @@
     }
 }
 
-/// What one configuration changes in another.
+/// A delta between two configurations.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ConfigurationStep {
-    /// The version that it starts from.
     pub base: u64,
-    /// The version that it leads to.
     pub version: u64,
-    /// Of the configuration that it leads to.
+    /// Digest of the resulting configuration.
     digest: u64,
     routes: Runs,
     added_routes: Vec<Route>,
     services: Runs,
     added_services: Vec<BackendService>,
     limits: CallerLimits,
-    /// Nothing where callers need no key.
+    /// `None` if callers need no key.
     tenants: Option<Runs>,
     added_tenants: Vec<Tenant>,
 }
 
-/// The digest of a configuration; 0 for one that cannot be encoded, which no node can be sent either.
+/// Returns 0 for a configuration that cannot be encoded; such a configuration cannot be sent either.
 fn digest_of(configuration: &RoutingConfiguration) -> u64 {
     musli::wire::to_vec(configuration).map_or(0, |bytes| xxh3_64(&bytes))
 }
 
 impl ConfigurationStep {
-    /// What `next` changes in `base`.
     pub fn between(base: &RoutingConfiguration, next: &RoutingConfiguration) -> Self {
         let (routes, added_routes) = Runs::between(&base.routes, &next.routes, |route| &route.name);
         let (services, added_services) =
@@ -141,7 +132,7 @@
         }
     }
 
-    /// The configuration that it leads to from `base`; not compared with its digest.
+    /// Applies the step to `base` without checking the digest.
     fn lead(&self, base: &RoutingConfiguration) -> Result<RoutingConfiguration, StepError> {
         if base.version != self.base {
             return Err(StepError::OtherBase);
@@ -157,10 +148,10 @@
         })
     }
 
-    /// The configuration that steps lead to from `base`, one after the other.
+    /// Applies consecutive steps to `base`.
     ///
     /// # Errors
-    /// Why they do not lead to what they were made for.
+    /// Fails if a step does not match its base or the result does not match the digest of the last step.
     pub fn follow(
         steps: &[ConfigurationStep],
         base: &RoutingConfiguration,
@@ -174,7 +165,6 @@
         if digest_of(&next) == last.digest { Ok(next) } else { Err(StepError::OtherContents) }
     }
 
-    /// Its size when it is sent, in bytes.
     pub fn encoded_bytes(&self) -> usize {
         musli::wire::to_vec(self).map_or(usize::MAX, |bytes| bytes.len())
     }
--- a/crates/sablebay-catalogue/src/confirmation.rs
+++ b/crates/sablebay-catalogue/src/confirmation.rs
@@ -1,8 +1,9 @@
-//! Up to which moment the configuration known here is the newest: a lower bound, by the node's own clock.
+//! Lower bounds, by the node's own clock, of the time up to which the local configuration is known to be the
+//! newest.
 //!
-//! Invariant kept here: no bound is later than the true moment, however long questions and answers are on their
-//! way, and over however many nodes they come. Keys that were taken away before the bound are known to be gone;
-//! a bound that is too late would let requests run on them. A bound that is too early only makes a node ask again.
+//! Invariant: a bound is never later than the true time, whatever the network delays and number of hops. Keys
+//! revoked before the bound are known to be revoked; a bound that is too late would accept them, one that is
+//! too early only causes another read.
 
 use musli::{Decode, Encode};
 
@@ -10,43 +11,44 @@
 
 use crate::revision::{CatalogueRevision, Era};
 
-/// How long waits for changes at the source may hear nothing while changes are made: a source that is about to drop
-/// its history stops telling of changes for so long before it ends the waits.
+/// Time for which a watch on the source may miss changes: the source stops reporting changes for up to this
+/// long before it drops its history and ends the watches.
 pub const WATCH_SILENCE: Micros = Micros::from_secs(1);
 
-/// The bound after the source told everything, to a question asked at `asked_at`: before its first page.
+/// Returns the bound after a full listing that was requested at `asked_at`.
 pub fn bound_of_listing(asked_at: Micros) -> Micros {
     asked_at
 }
 
-/// The bound after the source answered a wait for changes that was asked for at `asked_at`.
+/// Returns the bound after a watch that was requested at `asked_at`.
 pub fn bound_of_wait(asked_at: Micros) -> Micros {
     asked_at.since(WATCH_SILENCE)
 }
 
-/// What a peer says of its own bound.
+/// A peer's bound as reported in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct PeerConfirmation {
-    /// How long it had the question when it said so.
+    /// Time between receipt of the request and the response.
     pub held: Micros,
-    /// The age of its bound at that moment.
+    /// Age of the peer's bound when it responded.
     pub age: Micros,
 }
 
 impl PeerConfirmation {
-    /// The bound after a peer said so in answer to a question of `asked_at`, which arrived at `now`.
+    /// Returns the bound derived from a response that arrived at `now` to a request sent at `asked_at`.
     ///
-    /// The peer spoke at the earliest at `asked_at` plus the time that it held the question, since it got the
-    /// question later than it was asked.
+    /// The peer received the request no earlier than `asked_at`, so it responded no earlier than `asked_at +
+    /// held`.
     pub fn bound(self, asked_at: Micros, now: Micros) -> Micros {
         asked_at.plus(self.held).min(now).since(self.age)
     }
 }
 
-/// The revisions of the source at which the newest configurations lay that could be read, and could not.
+/// Source revisions of the newest readable and the newest unreadable configuration.
 ///
-/// They travel with what nodes know: who goes on from a revision that another node told does not see again what
-/// that one could not read. The eras stand in fields of their own: nodes of an earlier release know numbers.
+/// Nodes pass these on with the catalogue: a node that continues from a peer's revision does not see earlier
+/// changes that the peer could not read. Eras are separate fields for compatibility with releases that only
+/// know numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigurationRevisions {
     read: u64,
@@ -58,7 +60,7 @@
 }
 
 impl ConfigurationRevisions {
-    /// Of the newest that was read, and of the newest that could not be; nothing is [`CatalogueRevision::NOTHING`].
+    /// [`CatalogueRevision::NOTHING`] stands for no such configuration.
     pub fn new(read: CatalogueRevision, unreadable: CatalogueRevision) -> Self {
         Self {
             read: read.number(),
@@ -68,22 +70,20 @@
         }
     }
 
-    /// Of the newest that was read.
     pub fn read(self) -> CatalogueRevision {
         CatalogueRevision::new(self.read_era, self.read)
     }
 
-    /// Of the newest that could not be read.
     pub fn unreadable(self) -> CatalogueRevision {
         CatalogueRevision::new(self.unreadable_era, self.unreadable)
     }
 
-    /// Takes what another answer said.
+    /// Keeps the later of each revision.
     pub fn merge(&mut self, other: Self) {
         *self = Self::new(self.read().max(other.read()), self.unreadable().max(other.unreadable()));
     }
 
-    /// Whether no configuration is known to be newer than the one that was read.
+    /// Whether no unreadable configuration is newer than the one that was read.
     pub fn newest_is_read(self) -> bool {
         self.read() >= self.unreadable()
     }
--- a/crates/sablebay-catalogue/src/document.rs
+++ b/crates/sablebay-catalogue/src/document.rs
@@ -1,8 +1,7 @@
-//! Answers that are too large to be given to everybody at one moment.
+//! Chunked distribution of payloads that are too large for a single response.
 //!
-//! Who asks is told what such a document is called and where it is, and fetches it in chunks. What one node sends at one
-//! moment is then a few chunks, however many ask and however large the document is; nothing that has arrived is thrown
-//! away when the node that sends it falls silent, since every holder's chunks are the same.
+//! A node offers a document by its digest and peers fetch it in chunks, which bounds what one node sends at a
+//! time. Chunks are identical at all holders, so a fetch can resume at another node.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,29 +9,26 @@
 use musli::{Decode, Encode};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bytes of a chunk: 9 ms of a link of 14 Mbit/s. A probe waits no longer behind one.
+/// Chunk size; small enough not to delay probes that share the link.
 pub const CHUNK_BYTES: usize = 16 * 1024;
-/// The largest answer that is given at once, in bytes: that of one chunk.
+/// Maximum size of a payload that is sent inline.
 pub const INLINE_BYTES: usize = CHUNK_BYTES;
-/// Nodes that fetch from one: each gives the document away three times, so that the 35 nodes of a zone have it after
-/// four hops, and a link of 14 Mbit/s needs half a second for three times 300 kB.
+/// Maximum number of peers that fetch a document from one node.
 pub const FAN_OUT: usize = 3;
 
-/// What a document is called: by what it holds. No proof against anybody: nodes that send it are authenticated.
+/// Content digest of a document. Not cryptographic: peers are authenticated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct DocumentDigest {
     hash: u64,
-    /// Its size.
+    /// Size of the document.
     pub bytes: u64,
 }
 
 impl DocumentDigest {
-    /// Of a document.
     pub fn of(content: &[u8]) -> Self {
         Self { hash: xxh3_64(content), bytes: content.len() as u64 }
     }
 
-    /// The number of its chunks.
     pub fn chunks(self) -> usize {
         usize::try_from(self.bytes).unwrap_or(usize::MAX).div_ceil(CHUNK_BYTES)
     }
@@ -44,20 +40,19 @@
     }
 }
 
-/// Tells who asked for news that they are in a document.
+/// Response that refers to a document instead of carrying the payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct DocumentOffer {
-    /// The document.
     pub digest: DocumentDigest,
-    /// The version of the configuration that it leads to.
+    /// Version of the configuration that the document leads to.
     pub version: u64,
-    /// Whether it also lists all replicas.
+    /// Whether the document also lists all replicas.
     pub lists_replicas: bool,
-    /// A peer that has it, or is fetching it, and is to be asked first; nothing: who makes the offer.
+    /// Peer to fetch from first, which has or is fetching the document; `None` for the sender of the offer.
     pub source: Option<SocketAddr>,
 }
 
-/// Who fetches a document from whom, in one zone: a tree in the order in which its nodes ask.
+/// Fetch tree of a document within a zone, in order of request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Distribution {
     roots: usize,
@@ -65,12 +60,13 @@
 }
 
 impl Distribution {
-    /// One whose first `roots` askers (one at the least) fetch from who makes the offers.
+    /// The first `roots` nodes (at least one) fetch from the sender of the offer.
     pub fn new(roots: usize) -> Self {
         Self { roots: roots.max(1), askers: Vec::new() }
     }
 
-    /// From whom one fetches; nothing: from who makes the offers. That is also for who asks again: its source failed.
+    /// Returns the peer that `asker` fetches from, or `None` for the sender of the offer. A repeated request
+    /// means that the assigned source failed, so it also gets `None`.
     pub fn source_for(&mut self, asker: SocketAddr) -> Option<SocketAddr> {
         if self.askers.contains(&asker) {
             return None;
--- a/crates/sablebay-catalogue/src/evacuation.rs
+++ b/crates/sablebay-catalogue/src/evacuation.rs
@@ -1,8 +1,8 @@
-//! Zones that an operator has emptied: nothing new goes to their replicas.
+//! Zones that an operator has evacuated: their replicas receive no new requests.
 //!
-//! Invariant kept here: what is known of a zone is replaced by a word of a higher revision alone, so that
-//! neither a peer that lags nor a node that was cut off brings back what was overruled. Nor does a source that has come back
-//! from an older copy: what was known holds until the operator has spoken since.
+//! Invariant: the state of a zone is replaced only by a higher revision, so lagging or partitioned peers
+//! cannot revert it. After the source was restored from an older copy, the known state holds until the
+//! operator writes again or the era is settled.
 
 use std::collections::BTreeMap;
 
@@ -13,14 +13,13 @@
 use crate::revision::{CatalogueRevision, Era};
 use crate::source_era::SourceEra;
 
-/// Whether the replicas of a zone get new work, as the operator said at a revision.
+/// An operator's evacuation setting for a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ZoneNotice {
-    /// The zone.
     pub zone: ZoneName,
-    /// Whether it is evacuated; otherwise it was taken back.
+    /// `false` if the evacuation was lifted.
     pub evacuated: bool,
-    /// The number of the revision at which that was said. Its era stands in a field of its own: nodes of an earlier release
+    /// Revision number of the setting. The era is a separate field for compatibility with releases that only
     /// know numbers.
     number: u64,
     #[musli(default)]
@@ -28,12 +27,10 @@
 }
 
 impl ZoneNotice {
-    /// What was said of a zone at a revision.
     pub fn new(zone: ZoneName, evacuated: bool, revision: CatalogueRevision) -> Self {
         Self { zone, evacuated, number: revision.number(), era: revision.era() }
     }
 
-    /// The revision at which that was said.
     pub fn revision(&self) -> CatalogueRevision {
         CatalogueRevision::new(self.era, self.number)
     }
@@ -43,21 +40,21 @@
 struct KnownNotice {
     evacuated: bool,
     revision: CatalogueRevision,
-    /// The last revision at which it was said to be evacuated.
+    /// Latest revision at which the zone was evacuated.
     evacuated_by: Option<CatalogueRevision>,
-    /// When this node learnt that the zone was taken back; nothing while it is evacuated.
+    /// When this node learned that the evacuation was lifted; `None` while evacuated.
     restored_at: Option<Micros>,
 }
 
-/// What operators said of zones, by zone. A zone that was never named takes work.
+/// Evacuation state by zone. Zones without an entry accept requests.
 #[derive(Debug, Default)]
 pub struct Evacuations {
-    /// Zones are few, so that what was said of each is kept for good.
+    /// Never expires, as zones are few.
     notices: BTreeMap<ZoneName, KnownNotice>,
 }
 
 impl Evacuations {
-    /// Takes a notice. Returns whether the zone is evacuated now and was not, or the other way round.
+    /// Returns whether the evacuation state of the zone changed.
     pub fn apply(&mut self, notice: &ZoneNotice, source: &SourceEra, settled: bool, now: Micros) -> bool {
         let known = self.notices.get(&notice.zone);
         if known.is_some_and(|known| !replaces(notice, known, source, settled)) {
@@ -78,8 +75,8 @@
         was_evacuated != notice.evacuated
     }
 
-    /// Takes back the zones that were evacuated before revision `at`, but for those in `listed`, which were
-    /// evacuated then. Those of before a return stay until the era is settled. Returns whether there was one.
+    /// Lifts evacuations older than revision `at` of all zones not in `listed`; those from an earlier era
+    /// only if `settled`. Returns whether any was lifted.
     pub fn restore_unlisted(
         &mut self,
         listed: impl Fn(&ZoneName) -> bool,
@@ -101,27 +98,25 @@
         taken_back
     }
 
-    /// The zones of which more is known than the source has said in an era.
+    /// Number of evacuated zones whose state dates from before `era`.
     pub fn known_before(&self, era: Era) -> usize {
         self.notices.values().filter(|known| known.revision.era() < era && known.evacuated).count()
     }
 
-    /// Whether the replicas of a zone get nothing new.
     pub fn is_evacuated(&self, zone: &ZoneName) -> bool {
         self.notices.get(zone).is_some_and(|known| known.evacuated)
     }
 
-    /// The zones whose replicas get nothing new.
     pub fn evacuated(&self) -> impl Iterator<Item = &ZoneName> {
         self.notices.iter().filter(|(_, known)| known.evacuated).map(|(zone, _)| zone)
     }
 
-    /// When this node learnt that a zone was taken back, if it was.
+    /// When this node learned that the evacuation of a zone was lifted.
     pub fn restored_at(&self, zone: &ZoneName) -> Option<Micros> {
         self.notices.get(zone).and_then(|known| known.restored_at)
     }
 
-    /// Everything that was said, for a peer.
+    /// All known settings, for a peer.
     pub fn notices(&self) -> Vec<ZoneNotice> {
         let notice = |(zone, known): (&ZoneName, &KnownNotice)| {
             ZoneNotice::new(zone.clone(), known.evacuated, known.revision)
@@ -130,19 +125,20 @@
     }
 }
 
-/// Whether a notice takes the place of what is known.
+/// Whether `notice` supersedes the known state.
 fn replaces(notice: &ZoneNotice, known: &KnownNotice, source: &SourceEra, settled: bool) -> bool {
     let incoming = notice.revision();
     if incoming.era() == known.revision.era() {
         return incoming > known.revision;
     }
     if incoming < known.revision {
-        // What is known may be the copy's: then it is older than what was said after it.
+        // The known state may come from the restored copy, and is then older than a later write of the
+        // previous era.
         let is_copy = !source.is_written_since_restore(known.revision);
         return is_copy && incoming > known.revision.in_era(incoming.era());
     }
-    // The copy may hold a notice that was taken back since. One that was never heard of is taken for the operator's: a zone that
-    // is left alone for some seconds costs less than one that is used when it is to be empty.
+    // The copy may hold an evacuation that has been lifted since. One that this node has never seen is
+    // assumed valid: avoiding a zone for a few seconds is cheaper than using an evacuated one.
     let is_overruled = known.evacuated_by.is_some_and(|by| by.in_era(incoming.era()) == incoming);
     settled
         || source.is_written_since_restore(incoming)
--- a/crates/sablebay-catalogue/src/known_configuration.rs
+++ b/crates/sablebay-catalogue/src/known_configuration.rs
@@ -1,7 +1,7 @@
-//! The configuration in force, how it came about, and what is known of newer ones.
+//! The configuration in force, its history, and pending newer ones.
 //!
-//! Invariant kept here: a configuration is replaced by one of a higher version alone (must-hold 8), whether it comes
-//! whole or by steps.
+//! Invariant: a configuration is replaced only by one of a higher version, whether it arrives in full or as
+//! steps.
 
 use std::sync::Arc;
 
@@ -13,18 +13,18 @@
 use crate::incoming_configuration::IncomingConfiguration;
 use crate::route_table::RouteTable;
 
-/// What a peer is missing of the configuration.
+/// What a peer lacks of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigurationUpdate {
-    /// Nothing.
+    /// The peer is up to date.
     None,
-    /// These steps, of this many bytes.
+    /// The steps and their size in bytes.
     Steps(Vec<ConfigurationStep>, usize),
-    /// All of it: no steps are known from what the peer has.
+    /// The full configuration: the history does not reach back to the peer's version.
     Full,
 }
 
-/// The configuration in force, how it came about, and what is known of newer ones.
+/// The configuration in force, its history, and pending newer ones.
 #[derive(Debug, Default)]
 pub struct KnownConfiguration {
     routes: Option<Arc<RouteTable>>,
@@ -33,33 +33,30 @@
 }
 
 impl KnownConfiguration {
-    /// The routes in force.
     pub fn routes(&self) -> Option<&Arc<RouteTable>> {
         self.routes.as_ref()
     }
 
-    /// The version in force; 0 when none is.
+    /// The version in force; 0 if none.
     pub fn version(&self) -> u64 {
         self.routes.as_ref().map_or(0, |routes| routes.version())
     }
 
-    /// What is known of newer configurations.
     pub fn incoming(&self) -> &IncomingConfiguration {
         &self.incoming
     }
 
-    /// The same, for whoever fetches them.
     pub fn incoming_mut(&mut self) -> &mut IncomingConfiguration {
         &mut self.incoming
     }
 
-    /// Notes that somebody has a version.
+    /// Records that a node has `version`.
     pub fn note_version(&mut self, version: u64, now: Micros) {
         self.incoming.note_version(version, self.version(), now);
     }
 
-    /// Takes the last of these configurations into force that is newer than all before it. Peers may have any of
-    /// them, and are told what follows on it. Returns whether there was one.
+    /// Applies the newest of `configurations` and records the steps between them, since peers may have any of
+    /// these versions. Returns whether the configuration changed.
     pub fn offer(&mut self, configurations: Vec<RoutingConfiguration>) -> bool {
         let mut reached: Option<RoutingConfiguration> = None;
         for configuration in configurations {
@@ -75,14 +72,14 @@
         reached.is_some_and(|configuration| self.put_in_force(configuration))
     }
 
-    /// Takes a whole configuration of a peer. Returns whether it was newer.
+    /// Applies a full configuration from a peer. Returns whether it was newer.
     pub fn take_full(&mut self, configuration: RoutingConfiguration) -> bool {
         self.incoming.received_full();
         self.offer(vec![configuration])
     }
 
-    /// Takes steps of a peer. Returns whether they led to a newer configuration. Those that start from one that is still
-    /// being fetched wait for it.
+    /// Applies steps from a peer, or stages them if their base is not in force yet. Returns whether the
+    /// configuration changed.
     pub fn take_steps(&mut self, steps: Vec<ConfigurationStep>) -> bool {
         let Some(routes) = self.routes.clone() else {
             return false;
@@ -111,7 +108,7 @@
         true
     }
 
-    /// What a peer that has a version is missing.
+    /// Returns what a peer at `version` lacks.
     pub fn news_since(&self, version: u64) -> ConfigurationUpdate {
         if self.version() <= version {
             return ConfigurationUpdate::None;
--- a/crates/sablebay-catalogue/src/lib.rs
+++ b/crates/sablebay-catalogue/src/lib.rs
@@ -1,8 +1,7 @@
-//! What routes and replicas there are, by revision.
+//! Catalogue of routes and replicas, ordered by revision.
 //!
-//! Decided here: which route a request takes, which replicas of a service may get new work, that a
-//! node's view of both never goes back, and when the source of the catalogue is read. Not decided
-//! here: how that source spells things, which is an adapter's matter. No I/O and no clock.
+//! Covers route selection, the replicas that may receive new requests, monotonic merging of updates, and when
+//! to read the catalogue's source. Adapters parse the source's format. No I/O and no clock.
 
 mod configuration;
 mod configuration_history;
--- a/crates/sablebay-catalogue/src/reading.rs
+++ b/crates/sablebay-catalogue/src/reading.rs
@@ -1,59 +1,57 @@
-//! Who reads the source of the catalogue, when, and how long an answer is waited for.
+//! Decides which nodes read the catalogue's source, when, and with which timeouts.
 //!
-//! Two nodes, the same in everybody's member list, wait for changes at the source; the others learn
-//! from these, and read by themselves only when nobody has confirmed the catalogue to them of late.
+//! A small number of readers, chosen identically from everybody's member list, watch the source for changes.
+//! Other nodes learn from them and read only when the catalogue has not been confirmed to them recently.
 //!
-//! Invariant kept here: a node that can reach the source reads it, or hears from one that did,
-//! within [`MAXIMUM_STALENESS`], so that a configuration that was accepted meanwhile is in force in
-//! time (must-hold 8) and a leaving replica gets no new work (must-hold 6). A wait may be lost
-//! without any sign; that is why it is short.
+//! Invariant: a node that can reach the source reads it, or hears from a node that did, within
+//! [`MAXIMUM_STALENESS`]. Watches may be lost without an error, so they are short.
 
 use std::time::Duration;
 
 use crate::revision::{CataloguePosition, CatalogueRevision};
 
-/// Nodes that read the source for all.
+/// Number of nodes that watch the source on behalf of all.
 pub const READERS: usize = 2;
-/// How long one wait for changes lasts.
+/// Duration of one watch.
 const WAIT: Duration = Duration::from_millis(900);
-/// How long an answer may take beyond what was asked for.
+/// Time allowed for a response beyond the requested wait.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
-/// The most that patience grows to while answers do not come.
+/// Upper bound of the response timeout, which doubles with each timeout.
 const MAXIMUM_RESPONSE_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// Changes come in groups: how long after some the next wait begins.
+/// Pause before the next watch after changes, as changes come in batches.
 const BATCH_PAUSE: Duration = Duration::from_millis(250);
-/// Bounds of a reader's pause after a failure.
+/// Minimum and maximum pause of a reader after a failure.
 const FAILURE_PAUSE: (Duration, Duration) = (Duration::from_millis(120), Duration::from_millis(700));
-/// The pause of another node after a failure: readers try for it too.
+/// Pause of a non-reader after a failure; readers retry on its behalf too.
 const NON_READER_PAUSE: Duration = Duration::from_millis(1_200);
-/// Over how long the nodes that are no readers spread their listings after a return of the source: the first few tell the
-/// others, which then need none. All of a fleet are told within a second.
+/// Period over which non-readers spread their listings after the source was restored. The first few notify
+/// the others, which then need no listing.
 const RESTORE_SPREAD: Duration = Duration::from_millis(2_000);
-/// How long ago a node that is no reader heard of the catalogue when it reads by itself.
+/// Time since the last contact after which a non-reader reads the source itself.
 const NON_READER_STALENESS: Duration = Duration::from_millis(2_100);
-/// How often a node that waits looks again.
+/// Interval at which a waiting node checks again.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// The longest time between the last news, or the last word that there is none, and the next question to the source.
+/// Maximum time between the last update or confirmation and the next read.
 pub const MAXIMUM_STALENESS: Duration = Duration::from_millis(2_300);
 
-/// The part of the limit on a configuration's age from which the source is asked for what there is now. Beyond what
-/// the age comes to while all answers are in time; a wait for changes would end close to the limit.
+/// Share of a configuration's age limit from which reads no longer wait for changes. Exceeds the age reached
+/// while all responses are in time.
 const NEAR_LIMIT_PART: f64 = 0.6;
-/// The parts of that limit at which nodes that are no readers read by themselves, each at one of its own: the first
-/// ones leave the source free for the others, which hear from readers meanwhile. The last one has time for an answer.
+/// Range of the share of the age limit at which non-readers read the source themselves. Each node has its own
+/// threshold, so that the first readers can inform the others; the last one still leaves time for a response.
 const NON_READER_PARTS: (f64, f64) = (0.75, 0.9);
 
-/// The age of a configuration whose age is limited.
+/// Age of a configuration that is valid only up to an age limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitedAge {
-    /// The age of the moment up to which the configuration is the newest for certain.
+    /// Time since the configuration was last known to be the newest.
     pub age: Duration,
-    /// The age at which it may not be acted on any more.
+    /// Age from which the configuration may not be used.
     pub limit: Duration,
 }
 
 impl LimitedAge {
-    /// Whether that is so close that nothing is waited for.
+    /// Whether the age is so close to the limit that reads do not wait for changes.
     pub fn is_near_limit(self) -> bool {
         self.exceeds(NEAR_LIMIT_PART)
     }
@@ -63,80 +61,69 @@
     }
 }
 
-/// What to ask the source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceRead {
-    /// For everything.
+    /// A full listing.
     All {
-        /// How long the answer may take.
+        /// Response timeout.
         timeout: Duration,
     },
-    /// For what changes after a revision.
     Changes {
-        /// The revision.
         after: CatalogueRevision,
-        /// How long the source may wait for a change.
+        /// Maximum time that the source may wait for a change.
         wait: Duration,
-        /// How long the answer may take.
+        /// Response timeout, including `wait`.
         timeout: Duration,
     },
 }
 
-/// What a node does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceStep {
-    /// It asks the source.
     Read(SourceRead),
-    /// It waits, and looks again.
+    /// Check again after this time.
     Wait(Duration),
 }
 
-/// Why a read gave nothing, as far as it matters for the next one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadFailure {
-    /// What changed cannot be told any more.
+    /// The source no longer has the changes since the requested revision.
     MustReadAll,
-    /// The source has come back from an older copy: what changed since a revision of before means nothing.
+    /// The source was restored from an older copy; revisions from before are not comparable.
     Restored,
-    /// No answer came in time.
     NoAnswer,
-    /// The source refused for now.
+    /// The source refused the request for now.
     Refused,
 }
 
-/// What a node's next step depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadingInputs {
     /// Whether the node is among the [`READERS`].
     pub is_reader: bool,
-    /// Whether it has met other nodes.
+    /// Whether the node has contacted other nodes.
     pub has_peers: bool,
-    /// How long it has run.
+    /// Time since the node started.
     pub running_for: Duration,
-    /// How long a starting node waits for others to tell it what there is. Nodes that all start at
-    /// one moment, with time to spare, need not all read; one that comes back is in a hurry.
+    /// How long a starting node waits for peers before it reads the source; shorter for a node that restarts.
     pub startup_wait: Duration,
-    /// How long ago it heard of the catalogue, from the source or from a peer, if only that there is nothing newer;
-    /// nothing before the first time.
+    /// Time since the source or a peer last updated or confirmed the catalogue; `None` before the first
+    /// contact.
     pub contact_ago: Option<Duration>,
-    /// The age of its configuration, where that is limited and a read may lessen it.
+    /// Age of the configuration, if it is limited and a read may reduce it.
     pub configuration_age: Option<LimitedAge>,
-    /// Where this node stands among all, from 0 to 1.
+    /// Relative position of this node among all nodes, from 0 to 1.
     pub position: f64,
-    /// Up to where it knows the catalogue.
     pub known_up_to: CataloguePosition,
-    /// Whether everything is to be listed anew, since the source's era is settled now.
+    /// Whether a full listing is due because the source's era is settled.
     pub must_settle: bool,
 }
 
 impl ReadingInputs {
-    /// Whether the configuration is so close to its limit that nothing is waited for.
     fn is_near_limit(&self) -> bool {
         self.configuration_age.is_some_and(LimitedAge::is_near_limit)
     }
 }
 
-/// Decides about reads of the source.
+/// Schedules reads of the source.
 #[derive(Clone, Debug, Default)]
 pub struct ReadingPolicy {
     must_read_all: bool,
@@ -145,7 +132,6 @@
 }
 
 impl ReadingPolicy {
-    /// What to do next.
     pub fn next(&self, inputs: &ReadingInputs) -> SourceStep {
         if let Some(wait) = wait_for_others(inputs) {
             return SourceStep::Wait(wait);
@@ -164,8 +150,8 @@
         self.failures > 0
     }
 
-    /// A read was answered that these inputs led to. Returns the pause before the next: one after a read that waited
-    /// for nothing as well, which the age may not have come down by.
+    /// Records a successful read for these inputs. Returns the pause before the next read, which is never
+    /// zero close to the age limit, where reads do not wait.
     pub fn succeeded(&mut self, changed: bool, inputs: &ReadingInputs) -> Duration {
         *self = Self::default();
         match inputs.is_near_limit() {
@@ -176,8 +162,8 @@
         }
     }
 
-    /// A read failed. Returns the pause before the next; `jitter` (0 to 1) spreads nodes that fail
-    /// at one moment.
+    /// Records a failed read. Returns the pause before the next read; `jitter` (0 to 1) spreads nodes that
+    /// fail at the same time.
     pub fn failed(&mut self, failure: ReadFailure, is_reader: bool, jitter: f64) -> Duration {
         let (shortest, longest) = FAILURE_PAUSE;
         let pause = if is_reader {
@@ -200,7 +186,7 @@
     }
 }
 
-/// How long a node leaves the reading to others before it looks again; nothing when it reads.
+/// Returns how long to leave reading to other nodes, or `None` if this node reads now.
 fn wait_for_others(inputs: &ReadingInputs) -> Option<Duration> {
     let starting = inputs.running_for < inputs.startup_wait;
     if inputs.is_reader && (inputs.has_peers || !starting) {
@@ -213,7 +199,7 @@
     others_inform.then_some(POLL_INTERVAL)
 }
 
-/// Whether the configuration of a node that is no reader is so close to its limit that it reads by itself.
+/// Whether a non-reader is close enough to its age limit to read the source itself.
 fn is_non_readers_turn(inputs: &ReadingInputs) -> bool {
     let (first, last) = NON_READER_PARTS;
     let part = first + (last - first) * inputs.position;
--- a/crates/sablebay-catalogue/src/replica.rs
+++ b/crates/sablebay-catalogue/src/replica.rs
@@ -1,4 +1,4 @@
-//! A replica as it announces itself.
+//! Replicas and their identifiers.
 
 use std::cmp::Ordering;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 
 use crate::revision::Era;
 
-/// A service of back ends; a shard is one.
+/// A backend service; each shard is a service.
 #[derive(
     Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
@@ -21,22 +21,20 @@
 pub struct ServiceName(Arc<str>);
 
 impl ServiceName {
-    /// Wraps a name.
     pub fn new(name: impl AsRef<str>) -> Self {
         Self(Arc::from(name.as_ref()))
     }
 
-    /// The name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-/// Between a replica's name and the start of its life. No name may hold it.
+/// Separates the replica's name from its start time; not allowed in names.
 const INCARNATION_SEPARATOR: char = '@';
 
-/// One life of one replica: a replica that starts again has another, also under the name that it had. All that is known of
-/// a replica is kept by its life: a new one has no latencies, no failures, no open calls and no connections.
+/// Identifies one incarnation of a replica: a restart gives a new incarnation, also under the same name.
+/// Latencies, failures, open calls and connections are tracked per incarnation.
 #[derive(
     Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
@@ -45,12 +43,12 @@
 pub struct ReplicaId(Arc<str>);
 
 impl ReplicaId {
-    /// Wraps a name, of a replica that does not tell when it started.
+    /// An identifier without a start time.
     pub fn new(name: impl AsRef<str>) -> Self {
         Self(Arc::from(name.as_ref()))
     }
 
-    /// The life of a replica that started at `started_ms`, in Unix milliseconds; 0 when it does not tell.
+    /// The incarnation that started at `started_ms`, in Unix milliseconds; 0 if unknown.
     pub fn with_incarnation(name: impl AsRef<str>, started_ms: u64) -> Self {
         match started_ms {
             0 => Self::new(name),
@@ -58,47 +56,45 @@
         }
     }
 
-    /// Whether a name can be one: requests can carry it in a header, and it does not look like one with a life.
+    /// Whether `name` is a valid replica name: usable in a request header and without a start time.
     pub fn is_name(name: &str) -> bool {
         !name.is_empty()
             && name.bytes().all(|byte| byte.is_ascii_graphic())
             && !name.contains(INCARNATION_SEPARATOR)
     }
 
-    /// The identifier as text, the life in it.
+    /// The identifier including the start time.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// The replica's name, the same in all of its lives.
+    /// The replica's name, shared by all incarnations.
     pub fn name(&self) -> &str {
         self.0.split_once(INCARNATION_SEPARATOR).map_or(&self.0, |(name, _)| name)
     }
 
-    /// When the life began, in Unix milliseconds; 0 when that is not known.
+    /// Start time of the incarnation in Unix milliseconds; 0 if unknown.
     pub fn started_ms(&self) -> u64 {
         self.0.split_once(INCARNATION_SEPARATOR).and_then(|(_, born)| born.parse().ok()).unwrap_or_default()
     }
 
-    /// How another life of the replica stands to this one by when they began; nothing where that is not known of both.
+    /// Orders `other` relative to this incarnation by start time; `None` unless both are known.
     pub fn incarnation_order(&self, other: &Self) -> Option<Ordering> {
         let known = self.started_ms() > 0 && other.started_ms() > 0;
         known.then(|| other.started_ms().cmp(&self.started_ms()))
     }
 
-    /// What all lives of the replica are known by.
+    /// The identifier shared by all incarnations of the replica.
     pub fn without_incarnation(&self) -> Self {
         if self.0.contains(INCARNATION_SEPARATOR) { Self::new(self.name()) } else { self.clone() }
     }
 }
 
-/// Whether a replica takes new work.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Encode, Decode)]
 pub enum ReplicaPhase {
-    /// It does.
     #[display("ready")]
     Ready,
-    /// It is leaving, and takes none.
+    /// Leaving; accepts no new requests.
     #[display("draining")]
     Draining,
 }
@@ -106,27 +102,21 @@
 /// A replica as it announces itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Replica {
-    /// Which life of which replica.
     pub id: ReplicaId,
-    /// What it is a replica of.
     pub service: ServiceName,
-    /// Where it listens.
     pub address: SocketAddr,
-    /// Its zone.
     pub zone: ZoneName,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it takes new work.
     pub phase: ReplicaPhase,
-    /// How much longer it is slow from its start, in milliseconds, when it wrote this.
+    /// Remaining warm-up time at the time of writing, in milliseconds.
     pub warm_up_left_ms: u64,
-    /// Counts what it has written in this life, and only rises.
+    /// Increases with each write of this incarnation.
     pub sequence: u64,
 }
 
 impl Replica {
-    /// How another word of the same replica stands to this one by what replicas count themselves; nothing where that does
-    /// not tell.
+    /// Orders `other` relative to this entry by incarnation and sequence; `None` if not comparable.
     pub fn version_order(&self, other: &Self) -> Option<Ordering> {
         if self.id == other.id {
             return Some(other.sequence.cmp(&self.sequence));
@@ -135,8 +125,8 @@
     }
 }
 
-/// A replica as nodes tell each other of it. Its life stands in a field of its own: nodes of an earlier release know
-/// replicas by their names.
+/// Wire format of a replica. The start time is a separate field for compatibility with releases that know
+/// replicas only by name.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ReplicaEntry {
     name: ReplicaId,
@@ -150,7 +140,7 @@
     started_ms: u64,
     #[musli(default)]
     sequence: u64,
-    /// Of the revision that it is told with.
+    /// Era of the revision sent along with the entry.
     #[musli(default)]
     pub(crate) era: Era,
 }
--- a/crates/sablebay-catalogue/src/route_table.rs
+++ b/crates/sablebay-catalogue/src/route_table.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes: by its host, then by the longest prefix that begins its path.
+//! Route lookup by host and longest matching path prefix.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use crate::replica::ServiceName;
 use crate::urgency::{MostUrgent, priority};
 
-/// The routes and services of one configuration, made for look-ups.
+/// Lookup tables for the routes and services of one configuration.
 #[derive(Debug)]
 pub struct RouteTable {
     configuration: RoutingConfiguration,
@@ -20,7 +20,6 @@
 }
 
 impl RouteTable {
-    /// Makes the table of a configuration.
     pub fn new(configuration: RoutingConfiguration) -> Self {
         let mut hosts: HashMap<String, HashMap<String, Arc<Route>>> = HashMap::new();
         for route in &configuration.routes {
@@ -33,20 +32,18 @@
         Self { services: services.collect(), hosts, most_urgent, tenants, configuration }
     }
 
-    /// The configuration that the table was made of.
     pub fn configuration(&self) -> &RoutingConfiguration {
         &self.configuration
     }
 
-    /// The configuration's version.
     pub fn version(&self) -> u64 {
         self.configuration.version
     }
 
-    /// The route of a request; `host` may carry a port.
+    /// Finds the route of a request; `host` may include a port.
     ///
-    /// Prefixes end with a slash, so that only the parts of the path up to a slash are looked up,
-    /// the longest first.
+    /// Prefixes end with a slash, so only the parts of the path that end at a slash are looked up, longest
+    /// first.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let prefixes = self.hosts.get(&name.to_ascii_lowercase())?;
@@ -60,19 +57,18 @@
         None
     }
 
-    /// How much less urgent a request is than the most urgent one that may come to a service of its route; 0 for
-    /// that one.
+    /// Priority distance between a request and the most urgent request that may reach a service of its route;
+    /// 0 is the most urgent.
     pub fn rank(&self, route: &Route, tenant: Option<&Tenant>) -> u32 {
         let most_urgent = self.most_urgent.for_route(route);
         most_urgent.map_or(0, |most_urgent| priority(route, tenant).saturating_sub(most_urgent))
     }
 
-    /// The tenants; nothing where callers need no key.
+    /// `None` if callers need no key.
     pub fn tenants(&self) -> Option<&TenantDirectory> {
         self.tenants.as_ref()
     }
 
-    /// A service by its name.
     pub fn service(&self, name: &ServiceName) -> Option<&BackendService> {
         self.services.get(name)
     }
--- a/crates/sablebay-catalogue/src/snapshot.rs
+++ b/crates/sablebay-catalogue/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What one node knows of the catalogue, as it passes it on to another.
+//! Catalogue updates that nodes exchange.
 
 use musli::{Decode, Encode};
 
@@ -12,85 +12,84 @@
 use crate::replica::{Replica, ReplicaEntry, ReplicaId};
 use crate::revision::{CataloguePosition, CatalogueRevision, Era, EraStage};
 
-/// More of an entry that went, for nodes that know lives and eras.
+/// Additional fields of a removed entry, separate for compatibility with releases without incarnations and
+/// eras.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct RemovedIncarnation {
-    /// The era of the revision at which it went.
+    /// Era of the revision of the removal.
     era: Era,
-    /// The start of the life that it was of; 0 when that is not known.
+    /// Start time of the removed incarnation; 0 if unknown.
     started_ms: u64,
 }
 
-/// What one node knows, with the revisions that order it.
+/// A node's catalogue, or its difference from the receiver's.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct CatalogueSnapshot {
-    /// The configuration, when the receiver had an older one that no steps are known from.
+    /// The full configuration, if the sender has no steps from the receiver's version.
     pub configuration: Option<RoutingConfiguration>,
-    /// The steps to the newest configuration from the one that the receiver had.
+    /// Steps from the receiver's configuration to the newest one.
     #[musli(default)]
     pub steps: Vec<ConfigurationStep>,
-    /// Where there is more that the receiver is missing: too much for one answer.
+    /// Offer of a document with the rest of the update, if too large for one response.
     #[musli(default)]
     pub offer: Option<DocumentOffer>,
-    /// The number of the revision up to which the replicas are known; 0 when nothing is known. `stage` tells its era.
+    /// Revision number up to which the replicas are known; 0 if nothing is known. `stage` holds the era.
     pub number: u64,
-    /// How long ago the sender last heard that its knowledge is the newest, in milliseconds; nothing when it never
-    /// did. No bound of anything: see [`CatalogueSnapshot::confirmation`].
+    /// Milliseconds since the sender's catalogue was last confirmed; `None` if never. Not a bound on its age:
+    /// see [`CatalogueSnapshot::confirmation`].
     pub heard_ms_ago: Option<u64>,
-    /// The number of nodes that the sender has met, when it has run for long enough to know.
+    /// Number of nodes that the sender has contacted, once it has run long enough.
     pub nodes_met: Option<u64>,
-    /// Whether `replicas` are all that there are; otherwise they are those that changed since the
-    /// revision that the receiver knew.
+    /// Whether `replicas` is the full list rather than the changes since the receiver's revision.
     pub full: bool,
-    /// The replicas with the numbers of the revisions of their entries, which tell their eras.
+    /// Replicas with the revision numbers of their entries; the entries hold the eras.
     pub replicas: Vec<(ReplicaEntry, u64)>,
-    /// The names of the replicas whose entries went since the revision that the receiver knew, with the
-    /// numbers of the revisions at which they went.
+    /// Names of replicas removed since the receiver's revision, with the revision numbers of the removals.
     pub removed: Vec<(ReplicaId, u64)>,
-    /// What operators said of zones, all of it. Nothing from a node of an earlier release, which takes
-    /// the catalogue for confirmed without having read this.
+    /// All evacuation settings. `None` from releases without evacuations, whose confirmation does not cover
+    /// them.
     #[musli(default)]
     pub zones: Option<Vec<ZoneNotice>>,
-    /// Up to when the sender's configuration is the newest; nothing when it knows of no such moment. Nothing from a
-    /// node of an earlier release as well: what that one takes for the age of its knowledge is less than it is.
+    /// Time up to which the sender's configuration is known to be the newest; `None` if unknown or from an
+    /// earlier release, which underestimates the age.
     #[musli(default)]
     pub confirmation: Option<PeerConfirmation>,
-    /// Which configurations the sender could read, and could not.
+    /// Revisions of the newest readable and unreadable configurations known to the sender.
     #[musli(default)]
     pub revisions: ConfigurationRevisions,
-    /// The rest of what `number` says; nothing from a node of an earlier release, which knows no eras.
+    /// Era part of the position; `None` from releases without eras.
     #[musli(default)]
     pub stage: Option<EraStage>,
-    /// More of what is `gone`, in the same order.
+    /// Additional fields of `removed`, in the same order.
     #[musli(default)]
     pub removed_incarnations: Vec<RemovedIncarnation>,
-    /// The lowest number that was heard of in the source's era.
+    /// Lowest revision number observed in the source's era.
     #[musli(default)]
     pub first_number: u64,
-    /// How long the sender has known of the era; nothing when it says nothing of it.
+    /// Time since the sender learned of the era; `None` if not reported.
     #[musli(default)]
     pub era_age: Option<Micros>,
-    /// Whether the sender knows what the fleet knew before it started, or before the source's last return.
+    /// Whether the sender has caught up with what the fleet knew before it started or before the source's
+    /// last restore.
     #[musli(default)]
     pub caught_up: bool,
-    /// Up to where the sender knew the catalogue before the source's era.
+    /// Position of the sender before the source's era.
     #[musli(default)]
     pub known_before: CataloguePosition,
 }
 
 impl CatalogueSnapshot {
-    /// The version of the newest configuration that it holds; nothing when it holds none.
+    /// Version of the newest configuration in the snapshot, if any.
     pub fn version(&self) -> Option<u64> {
         let steps = self.steps.last().map(|step| step.version);
         self.configuration.as_ref().map(|configuration| configuration.version).max(steps)
     }
 
-    /// One that tells how far the sender knows the replicas.
+    /// An empty snapshot at `position`.
     pub fn at(position: CataloguePosition) -> Self {
         Self { number: position.revision().number(), stage: Some(position.stage()), ..Self::default() }
     }
 
-    /// How far the sender knows the replicas.
     pub fn replicas_at(&self) -> CataloguePosition {
         match self.number {
             0 => CataloguePosition::NOTHING,
@@ -98,21 +97,20 @@
         }
     }
 
-    /// Tells of a replica.
     pub fn push_replica(&mut self, replica: &Replica, revision: CatalogueRevision) {
         let mut entry = ReplicaEntry::from(replica);
         entry.era = revision.era();
         self.replicas.push((entry, revision.number()));
     }
 
-    /// Tells that the entry of a replica went, of a life where that is known.
+    /// Adds a removal; `id` includes the incarnation if known.
     pub fn push_removed(&mut self, id: ReplicaId, revision: CatalogueRevision) {
         self.removed_incarnations
             .push(RemovedIncarnation { era: revision.era(), started_ms: id.started_ms() });
         self.removed.push((id.without_incarnation(), revision.number()));
     }
 
-    /// Takes out the replicas that are told of, with the revisions of their entries.
+    /// Takes the replicas with the revisions of their entries.
     pub fn take_replicas(&mut self) -> Vec<(Replica, CatalogueRevision)> {
         let told = std::mem::take(&mut self.replicas).into_iter();
         told.map(|(entry, number)| {
@@ -122,7 +120,7 @@
         .collect()
     }
 
-    /// Takes out those whose entries went, with the revisions at which they did.
+    /// Takes the removed replicas with the revisions of the removals.
     pub fn take_removed(&mut self) -> Vec<(ReplicaId, CatalogueRevision)> {
         let ended = std::mem::take(&mut self.removed_incarnations)
             .into_iter()
@@ -135,12 +133,12 @@
         .collect()
     }
 
-    /// As a document. Nothing when it cannot be encoded.
+    /// Encodes the snapshot; `None` on failure.
     pub fn to_document(&self) -> Option<Vec<u8>> {
         musli::wire::to_vec(self).ok()
     }
 
-    /// Out of a document. Nothing when it is none.
+    /// Decodes a snapshot; `None` if malformed.
     pub fn from_document(content: &[u8]) -> Option<Self> {
         musli::wire::from_slice(content).ok()
     }
--- a/crates/sablebay-catalogue/src/source_era.rs
+++ b/crates/sablebay-catalogue/src/source_era.rs
@@ -1,57 +1,54 @@
-//! What a node knows of the source's last return from an older copy.
+//! Tracks restores of the source from an older copy.
 //!
-//! The source then says less than it had acknowledged, until whoever wrote since the copy has written again. What an item says
-//! in that time may be the copy's or its writer's: numbers above the first that was heard of in the era are certainly its
-//! writer's.
+//! A restored source lacks acknowledged writes until their writers write again. In that time an entry may
+//! come from the copy or from its writer; numbers above the first one observed in the era certainly come from
+//! writers.
 
 use sablebay_model::Micros;
 
 use crate::revision::{CatalogueRevision, Era};
 
-/// How long after a return writers have written again: three heartbeats of 1.2 s, after which the entry of a replica that does
-/// not write is gone as well, and 0.4 s on the way. Until then nothing is taken for gone because the source does not
-/// have it.
+/// Time after a restore within which writers have rewritten their entries or the entries have expired. Until
+/// then, absence of an entry does not count as removal.
 pub const SETTLE_PERIOD: Micros = Micros::from_millis(4_000);
 
-/// The era that the source is in, as far as a node knows.
+/// The source's current era as far as this node knows.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SourceEra {
     era: Era,
-    /// The lowest number that was heard of in it; 0 in the first era, in which nothing is a copy's.
+    /// Lowest number observed in the era; 0 in the first era, which is not a restore.
     first_number: u64,
-    /// When anybody was first heard to have been told of it, by the node's clock.
+    /// Earliest time at which any node learned of the era, by this node's clock.
     observed_at: Micros,
 }
 
 impl SourceEra {
-    /// The era.
     pub fn era(&self) -> Era {
         self.era
     }
 
-    /// The lowest number that was heard of in it.
     pub fn first_number(&self) -> u64 {
         self.first_number
     }
 
-    /// How long it has been known.
+    /// Time since the era was first observed.
     pub fn age(&self, now: Micros) -> Micros {
         now.since(self.observed_at)
     }
 
-    /// Whether writers have had the time to write again.
+    /// Whether writers have had time to write again.
     pub fn is_settled(&self, now: Micros) -> bool {
         self.era == Era::UNNAMED || self.age(now) >= SETTLE_PERIOD
     }
 
-    /// Whether a change was surely made after the last return. Of one of an earlier era nobody can tell: its writer may have
-    /// made it then, or in the era before.
+    /// Whether a change was certainly made after the last restore. Unknown for changes of earlier eras, which
+    /// count as not.
     pub fn is_written_since_restore(&self, revision: CatalogueRevision) -> bool {
         revision.era() == self.era && revision.number() > self.first_number
     }
 
-    /// Hears that the source was at a number, or at a lower one, of an era that has been known for `age`. Returns whether the
-    /// era is a new one.
+    /// Records that the source was at `at` or lower in an era known for `age`. Returns whether the era is
+    /// new.
     pub fn observe(&mut self, at: CatalogueRevision, age: Micros, now: Micros) -> bool {
         let observed_at = now.since(age);
         if at.era() < self.era {
--- a/crates/sablebay-catalogue/src/urgency.rs
+++ b/crates/sablebay-catalogue/src/urgency.rs
@@ -1,4 +1,4 @@
-//! How urgent requests are: a tenant's priority goes before its route's.
+//! Request priorities; a tenant's priority overrides that of the route.
 
 use std::collections::HashMap;
 
@@ -7,19 +7,18 @@
 use crate::configuration::{Route, RoutingConfiguration};
 use crate::replica::ServiceName;
 
-/// The priority of a tenant's request on a route; 0 is the most urgent.
+/// Priority of a tenant's request on a route; 0 is the most urgent.
 pub(crate) fn priority(route: &Route, tenant: Option<&Tenant>) -> u32 {
     tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority)
 }
 
-/// The most urgent priority with which requests may come to each service.
+/// The most urgent priority that may reach each service.
 #[derive(Debug)]
 pub(crate) struct MostUrgent {
     by_service: HashMap<ServiceName, u32>,
 }
 
 impl MostUrgent {
-    /// Over the routes and tenants of a configuration.
     pub(crate) fn new(configuration: &RoutingConfiguration) -> Self {
         let tenants = TenantPriorities::new(configuration.tenants.as_deref());
         let mut by_service: HashMap<ServiceName, u32> = HashMap::new();
@@ -33,17 +32,17 @@
         Self { by_service }
     }
 
-    /// The most urgent priority that may come to a service of the route.
+    /// The most urgent priority that may reach any service of the route.
     pub(crate) fn for_route(&self, route: &Route) -> Option<u32> {
         route.destination.services().filter_map(|service| self.by_service.get(service)).min().copied()
     }
 }
 
-/// The priorities that tenants bring to the routes which need a key.
+/// Priorities of tenants on routes that require a key.
 struct TenantPriorities {
-    /// The most urgent one that a tenant has of its own.
+    /// The most urgent priority set on a tenant.
     own: Option<u32>,
-    /// Whether somebody comes with the route's.
+    /// Whether some callers have no priority of their own and use the route's.
     inherits_route: bool,
 }
 
@@ -55,7 +54,7 @@
         Self { own, inherits_route }
     }
 
-    /// The most urgent priority that comes by a route.
+    /// The most urgent priority of requests on a route.
     fn most_urgent(&self, route: &Route) -> u32 {
         match self.own {
             Some(own) if !route.public && self.inherits_route => own.min(route.priority),
--- a/crates/sablebay-catalogue/src/view.rs
+++ b/crates/sablebay-catalogue/src/view.rs
@@ -1,16 +1,15 @@
-//! What a node knows of the catalogue, and how news changes it.
+//! A node's view of the catalogue and how updates are merged.
 //!
-//! Invariants kept here:
-//! - a configuration is replaced by one of a higher version alone (must-hold 8);
-//! - an entry is replaced by one of a higher revision alone, so that news may come in any order and
-//!   from several sources;
-//! - a replica of an evacuated zone gets no new work: [`CatalogueView::routable`] leaves it out, so that
-//!   nothing which is made from the view can send there;
-//! - a replica that drains or whose entry is gone for [`ABSENCE_GRACE_PERIOD`] gets no new work
-//!   (must-hold 6). An entry may also vanish while the source is in trouble and come back with the
-//!   replica's next heartbeat, so that a vanished replica stays a last resort until then;
-//! - a source that comes back from an older copy takes nothing back: what was known holds until its own writer has said
-//!   otherwise, or has had the time to ([`crate::SETTLE_PERIOD`]).
+//! Invariants:
+//! - a configuration is replaced only by one of a higher version;
+//! - an entry is replaced only by one of a higher revision, so updates may arrive in any order and from
+//!   several sources;
+//! - replicas of an evacuated zone get no new requests: [`CatalogueView::routable`] excludes them;
+//! - a replica that is draining, or whose entry has been absent for [`ABSENCE_GRACE_PERIOD`], gets no new
+//!   requests. Before that, an absent replica is a last resort, since entries also disappear while the source
+//!   is in trouble;
+//! - a source restored from an older copy reverts nothing: known state holds until its writer has written
+//!   again or has had time to ([`crate::SETTLE_PERIOD`]).
 
 mod entry;
 mod exchange;
@@ -32,117 +31,110 @@
 
 use entry::Entry;
 
-/// How long a replica whose entry vanished is a last resort.
+/// Time for which a replica whose entry is absent remains a last resort.
 const ABSENCE_GRACE_PERIOD: Micros = Micros::from_millis(1_600);
-/// How long the replicas of a zone that was taken back are taken for cold where their service does not
-/// say how long that lasts: the three seconds that the users' sheets give for a started one.
+/// Warm-up time of replicas after the end of an evacuation if their service does not specify one.
 const ASSUMED_WARM_UP: Micros = Micros::from_secs(3);
-/// How long a node that has not learnt what the fleet knew waits for a peer that has: a node finds its first peer 0.1 s after
-/// its start, a peer answers such a question at once, and two that are gone without a sign cost 0.35 s each.
+/// Time that a node waits for a peer from which to catch up. Covers peer discovery and unresponsive peers.
 const CATCH_UP_TIMEOUT: Micros = Micros::from_millis(1_000);
-/// Spans of unheard changes that are kept: listings are seconds apart at the least, and a peer is behind by less.
+/// Maximum number of gaps that are tracked.
 const MAXIMUM_GAPS: usize = 4;
-/// How long the revision of a vanished entry is remembered, against older news of it.
+/// Time for which a removed entry's revision is kept, to reject older updates.
 const TOMBSTONE_LIFETIME: Micros = Micros::from_secs(60);
 
-/// News of one replica.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicaChange {
-    /// Its entry as written.
+    /// The entry was written.
     Written(Replica),
-    /// Its entry is gone, or names no replica: whichever life it was.
+    /// The entry was removed or is invalid, whichever the incarnation.
     Removed(ReplicaId),
 }
 
-/// Every replica that there was when a listing was taken.
+/// A full listing of the source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listing {
-    /// The revision that the listing was begun at.
+    /// Revision at which the listing was started.
     pub at: CatalogueRevision,
-    /// The replicas with the revisions of their entries.
+    /// Replicas with the revisions of their entries.
     pub replicas: Vec<(Replica, CatalogueRevision)>,
-    /// The evacuated zones with the revisions at which that was said.
+    /// Evacuated zones with the revisions of their evacuation.
     pub evacuated: Vec<(ZoneName, CatalogueRevision)>,
 }
 
-/// A replica that may get new work.
+/// A replica that may receive new requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutableReplica {
-    /// The replica.
     pub replica: Arc<Replica>,
-    /// Whether it is to be used only when nothing else is left.
+    /// Whether to use the replica only if no others are available.
     pub last_resort: bool,
-    /// Whether this node keeps no connections to it, for want of room there: it is used when the
-    /// others are in trouble. Set by whoever shares connections out.
+    /// Whether this node keeps no connections to the replica because of its connection limit, and uses it
+    /// only if others fail. Set when connections are allocated.
     pub beyond_share: bool,
-    /// Until when it is cold: slow from its start, or from its zone's return.
+    /// When the replica has warmed up after its start or the end of an evacuation.
     pub warm_at: Micros,
-    /// Requests that this node may send it in any second until then; nothing when that is not bounded.
-    /// Set by whoever shares connections out.
+    /// Maximum requests per second from this node until `warm_at`; `None` if unlimited. Set when connections
+    /// are allocated.
     pub cold_calls_per_s: Option<u32>,
 }
 
-/// Changes that a node knows by what they led to alone: it knew the catalogue up to a moment, and next as a whole.
+/// A range of changes that were not received individually, only as part of a full listing.
 #[derive(Clone, Copy, Debug)]
 struct Gap {
     after: CataloguePosition,
     until: CatalogueRevision,
 }
 
-/// What a node may still have to learn from its peers: what the fleet knew before it started, or before the source's last
-/// return.
+/// Catch-up with what the fleet knew before this node started or before the source's last restore.
 #[derive(Clone, Copy, Debug)]
 struct CatchUp {
-    /// Up to where it knew the catalogue then.
+    /// Position of the node when it started to catch up.
     from: CataloguePosition,
     since: Micros,
 }
 
-/// What a node knows of the catalogue.
 #[derive(Debug, Default)]
 pub struct CatalogueView {
     configuration: KnownConfiguration,
-    /// By the name of the replica, which an entry lies under: a new life's takes the place of the one before.
+    /// By replica name: a new incarnation replaces the previous one.
     entries: HashMap<ReplicaId, Entry>,
     replicas_at: CataloguePosition,
-    /// The highest revision of an entry that vanished and was forgotten.
+    /// Highest revision of the expired tombstones.
     forgotten_up_to: CatalogueRevision,
-    /// The last spans of changes that were not heard one by one: what came and went in them is not known here.
+    /// The most recent gaps; replicas may have been added and removed within them.
     gaps: VecDeque<Gap>,
     source: SourceEra,
-    /// Up to where this node had heard everything before the source's era.
+    /// Position up to which all changes before the source's era were received.
     received_before: CataloguePosition,
-    /// Up to where this node, or who told it, knew something before the source's era: what is kept may be from there.
+    /// Latest position before the source's era of this node or its peers; retained entries may date from
+    /// there.
     known_before: CataloguePosition,
     catch_up: Option<CatchUp>,
     evacuations: Evacuations,
     revisions: ConfigurationRevisions,
-    /// Whether leaving replicas get work; in the soak alone.
+    /// Fault injection for the soak test: routes to draining replicas.
     keeps_leaving: bool,
-    /// Whether replicas of evacuated zones get work; in the soak alone.
+    /// Fault injection for the soak test: routes to replicas of evacuated zones.
     keeps_evacuated: bool,
-    /// Whether a copy's word is taken for the newest; in the soak alone.
+    /// Fault injection for the soak test: treats every era as settled.
     settles_at_once: bool,
 }
 
 impl CatalogueView {
-    /// The routes in force.
     pub fn routes(&self) -> Option<&Arc<RouteTable>> {
         self.configuration.routes()
     }
 
-    /// Up to where replicas and zones are known.
+    /// Position up to which replicas and zones are known.
     pub fn replicas_at(&self) -> CataloguePosition {
         self.replicas_at
     }
 
-    /// What is known of the source's era.
     pub fn source(&self) -> &SourceEra {
         &self.source
     }
 
-    /// The number of replicas and evacuated zones that are kept by what was known before the source's return, which the
-    /// source has not confirmed. Nothing once its era is settled.
+    /// Number of replicas and evacuated zones known from before the source's restore that the source has not
+    /// confirmed; 0 once its era is settled.
     pub fn retained(&self) -> usize {
         if self.replicas_at.is_settled() || self.known_before.is_nothing() {
             return 0;
@@ -151,17 +143,16 @@
         self.entries.values().filter(kept).count() + self.evacuations.known_before(self.source.era())
     }
 
-    /// Whether everything is to be listed anew: the writers have had the time to write again what was lost with the
-    /// source's return, and what is not there now is gone.
+    /// Whether a full listing is due because the era has settled: entries missing from it are then removed.
     pub fn must_settle(&self, now: Micros) -> bool {
         !self.replicas_at.is_nothing() && !self.replicas_at.is_settled() && self.is_era_settled(now)
     }
 
-    /// Hears that the source is at a revision of an era that somebody has known for `age`.
+    /// Records that the source is at a revision of an era that was known for `age`.
     fn observe_source(&mut self, at: CatalogueRevision, age: Micros, now: Micros) {
         if self.source.observe(at, age, now) {
             self.received_before = self.replicas_at;
-            // What is kept from before an era that never settled is kept on.
+            // Entries retained from before an era that never settled remain retained.
             if self.replicas_at.is_settled() || self.known_before.is_nothing() {
                 self.known_before = self.replicas_at;
             }
@@ -170,17 +161,17 @@
         }
     }
 
-    /// Gives leaving replicas work like others, which the soak must notice.
+    /// Fault injection for the soak test: routes to draining replicas.
     pub fn keep_leaving(&mut self) {
         self.keeps_leaving = true;
     }
 
-    /// Gives replicas of evacuated zones work like others, which the soak must notice.
+    /// Fault injection for the soak test: routes to replicas of evacuated zones.
     pub fn keep_evacuated(&mut self) {
         self.keeps_evacuated = true;
     }
 
-    /// Takes a copy's word for the newest, which the soak must notice.
+    /// Fault injection for the soak test: treats every era as settled.
     pub fn settle_at_once(&mut self) {
         self.settles_at_once = true;
     }
@@ -189,20 +180,18 @@
         self.settles_at_once || self.source.is_settled(now)
     }
 
-    /// What operators said of zones.
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// Takes what the operator said of a zone. Returns whether it changed anything. Everything up to the
-    /// revision that this node knows the catalogue at was heard: what else comes of before was overruled,
-    /// also where this node never heard of it.
+    /// Applies an evacuation setting. Returns whether the zone's state changed. Settings up to the known
+    /// position are ignored: they were received or superseded.
     pub fn apply_notice(&mut self, notice: &ZoneNotice, now: Micros) -> bool {
         self.take_notice(notice, self.replicas_at.is_settled(), now)
     }
 
     fn take_notice(&mut self, notice: &ZoneNotice, settled: bool, now: Micros) -> bool {
-        // What a source says at first after its return was not heard in order.
+        // Changes at the start of a new era were not received in order.
         let received_up_to =
             if self.replicas_at.is_settled() || notice.revision().era() == self.replicas_at.era() {
                 self.replicas_at
@@ -213,65 +202,62 @@
             && self.evacuations.apply(notice, &self.source, settled, now)
     }
 
-    /// Whether the operator lets no new work to a zone's replicas.
     pub fn is_evacuated(&self, zone: &ZoneName) -> bool {
         !self.keeps_evacuated && self.evacuations.is_evacuated(zone)
     }
 
-    /// The version of the configuration in force; 0 when none is.
+    /// The version of the configuration in force; 0 if none.
     pub fn version(&self) -> u64 {
         self.configuration.version()
     }
 
-    /// What is known of newer configurations.
     pub fn incoming(&self) -> &IncomingConfiguration {
         self.configuration.incoming()
     }
 
-    /// What is known of newer configurations, for whoever fetches them.
     pub fn incoming_mut(&mut self) -> &mut IncomingConfiguration {
         self.configuration.incoming_mut()
     }
 
-    /// Notes that somebody has a version.
+    /// Records that a node has `version`.
     pub fn note_version(&mut self, version: u64, now: Micros) {
         self.configuration.note_version(version, now);
     }
 
-    /// Takes a configuration into force if it is newer. Returns whether it was.
+    /// Applies a configuration if it is newer. Returns whether it was.
     pub fn offer_configuration(&mut self, configuration: RoutingConfiguration) -> bool {
         self.configuration.offer(vec![configuration])
     }
 
-    /// Takes the last of these configurations into force that is newer than all before it. Returns whether there was one.
+    /// Applies the newest of `configurations`. Returns whether the configuration changed.
     pub fn offer_configurations(&mut self, configurations: Vec<RoutingConfiguration>) -> bool {
         self.configuration.offer(configurations)
     }
 
-    /// What a peer that has a version is missing of the configuration.
+    /// Returns what a peer at `version` lacks of the configuration.
     pub fn configuration_update(&self, version: u64) -> ConfigurationUpdate {
         self.configuration.news_since(version)
     }
 
-    /// Notes which configurations could be read, and could not.
+    /// Merges the revisions of readable and unreadable configurations.
     pub fn note_revisions(&mut self, revisions: ConfigurationRevisions) {
         self.revisions.merge(revisions);
     }
 
-    /// Whether the source's word that there is nothing newer is one: not before its era is settled, unless the operator has
-    /// written since. A key that was taken away just before the return lies in the copy.
+    /// Whether the source can confirm that the configuration is the newest. False until the era is settled or
+    /// the operator has written in it, as a restored copy may hold keys revoked since.
     pub fn source_confirms(&self) -> bool {
         let read = self.revisions.read();
         let written = read.era() == self.source.era() && self.source.is_written_since_restore(read);
         (self.replicas_at.is_settled() || written) && self.incoming().announced().is_none()
     }
 
-    /// Whether no configuration is known to be newer than the one that was read.
+    /// Whether no unreadable configuration is newer than the one that was read.
     pub fn has_newest_configuration(&self) -> bool {
         self.revisions.newest_is_read()
     }
 
-    /// Takes news of one replica. Returns whether it changed anything.
+    /// Applies a change of one replica. Returns whether the view changed.
     pub fn apply(&mut self, change: ReplicaChange, revision: CatalogueRevision, now: Micros) -> bool {
         let settled = self.replicas_at.is_settled();
         match change {
@@ -280,8 +266,8 @@
         }
     }
 
-    /// Notes that all changes up to `revision` were applied, which is of the era that the replicas are known in, or of the
-    /// first.
+    /// Records that all changes up to `revision` were applied. The revision is of the known position's era,
+    /// or of the first era.
     pub fn advance(&mut self, revision: CatalogueRevision) {
         let known = self.replicas_at;
         let settled = if known.is_nothing() { revision.era() == Era::UNNAMED } else { known.is_settled() };
@@ -292,15 +278,15 @@
         self.replicas_at = self.replicas_at.max(position);
     }
 
-    /// Takes a listing of everything. Replicas that it leaves out, and that were written before it, are gone, and zones are
-    /// taken back; after a return of the source, not before its era is settled. Returns whether it changed anything.
+    /// Applies a full listing. Older replicas and evacuations that it lacks are removed; after a restore of
+    /// the source, only once the era is settled. Returns whether the view changed.
     pub fn replace(&mut self, listing: Listing, now: Micros) -> bool {
         let returned = !self.replicas_at.is_nothing() && listing.at.era() > self.replicas_at.era();
         if returned && self.catch_up.is_none() {
             self.begin_catch_up(now);
         }
         if listing.at.era() == Era::UNNAMED {
-            // A source that never comes back from a copy says all that there is.
+            // A source without eras is never restored from a copy, so its listing is complete.
             self.end_catch_up();
         }
         self.observe_source(listing.at, Micros(0), now);
@@ -312,7 +298,7 @@
         changed
     }
 
-    /// Notes that all is known at a revision, and not what came and went before it.
+    /// Advances to a revision without the individual changes before it.
     fn skip_to(&mut self, until: CatalogueRevision) {
         if until <= self.replicas_at.revision() {
             return;
@@ -326,7 +312,7 @@
     }
 
     fn replace_zones(&mut self, listing: &Listing, settled: bool, now: Micros) -> bool {
-        // What lies there now was not heard of in order: it may have been there all the time.
+        // A listing that settles the era may hold settings that were not received in order.
         let settles = settled && !self.replicas_at.is_settled();
         let mut changed = false;
         for (zone, revision) in &listing.evacuated {
@@ -340,7 +326,7 @@
         self.evacuations.restore_unlisted(listed, listing.at, &self.source, settled, now) || changed
     }
 
-    /// Takes a whole list of replicas. Those that it does not mention, and that were written before it, are gone.
+    /// Applies a full list of replicas. Older entries that are not mentioned are removed.
     fn replace_replicas(
         &mut self,
         at: CatalogueRevision,
@@ -362,8 +348,8 @@
         changed
     }
 
-    /// Takes an entry for gone that a listing leaves out; one of before the source's return is kept until the era is
-    /// settled.
+    /// Removes an entry that a listing lacks. An entry from before the source's restore is retained until the
+    /// era is settled.
     fn miss(&mut self, id: &ReplicaId, at: CatalogueRevision, settled: bool, now: Micros) -> bool {
         match self.entries.get_mut(id) {
             Some(entry) if entry.revision.era() != at.era() && !settled => {
@@ -379,7 +365,7 @@
         if let Some(entry) = self.entries.get_mut(&id) {
             if entry.has(&replica) && revision.era() > entry.revision.era() {
                 entry.retained = false;
-                // Peers whose copy of it is older have yet to hear of what was written since.
+                // Peers with an older copy of the entry still need the rewrite.
                 if self.source.is_written_since_restore(revision) {
                     entry.revision = revision;
                 }
@@ -414,7 +400,7 @@
         first
     }
 
-    /// Forgets what vanished long ago.
+    /// Drops expired tombstones.
     pub fn expire(&mut self, now: Micros) {
         let mut forgotten = self.forgotten_up_to;
         self.entries.retain(|_, entry| {
@@ -428,7 +414,7 @@
         self.forgotten_up_to = forgotten;
     }
 
-    /// The replicas that may get new work, by service.
+    /// The replicas that may receive new requests, by service.
     pub fn routable(&self, now: Micros) -> HashMap<ServiceName, Vec<RoutableReplica>> {
         let mut services: HashMap<ServiceName, Vec<RoutableReplica>> = HashMap::new();
         for entry in self.entries.values() {
@@ -458,8 +444,7 @@
         services
     }
 
-    /// Until when a replica is cold: by its own word, and after its zone was taken back, when nothing was
-    /// sent to it for long.
+    /// When a replica has warmed up: by its own entry, and after its zone's evacuation was lifted.
     fn warm_at(&self, entry: &Entry, replica: &Replica) -> Micros {
         let Some(returned_at) = self.evacuations.restored_at(&replica.zone) else {
             return entry.warm_at;
@@ -470,7 +455,7 @@
         entry.warm_at.max(returned_at.plus(lasts))
     }
 
-    /// When [`CatalogueView::routable`] next changes by itself.
+    /// When the result of [`CatalogueView::routable`] next changes without an update.
     pub fn next_expiry(&self, now: Micros) -> Option<Micros> {
         let expiries = self.entries.values().filter_map(|entry| entry.vanished_at);
         expiries.map(|at| at.plus(ABSENCE_GRACE_PERIOD)).filter(|at| *at > now).min()
--- a/crates/sablebay-catalogue/src/view/entry.rs
+++ b/crates/sablebay-catalogue/src/view/entry.rs
@@ -1,4 +1,4 @@
-//! The entry of one replica as a node knows it, and which news of it takes its place.
+//! Entry of one replica and the rules by which updates replace it.
 
 use std::cmp::Ordering;
 use std::sync::Arc;
@@ -9,22 +9,21 @@
 use crate::revision::{CataloguePosition, CatalogueRevision};
 use crate::source_era::SourceEra;
 
-/// What is known of the entry of one replica.
 #[derive(Debug)]
 pub(super) struct Entry {
-    /// The life that it is or was of.
+    /// The current or last known incarnation.
     pub(super) incarnation: ReplicaId,
-    /// Nothing where it was only heard that the entry went.
+    /// `None` if only the removal is known.
     pub(super) replica: Option<Arc<Replica>>,
     pub(super) revision: CatalogueRevision,
-    /// Whether the source has said something else since its return, or nothing, and this is kept by what was known before.
+    /// Whether the entry is kept from before the source's restore although the source differs or lacks it.
     pub(super) retained: bool,
     pub(super) warm_at: Micros,
     pub(super) vanished_at: Option<Micros>,
 }
 
 impl Entry {
-    /// That of a replica of which nothing was heard but that it went.
+    /// An entry of which only the removal is known.
     pub(super) fn absent(incarnation: ReplicaId, now: Micros) -> Self {
         let revision = CatalogueRevision::NOTHING;
         Self {
@@ -37,15 +36,15 @@
         }
     }
 
-    /// Whether it says what a replica says.
     pub(super) fn has(&self, replica: &Replica) -> bool {
         self.vanished_at.is_none() && self.replica.as_deref() == Some(replica)
     }
 
-    /// Whether a word of the replica takes its place.
+    /// Whether an announced replica replaces the entry.
     ///
-    /// Within an era the source's numbers order them. Between eras the copy's word may be the older one under the newer era:
-    /// there the replica's own count goes first, and where that does not tell, a word that was surely written since.
+    /// Within an era, revisions decide. Across eras the copy's entry may be older despite its newer era:
+    /// there incarnation and sequence decide, and if these are not comparable, the update must have been
+    /// written since the restore or the era be settled.
     pub(super) fn is_replaced_by(
         &self,
         replica: &Replica,
@@ -71,7 +70,7 @@
         }
     }
 
-    /// Whether the word that the entry went, or is not there, takes its place. It names the life that there was, where that is
+    /// Whether a removal, or absence from a listing, replaces the entry. `incarnation` is the removed one, if
     /// known.
     pub(super) fn is_removed_by(
         &self,
@@ -86,7 +85,8 @@
         if incoming > self.revision {
             return settled || source.is_written_since_restore(incoming);
         }
-        // What is known may be the copy's: then it is older than what went after it. A later life is not.
+        // The known entry may come from the copy, and is then older than the removal, unless its incarnation
+        // is later.
         let is_later_incarnation =
             incarnation.incarnation_order(&self.incarnation) == Some(Ordering::Greater);
         !source.is_written_since_restore(self.revision)
@@ -94,8 +94,8 @@
             && !is_later_incarnation
     }
 
-    /// Whether a peer that knows the catalogue up to a position has yet to hear of it from a node that is at another. To one that
-    /// knew an era before it was settled all of that era is said again: it may have kept something else by what it knew before.
+    /// Whether a peer at position `peer` lacks the entry as known at position `teller`. A peer that has not
+    /// settled an era gets all entries of it again, as it may have retained others.
     pub(super) fn is_news_to(&self, peer: CataloguePosition, teller: CataloguePosition) -> bool {
         let settled_since = teller.is_settled() && !peer.is_settled() && self.revision.era() == peer.era();
         self.revision > peer.revision() || settled_since
--- a/crates/sablebay-catalogue/src/view/exchange.rs
+++ b/crates/sablebay-catalogue/src/view/exchange.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of the catalogue.
+//! Exchange of catalogue updates between nodes.
 
 use std::collections::HashSet;
 
@@ -9,38 +9,36 @@
 use crate::snapshot::CatalogueSnapshot;
 
 impl CatalogueView {
-    /// Where this node stands, for a peer that it asks.
     pub fn position(&self) -> PeerPosition {
         PeerPosition { at: self.replicas_at, known_before: self.known_before }
     }
 
-    /// Notes that the node starts, and that others may know more than the source says.
+    /// Records that peers may know more than the source.
     pub fn begin_catch_up(&mut self, now: Micros) {
         self.catch_up = Some(CatchUp { from: self.replicas_at, since: now });
     }
 
-    /// Notes that no peer knows more than this node does.
+    /// Records that no peer knows more than this node.
     pub fn end_catch_up(&mut self) {
         self.catch_up = None;
     }
 
-    /// Whether the node knows what the fleet knew before it started, or has waited for a peer that does for long enough.
+    /// Whether the node has caught up or [`CATCH_UP_TIMEOUT`] has passed.
     pub fn has_caught_up(&self, now: Micros) -> bool {
         self.catch_up.is_none_or(|catch_up| now.since(catch_up.since) >= CATCH_UP_TIMEOUT)
     }
 
-    /// From where on a peer that has learnt is to tell what it knows; nothing where that is no matter.
+    /// The position from which a caught-up peer should send updates, while this node is catching up.
     pub fn catch_up_from(&self, now: Micros) -> Option<CataloguePosition> {
         self.catch_up.filter(|_| !self.has_caught_up(now)).map(|catch_up| catch_up.from)
     }
 
-    /// Whether a peer that has a version, and knows the replicas up to a position, is missing something.
+    /// Whether a peer at this version and position lacks anything.
     pub fn is_newer_than(&self, version: u64, replicas_at: CataloguePosition) -> bool {
         self.version() > version || self.replicas_at > replicas_at
     }
 
-    /// Whether a peer is told of all replicas: the catalogue's vanished entries may be forgotten here since, or never have been
-    /// known.
+    /// Whether a peer gets the full list of replicas because removals since its position may be unknown here.
     pub fn lists_all_replicas(&self, peer: PeerPosition) -> bool {
         self.replicas_at > peer.at && self.needs_full_listing(peer)
     }
@@ -49,34 +47,34 @@
         peer.at.is_nothing() || self.has_missed(peer.at) || self.settles_more_than_known(peer)
     }
 
-    /// Whether something may have come and gone since a position of which nothing is known here, or no more.
+    /// Whether removals since `position` may be unknown here.
     fn has_missed(&self, position: CataloguePosition) -> bool {
         let known = position.revision();
         let is_within = |gap: &Gap| gap.after < position && known < gap.until;
         known < self.forgotten_up_to || self.gaps.iter().any(is_within)
     }
 
-    /// Whether a peer may keep what this node never knew, by what it knew before the source's return, and is to hear now that
-    /// it is gone.
+    /// Whether a peer may retain entries from before the source's restore that this node never knew and that
+    /// are removed when the era settles.
     fn settles_more_than_known(&self, peer: PeerPosition) -> bool {
         let settles = self.replicas_at.is_settled() && !peer.at.is_settled();
         settles && (peer.known_before > self.known_before || self.has_missed(peer.known_before))
     }
 
-    /// The number of replicas that are known, those that went lately among them.
+    /// Number of known replicas, including tombstones.
     pub fn known_replicas(&self) -> usize {
         self.entries.len()
     }
 
-    /// The whole configuration, and the replicas that a peer is missing.
+    /// The full configuration and the replica updates that a peer lacks.
     pub fn snapshot(&self, version: u64, peer: impl Into<PeerPosition>, now: Micros) -> CatalogueSnapshot {
         let routes = self.routes().filter(|routes| routes.version() > version);
         let configuration = routes.map(|routes| routes.configuration().clone());
         CatalogueSnapshot { configuration, ..self.replica_update(peer.into(), now) }
     }
 
-    /// What a peer is missing of the replicas. One that knew the catalogue at a moment
-    /// whose vanished entries are forgotten here is told everything.
+    /// The replica updates that a peer lacks, or the full list if removals since its position may be unknown
+    /// here.
     pub fn replica_update(&self, peer: PeerPosition, now: Micros) -> CatalogueSnapshot {
         let full = self.needs_full_listing(peer);
         let mut snapshot = CatalogueSnapshot {
@@ -102,11 +100,10 @@
         snapshot
     }
 
-    /// Takes what a peer knows. Returns whether it changed anything.
+    /// Merges a peer's snapshot. Returns whether the view changed.
     ///
-    /// A peer's list stands for the position that it is at; an older one than this node's says nothing new and is left, but
-    /// while this node is to learn what the source has lost. One that does not tell of zones is left as well: this node would
-    /// not ask for them any more.
+    /// Replica lists older than the local position are ignored unless this node is catching up. Those without
+    /// evacuation settings are ignored too, since this node would not request the settings again.
     pub fn merge(&mut self, mut snapshot: CatalogueSnapshot, now: Micros) -> bool {
         self.revisions.merge(snapshot.revisions);
         if let Some(version) = snapshot.version().max(snapshot.offer.map(|offer| offer.version)) {
@@ -123,7 +120,7 @@
         let first = CatalogueRevision::new(peer_position.era(), snapshot.first_number);
         self.observe_source(first, snapshot.era_age.unwrap_or_default(), now);
         if !peer_position.is_settled() {
-            // What the peer keeps by what it knew before is kept here from now on.
+            // Entries that the peer retains may be retained here from now on.
             self.known_before = self.known_before.max(snapshot.known_before);
         }
         let settles = peer_position.is_settled() && !self.replicas_at.is_settled();
@@ -134,14 +131,14 @@
             };
         }
         if peer_position > self.replicas_at && peer_position.is_settled() {
-            // The peer may never have heard of a zone that was taken back before it started. Until the era is settled it may not
-            // have heard of one that is evacuated either.
+            // Evacuations missing at a settled peer were lifted. Before the era is settled, the peer may not
+            // have received them yet.
             let named = |zone: &ZoneName| zones.iter().any(|notice| notice.evacuated && notice.zone == *zone);
             changed |=
                 self.evacuations.restore_unlisted(named, peer_position.revision(), &self.source, true, now);
         }
-        // A peer that knows less may bring back what went so long ago that it is forgotten here; unless this node is itself to
-        // learn what was before.
+        // A peer that is behind may hold entries whose tombstones have expired here, so its list counts only
+        // during catch-up.
         let knows_more = peer_position > self.replicas_at || self.catch_up.is_some();
         if snapshot.caught_up {
             self.catch_up = None;
@@ -153,7 +150,7 @@
         let peer_position = snapshot.replicas_at();
         let settled = peer_position.is_settled();
         let mut changed = false;
-        // What the peer says of this node's own era is old, where it knows less.
+        // Entries of the current era from a peer that is behind are outdated.
         let (known, knows_less) = (self.replicas_at.revision(), peer_position <= self.replicas_at);
         let is_old =
             |revision: CatalogueRevision| knows_less && revision.era() == known.era() && revision <= known;
--- a/crates/sablebay-catalogue/tests/configuration_steps.rs
+++ b/crates/sablebay-catalogue/tests/configuration_steps.rs
@@ -1,4 +1,5 @@
-//! Steps between configurations: they lead to what they were made for or nowhere, and cost what changed.
+//! Configuration steps yield exactly the target configuration or an error, and their size depends on the
+//! change.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -44,7 +45,7 @@
     configuration(version, (0..routes).map(|name| route(name, 1_000)).collect())
 }
 
-/// Any configuration of few names, some of them twice and in any order.
+/// Any configuration over a few names, with duplicates and in any order.
 fn any_configuration(version: u64) -> impl Strategy<Value = RoutingConfiguration> {
     let routes = prop::collection::vec((0..12u32, 1..3u64), 0..16);
     let services = prop::collection::vec(0..5u32, 0..5);
@@ -120,11 +121,11 @@
     }
     assert!(history.since(100).is_none());
     assert!(history.since(150).is_some());
-    // The newest is kept however large it is; older ones are not kept beside it.
+    // The newest step is kept regardless of its size; older ones are dropped.
     history.keep(ConfigurationStep::between(&large(200, 1), &large(201, 8_000)));
     assert!(history.since(199).is_none());
     assert!(history.since(200).is_some());
-    // After a gap nothing older leads to the newest.
+    // After a gap in versions, earlier steps are dropped.
     history.keep(ConfigurationStep::between(&large(300, 1), &large(301, 2)));
     assert!(history.since(200).is_none());
 }
--- a/crates/sablebay-catalogue/tests/confirmation.rs
+++ b/crates/sablebay-catalogue/tests/confirmation.rs
@@ -1,7 +1,6 @@
-//! Bounds of the moment up to which a configuration is the newest, over hops that take any time.
+//! Confirmation bounds are never later than the true time, over any number of hops with arbitrary delays.
 //!
-//! Each case plays questions and answers in true time and compares what nodes believe with what is so. Clocks of
-//! nodes differ by any amount; they run at one rate.
+//! Clocks of nodes differ by any offset but run at the same rate.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -12,12 +11,11 @@
 };
 use sablebay_model::Micros;
 
-/// The same cases at every run.
 fn cases() -> Config {
     Config { cases: 2_000, rng_seed: RngSeed::Fixed(16), failure_persistence: None, ..Config::default() }
 }
 
-/// A node: what it believes, by its own clock, and what is so, in true time.
+/// A node with its bound by its own clock and the true time up to which its configuration is the newest.
 #[derive(Clone, Copy, Debug)]
 struct Node {
     clock_ahead: u64,
@@ -30,7 +28,6 @@
         Micros(at + self.clock_ahead)
     }
 
-    /// Its bound in true time.
     fn bound_in_true_time(&self) -> u64 {
         self.bound.0.saturating_sub(self.clock_ahead)
     }
@@ -40,7 +37,7 @@
     }
 }
 
-/// How long the parts of one exchange take, in microseconds.
+/// Delays of one request and its response, in microseconds.
 #[derive(Clone, Copy, Debug)]
 struct Delays {
     before: u64,
@@ -59,7 +56,7 @@
     })
 }
 
-/// The source answers at a moment between question and answer; a wait may have heard nothing for a while before.
+/// The source evaluates the request between sending and response; a watch may have missed changes before.
 fn read_source(at: u64, delays: Delays, clock_ahead: u64, waits: bool) -> (Node, u64) {
     let asked_at = at + delays.before;
     let answered = asked_at + delays.request_delay + delays.held;
@@ -70,7 +67,6 @@
     (node, answered + delays.response_delay)
 }
 
-/// A node learns from another one.
 fn ask_peer(at: u64, delays: Delays, clock_ahead: u64, peer: &Node) -> (Node, u64) {
     let asked_at = at + delays.before;
     let received = asked_at + delays.request_delay;
@@ -82,7 +78,7 @@
     (Node { clock_ahead, bound, newest_up_to: peer.newest_up_to }, arrived)
 }
 
-/// Long before any clock of a case: ages do not reach back beyond the start of a clock.
+/// Start of each case, later than any age, so that clocks do not underflow.
 const START: u64 = 3_600_000_000;
 
 proptest! {
@@ -103,7 +99,7 @@
         }
     }
 
-    /// Two nodes that hear only each other: their knowledge ages as fast as time goes.
+    /// Guards against two stale nodes confirming each other: the bound ages with time.
     #[test]
     fn nodes_that_agree_in_being_old_do_not_keep_each_other_fresh(
         exchanges in prop::collection::vec(delays(), 1..20),
@@ -118,7 +114,7 @@
         prop_assert!(told.clock(at).since(told.bound).0 >= at - first);
     }
 
-    /// Where ways are short the bound is close to the truth: a node in touch serves.
+    /// With short delays the bound stays close to the true time.
     #[test]
     fn a_bound_loses_no_more_than_the_way_there(held in 0..900_000_u64, way in 0..50_000_u64) {
         let (reader, at) = read_source(START, Delays { before: 0, request_delay: 0, held: 0, response_delay: 0 }, 0, false);
@@ -133,7 +129,7 @@
     ConfigurationRevisions::new(at(read), at(unreadable))
 }
 
-/// A peer whose clock runs fast, or one that says nonsense, cannot make the bound later than the present less its age.
+/// A peer with a fast clock or invalid values cannot move the bound past the present minus its age.
 #[test]
 fn a_peer_cannot_have_held_a_question_for_longer_than_the_answer_took() {
     let confirmation = PeerConfirmation { held: Micros::from_secs(60), age: Micros::from_secs(2) };
@@ -148,7 +144,7 @@
     known.merge(revisions(4, 0));
     known.merge(revisions(0, 9));
     assert!(!known.newest_is_read());
-    // An answer that says nothing of it, and the older one once more.
+    // Neither an empty update nor the older revision clears the unreadable one.
     known.merge(ConfigurationRevisions::default());
     known.merge(revisions(4, 0));
     assert!(!known.newest_is_read());
--- a/crates/sablebay-catalogue/tests/distribution.rs
+++ b/crates/sablebay-catalogue/tests/distribution.rs
@@ -1,20 +1,20 @@
-//! Who fetches a document from whom, and how long the last node of a zone takes by a model of its links.
+//! Fetch trees of documents, and the time to reach all nodes of a zone in a model of their links.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use sablebay_catalogue::{CHUNK_BYTES, Distribution, DocumentDigest, FAN_OUT};
 
-/// Bytes a second of the smallest link: 14 Mbit/s.
+/// Link bandwidth in bytes per second.
 const LINK: f64 = 1_750_000.0;
-/// One way inside a zone, in seconds.
+/// One-way latency within a zone, in seconds.
 const ONE_WAY_S: f64 = 0.001;
 
 fn node(number: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (number / 256) as u8, (number % 256) as u8], 7_000))
 }
 
-/// The place that each asker fetches from, in the order in which they ask; nothing: from who makes the offers.
+/// Index of the node that each asker fetches from, in order of request; `None` for the sender of the offer.
 fn sources(roots: usize, askers: usize) -> Vec<Option<usize>> {
     let mut distribution = Distribution::new(roots);
     let places: HashMap<SocketAddr, usize> = (0..askers).map(|number| (node(number), number)).collect();
@@ -48,8 +48,8 @@
     assert_eq!(distribution.source_for(node(1)), None);
 }
 
-/// When the last node has all chunks, in seconds, when each node passes chunks on as they come, over a link of its own
-/// that `slowed` of ten nodes have a quarter of.
+/// Time in seconds until the last node has all chunks. Nodes forward chunks as they arrive; `slowed` in ten
+/// nodes have a quarter of the bandwidth.
 fn last_arrival_s(askers: usize, bytes: usize, slowed: usize) -> f64 {
     let chunks = bytes.div_ceil(CHUNK_BYTES);
     let mut children: HashMap<Option<usize>, Vec<usize>> = HashMap::new();
@@ -58,7 +58,7 @@
     }
     let mut arrivals = vec![vec![0.0; chunks]; askers];
     let mut last = 0.0_f64;
-    // Sources come before those who fetch from them.
+    // Sources precede the nodes that fetch from them.
     for sender in std::iter::once(None).chain((0..askers).map(Some)) {
         let is_slowed = sender.is_some_and(|sender| sender * 7 % 10 < slowed);
         let send_s = CHUNK_BYTES as f64 / LINK * if is_slowed { 4.0 } else { 1.0 };
@@ -77,7 +77,7 @@
 
 #[test]
 fn the_last_of_a_zone_has_a_large_change_within_a_second() {
-    // A quarter of 140, 300 and 2,700 nodes; 1,400 routes.
+    // A quarter of fleets of 140, 300 and 2,700 nodes.
     for askers in [35, 75, 675] {
         let (sound, slowed) = (last_arrival_s(askers, 200_000, 0), last_arrival_s(askers, 200_000, 3));
         println!("{askers} nodes: 200 kB after {sound:.2} s, with three in ten slowed {slowed:.2} s");
--- a/crates/sablebay-catalogue/tests/evacuation.rs
+++ b/crates/sablebay-catalogue/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Replicas of an evacuated zone get no work, whoever tells of the evacuation and in whatever order.
+//! Replicas of an evacuated zone get no requests, whatever the source and order of updates.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -12,7 +12,7 @@
 const START: Micros = Micros::from_secs(10);
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// A revision of a source that names no era.
+/// A revision of a source without eras.
 fn at(number: u64) -> CatalogueRevision {
     CatalogueRevision::new(Era::UNNAMED, number)
 }
@@ -54,7 +54,7 @@
     let mut view = view_of_three_zones();
     assert!(view.apply_notice(&notice("b", true, 4), START));
     assert_eq!(zones_in_use(&view, START), ["a", "c"]);
-    // An entry that is written meanwhile changes nothing about it.
+    // A write of a replica's entry does not lift the evacuation.
     view.apply(ReplicaChange::Written(replica("b")), at(5), START);
     assert_eq!(zones_in_use(&view, START), ["a", "c"]);
     assert!(view.apply_notice(&notice("b", false, 6), START));
@@ -81,13 +81,13 @@
     let mut started = CatalogueView::default();
     assert!(started.merge(peer.snapshot(0, CataloguePosition::NOTHING, START), START));
     assert_eq!(zones_in_use(&started, START), ["a", "b"]);
-    // Afterwards a peer that lags does not bring the zone back.
+    // A peer that is behind does not lift the evacuation.
     started.merge(view_of_three_zones().snapshot(0, CataloguePosition::NOTHING, START), START);
     assert_eq!(zones_in_use(&started, START), ["a", "b"]);
 }
 
-/// Seen in a property of returns: a node that started after a zone was taken back names no such zone, and whoever went on from
-/// what it told kept the zone empty for good.
+/// Guards against an evacuation that is never lifted because the peer started after it was and does not
+/// mention the zone.
 #[test]
 fn a_peer_that_never_heard_of_a_zone_takes_it_back() {
     let mut view = view_of_three_zones();
@@ -98,7 +98,7 @@
     started.replace(Listing { at: at(5), replicas: replicas.collect(), evacuated: Vec::new() }, START);
     assert!(view.merge(started.snapshot(0, view.replicas_at(), START), START));
     assert_eq!(zones_in_use(&view, START), ["a", "b", "c"]);
-    // One that knows less takes nothing back.
+    // A peer that is behind lifts nothing.
     view.apply_notice(&notice("c", true, 6), START);
     view.advance(at(6));
     view.merge(started.snapshot(0, view.replicas_at(), START), START);
@@ -135,12 +135,12 @@
     assert_eq!(warm_at, [START, returned_at.plus(Micros::from_millis(7_000)), START]);
 }
 
-/// One thing that a node hears.
+/// An update that a node receives.
 #[derive(Clone, Debug)]
 enum Event {
-    /// The change with this number, by itself.
+    /// The change with this number.
     Change(usize),
-    /// Everything as it was after this many changes.
+    /// The state after the change with this number.
     Listing(usize),
 }
 
@@ -151,8 +151,7 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(14), cases: 512, ..Config::default() })]
 
-    /// Whatever comes twice, late or not at all: who has received the last word on a zone goes by it from then
-    /// on, and nothing older overrules it.
+    /// The latest received setting of a zone applies, even if updates are duplicated, delayed or lost.
     #[test]
     fn the_last_word_that_was_heard_stands(
         notices in history(),
--- a/crates/sablebay-catalogue/tests/incoming.rs
+++ b/crates/sablebay-catalogue/tests/incoming.rs
@@ -1,4 +1,4 @@
-//! A large configuration that is still being fetched, and small ones behind it.
+//! Steps that arrive while the configuration they start from is being fetched.
 
 use sablebay_catalogue::{
     CallerLimits, CatalogueSnapshot, CatalogueView, ConfigurationStep, ConfigurationUpdate,
@@ -32,7 +32,7 @@
     let mut view = view_at(1);
     assert!(view.merge(with_steps(vec![step(1, 3), step(3, 4)]), NOW));
     assert_eq!(view.routes().map(|routes| routes.configuration().clone()), Some(configuration(4)));
-    // What it learnt by steps it passes on by steps.
+    // Steps that were received are passed on as steps.
     assert!(matches!(view.configuration_update(1), ConfigurationUpdate::Steps(steps, _) if steps.len() == 2));
     assert!(matches!(view.configuration_update(3), ConfigurationUpdate::Steps(steps, _) if steps.len() == 1));
     assert_eq!(view.configuration_update(2), ConfigurationUpdate::Full);
@@ -69,7 +69,7 @@
     assert!(!view.merge(with_steps(vec![step(1, 3)]), NOW));
     assert!(!view.merge(with_steps(vec![step(6, 7)]), NOW));
     assert_eq!(view.version(), 5);
-    // It knows that there is a newer one, and asks for it by the one that it has.
+    // The newer version is recorded, and requested from the version in force.
     assert_eq!(view.incoming().announced().map(|heard| heard.version), Some(7));
     assert_eq!(view.incoming().request_from(5), 5);
 }
--- a/crates/sablebay-catalogue/tests/lives.rs
+++ b/crates/sablebay-catalogue/tests/lives.rs
@@ -1,4 +1,4 @@
-//! Replicas that start again under the name that they had, and entries that name no replica any more.
+//! Replicas that restart under the same name, and removals that name no incarnation.
 
 use musli::{Decode, Encode};
 
@@ -10,12 +10,12 @@
 
 const START: Micros = Micros::from_secs(10);
 
-/// A revision of a source that names no era.
+/// A revision of a source without eras.
 fn at(number: u64) -> CatalogueRevision {
     CatalogueRevision::new(Era::UNNAMED, number)
 }
 
-/// A position of such a source.
+/// A position at a source without eras.
 fn up_to(number: u64) -> CataloguePosition {
     EraStage::UNNAMED.at(number)
 }
@@ -37,7 +37,7 @@
     ReplicaChange::Written(replica(started_ms, phase))
 }
 
-/// The lives that may get new work, and whether only as a last resort.
+/// Start times of routable incarnations, and whether each is a last resort.
 fn incarnations(view: &CatalogueView) -> Vec<(u64, bool)> {
     let services = view.routable(START);
     let replicas = services.get(&ServiceName::new("s")).map(Vec::as_slice).unwrap_or_default();
@@ -63,10 +63,10 @@
     view.apply(written(5, ReplicaPhase::Ready), at(1), START);
     view.apply(written(5, ReplicaPhase::Draining), at(2), START);
     assert_eq!(incarnations(&view), []);
-    // It takes back that the one before was leaving; its clock may be behind.
+    // The new incarnation is ready although the previous one was draining; its clock may be behind.
     view.apply(written(4, ReplicaPhase::Ready), at(3), START);
     assert_eq!(incarnations(&view), [(4, false)]);
-    // Word of the one before that comes late changes nothing.
+    // Late updates of the previous incarnation are ignored.
     view.apply(written(5, ReplicaPhase::Draining), at(2), START);
     view.apply(written(5, ReplicaPhase::Ready), at(1), START);
     assert_eq!(incarnations(&view), [(4, false)]);
@@ -104,7 +104,7 @@
     assert_eq!(incarnations(&starting), [(7, false)]);
 }
 
-/// A replica as nodes of the release before lives told each other of it.
+/// Wire format of a replica in releases without incarnations.
 #[derive(Debug, PartialEq, Encode, Decode)]
 struct LegacyReplica {
     id: ReplicaId,
--- a/crates/sablebay-catalogue/tests/ranks.rs
+++ b/crates/sablebay-catalogue/tests/ranks.rs
@@ -1,4 +1,4 @@
-//! How urgent a request is, by its tenant and by its route.
+//! Request ranks by tenant and route priority.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -91,7 +91,8 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(11), ..Config::default() })]
 
-    /// On one service, somebody has rank 0, and ranks differ as the priorities in force do.
+    /// On a shared service, the most urgent request has rank 0, and ranks differ as the effective priorities
+    /// do.
     #[test]
     fn ranks_are_distances_from_the_most_urgent(
         routes in proptest::collection::vec((0u32..6, any::<bool>()), 1..5),
--- a/crates/sablebay-catalogue/tests/reading.rs
+++ b/crates/sablebay-catalogue/tests/reading.rs
@@ -1,4 +1,4 @@
-//! Who reads the source of the catalogue, and when.
+//! Scheduling of reads of the catalogue's source.
 
 use std::time::Duration;
 
@@ -7,12 +7,11 @@
     ReadingPolicy, SourceRead, SourceStep,
 };
 
-/// The bound on new configurations at the users' deployments.
+/// Time within which a new configuration must be in force.
 const CONFIGURATION_BOUND: Duration = Duration::from_millis(3_000);
-/// What is left of it for the answer and its way to the other nodes.
+/// Part of the bound reserved for the response and its distribution.
 const DELIVERY_TIME: Duration = Duration::from_millis(500);
 
-/// The revision that the inputs of these tests know the catalogue up to.
 const SEVEN: CatalogueRevision = CatalogueRevision::new(Era::UNNAMED, 7);
 
 fn inputs(is_reader: bool, heard_ago_ms: Option<u64>) -> ReadingInputs {
@@ -36,8 +35,7 @@
     }
 }
 
-/// Seen on a hunted day: every node waited for changes when the source fell silent for two seconds,
-/// and heard of the configuration accepted meanwhile when its wait of 6.9 s was over.
+/// Guards against a lost watch delaying a new configuration beyond the bound.
 #[test]
 fn a_wait_that_is_lost_is_noticed_within_the_bound_on_configurations() {
     for jitter in [0.0, 0.5, 1.0] {
@@ -55,7 +53,7 @@
     assert!(matches!(policy.next(&inputs(false, Some(0))), SourceStep::Wait(_)));
     let longest = MAXIMUM_STALENESS.as_millis() as u64;
     assert!(matches!(policy.next(&inputs(false, Some(longest))), SourceStep::Read(_)));
-    // Between these it looks often enough to be in time.
+    // Polling in between is frequent enough to meet the bound.
     let mut ago = Duration::ZERO;
     while let SourceStep::Wait(wait) = policy.next(&inputs(false, Some(ago.as_millis() as u64))) {
         assert!(wait > Duration::ZERO);
@@ -85,8 +83,7 @@
     assert!(matches!(policy.next(&at(900, true, false)), SourceStep::Read(SourceRead::All { .. })));
 }
 
-/// Seen on the standard days: after all nodes were killed, refusals went on for as long as each
-/// waited for the others.
+/// Guards against restarted nodes waiting for each other while none reads the source.
 #[test]
 fn a_node_that_comes_back_reads_at_once() {
     let restarted = ReadingInputs {
@@ -130,12 +127,12 @@
     policy.succeeded(false, &reader);
     assert!(!policy.is_failing());
     assert!(policy.failed(ReadFailure::Refused, true, 0.5) > Duration::ZERO);
-    // Who is no reader presses a source in trouble less than a reader does.
+    // Non-readers retry less often than readers.
     let mut non_reader = ReadingPolicy::default();
     assert!(non_reader.failed(ReadFailure::NoAnswer, false, 0.5) > pauses[5]);
 }
 
-/// A node whose configuration is `age_ms` old where 5 seconds are the limit.
+/// A node whose configuration has this age, with an age limit of 5 s.
 fn limited(is_reader: bool, age_ms: u64, position: f64) -> ReadingInputs {
     let configuration_age =
         LimitedAge { age: Duration::from_millis(age_ms), limit: Duration::from_millis(5_000) };
@@ -149,8 +146,7 @@
     }
 }
 
-/// While all answers are in time the age of a reader's configuration comes to the second that waits may miss, and
-/// two waits.
+/// While responses are in time, the age stays below the sum of the watch silence and two watches.
 #[test]
 fn a_reader_in_touch_waits_for_changes_as_where_ages_are_not_limited() {
     let policy = ReadingPolicy::default();
@@ -160,8 +156,7 @@
     assert!(matches!(policy.next(&limited(false, usual_age_ms + 900 + 700, 0.0)), SourceStep::Wait(_)));
 }
 
-/// A lost wait is followed by a question that is answered at once: with another wait, the age would come to
-/// 1 s + 0.9 s + 1.3 s + 0.9 s with the reader, and to 0.7 s more with those that hear from it.
+/// Guards against exceeding the age limit by another watch after a lost one.
 #[test]
 fn a_reader_whose_configuration_is_close_to_its_limit_waits_for_nothing() {
     let mut policy = ReadingPolicy::default();
@@ -186,14 +181,13 @@
     assert!(ages[10] + 400 < 5_000, "in time for an answer: {ages:?}");
 }
 
-/// Where the limit is less than answers can do, or the source tells of changes without end, each read leaves the
-/// configuration close to its limit.
+/// Guards against a busy loop when every read leaves the configuration close to its age limit.
 #[test]
 fn reads_that_wait_for_nothing_do_not_follow_each_other_at_once() {
     let mut policy = ReadingPolicy::default();
     assert_eq!(policy.succeeded(false, &limited(true, 1_900, 0.0)), Duration::ZERO);
     let reader = policy.succeeded(false, &limited(true, 4_900, 0.0));
     assert!(reader >= Duration::from_millis(250));
-    // Two are readers, all others are not.
+    // Non-readers far outnumber readers, so they pause for longer.
     assert!(policy.succeeded(false, &limited(false, 4_900, 0.0)) >= reader * 4);
 }
--- a/crates/sablebay-catalogue/tests/returns.rs
+++ b/crates/sablebay-catalogue/tests/returns.rs
@@ -1,8 +1,7 @@
-//! A source that comes back from an older copy of what it held: nothing that a node knew goes back, and in the end all know
-//! what there is.
+//! Restores of the source from an older copy: known state never regresses, and all nodes converge.
 //!
-//! The source of these tests gives its numbers anew after a return. Its writers write again in any order; the entry of one
-//! that has left lapses. Nodes list, wait for changes, tell each other, and start with nothing.
+//! The simulated source reuses revision numbers after a restore. Writers rewrite their entries in any order,
+//! and entries of replicas that left expire. Nodes list, watch, exchange updates and restart.
 
 use std::collections::BTreeMap;
 
@@ -18,11 +17,11 @@
 const START: Micros = Micros::from_secs(100);
 const REPLICAS: u8 = 3;
 const NODES: usize = 3;
-/// The time between two steps: a gap of the source is over after some of them.
+/// Simulated time between two steps.
 const STEP: Micros = Micros::from_millis(20);
 const ZONE: &str = "z";
 
-/// What a replica says of itself: its life, its count of announcements, and whether it takes work.
+/// A replica's entry: start time of the incarnation, sequence, and whether it is ready.
 type Announcement = (u64, u64, bool);
 
 fn replica(id: u8, (started_ms, sequence, ready): Announcement) -> Replica {
@@ -38,7 +37,7 @@
     }
 }
 
-/// What stored at the source under a key.
+/// Key of an entry at the source.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Key {
     Replica(u8),
@@ -53,14 +52,14 @@
     changes: Vec<(u64, Key, Option<Announcement>)>,
 }
 
-/// The source, and what its writers last said.
+/// The source, and the latest state of its writers.
 #[derive(Clone, Debug)]
 struct Source {
     era: Era,
     eras: u64,
     contents: Contents,
     copy: Contents,
-    /// Nothing of one that has left.
+    /// `None` for replicas that have left.
     announcements: BTreeMap<u8, Option<Announcement>>,
     incarnations: u64,
     evacuated: bool,
@@ -113,7 +112,7 @@
         self.put(Key::Replica(id), announcement);
     }
 
-    /// It says that it leaves, or that it takes work again.
+    /// Toggles between ready and draining, or restarts a replica that has left.
     fn change(&mut self, id: u8) {
         match self.announcements[&id] {
             Some((life, count, ready)) => self.announce(id, Some((life, count + 1, !ready))),
@@ -140,7 +139,7 @@
         self.contents = self.copy.clone();
     }
 
-    /// A replica writes its entry again where it is not there as it says; where it has left, its entry goes.
+    /// Brings a replica's entry in line with its writer's state.
     fn rewrite(&mut self, id: u8) {
         let stored = self.contents.replicas.get(&id).map(|(announcement, _)| *announcement);
         if stored != self.announcements[&id] {
@@ -172,7 +171,7 @@
         }
     }
 
-    /// Tells a view what changed since where it stands; nothing where that is of another era.
+    /// Applies the changes since the view's position; returns whether the source has them.
     fn tell_changes(&self, view: &mut CatalogueView, now: Micros) -> bool {
         let after = view.replicas_at().revision();
         if after.era() != self.era || after > self.revision(self.contents.number) {
@@ -207,7 +206,7 @@
     }
 }
 
-/// The first node asks the second, as nodes do.
+/// Requests an update from `peer`.
 fn ask(asker: &mut CatalogueView, peer: &CatalogueView, now: Micros) {
     let catch_up_from = asker.catch_up_from(now).filter(|_| peer.has_caught_up(now));
     let position = asker.position();
@@ -215,7 +214,7 @@
     asker.merge(peer.snapshot(0, from, now), now);
 }
 
-/// The replicas that get work, whether or not their zone does.
+/// Replicas in use, except last resorts, with incarnation and sequence.
 fn in_use(view: &CatalogueView, now: Micros) -> BTreeMap<String, (u64, u64)> {
     let services = view.routable(now);
     let replicas = services.get(&ServiceName::new("s")).map(Vec::as_slice).unwrap_or_default();
@@ -256,13 +255,13 @@
     ]
 }
 
-/// The last announcement in use, and whether the replica has stopped getting work since.
+/// The latest announcement in use, and whether the replica has left use since.
 type Seen = ((u64, u64), bool);
 
 struct Simulation {
     source: Source,
     views: Vec<CatalogueView>,
-    /// By node and replica.
+    /// By node and replica name.
     seen: Vec<BTreeMap<String, Seen>>,
     now: Micros,
 }
@@ -277,7 +276,7 @@
         simulation
     }
 
-    /// All writers write again, and the time is over that they have for it.
+    /// All writers write again and the settle period passes.
     fn settle(&mut self) {
         self.source.rewrite_all();
         self.now = self.now.plus(SETTLE_PERIOD);
@@ -309,7 +308,7 @@
         }
     }
 
-    /// No node gives work to an older announcement of a replica than it has seen, nor to one again that had stopped.
+    /// No node goes back to an older announcement of a replica, or resumes one that left use.
     fn check_no_regression(&mut self) -> Result<(), TestCaseError> {
         for node in 0..NODES {
             if self.views[node].is_evacuated(&ZoneName::new(ZONE)) {
@@ -331,9 +330,9 @@
         Ok(())
     }
 
-    /// Once all is written again, and every node has read, all know what there is.
+    /// Once all entries are rewritten and every node has read, all nodes agree with the source.
     fn check_convergence(&mut self) -> Result<(), TestCaseError> {
-        // First contact with the newest era; then its settling; then what was kept is over.
+        // First read in the current era, then a read after it has settled, then expiry of removed entries.
         (0..NODES).for_each(|node| read(&self.source, &mut self.views[node], self.now));
         self.settle();
         (0..NODES).for_each(|node| read(&self.source, &mut self.views[node], self.now));
@@ -370,8 +369,7 @@
         simulation.check_convergence()?;
     }
 
-    /// A zone that the operator has emptied, and that one node knows of, is in use at no node that has learnt; at any
-    /// moment of a return.
+    /// An evacuation known to one node holds at every node that has caught up, at any time during a restore.
     #[test]
     fn an_evacuation_outlasts_a_return(returns in 1..3_u32, rewritten in any::<bool>(), reads in any::<bool>()) {
         let mut simulation = Simulation::new();
@@ -396,7 +394,7 @@
     }
 }
 
-/// What a view stands on after its source has come back once, a little after it was listed.
+/// A view right after the source was restored for the first time.
 fn restored() -> (Source, CatalogueView, Micros) {
     let mut source = Source::new();
     let mut view = CatalogueView::default();
@@ -435,7 +433,7 @@
     assert!(view.must_settle(settled));
     read(&source, &mut view, settled);
     assert_eq!(in_use(&view, settled).into_keys().collect::<Vec<_>>(), ["r0", "r1"]);
-    // A peer that read the era before is told of it, though the source's number is the same.
+    // A peer from the previous era reaches the settled position, though the revision number is the same.
     let mut peer = CatalogueView::default();
     read(&source, &mut peer, START);
     let mut behind = CatalogueView::default();
@@ -444,7 +442,7 @@
     assert_eq!(behind.replicas_at(), view.replicas_at());
 }
 
-/// What a return costs: the fleet's others are told what differs, and nothing else.
+/// After a restore, peers get only the entries that differ.
 #[test]
 fn a_return_is_told_by_its_differences() {
     let (mut source, view, now) = restored();
@@ -458,7 +456,7 @@
     assert_eq!((told.replicas.len(), told.removed.len(), told.full), (1, 0, false));
 }
 
-/// A node that lists the new era before it hears of what it missed in the old one learns that from a peer.
+/// A node that lists the new era before it received all changes of the old one catches up from a peer.
 #[test]
 fn a_node_that_was_cut_off_learns_what_the_source_has_lost() {
     let mut source = Source::new();
@@ -483,7 +481,7 @@
     assert_eq!(in_use(&view, now).into_keys().collect::<Vec<_>>(), ["r2"]);
 }
 
-/// Interleavings that the property above found, each against a state of the code that it showed to be wrong.
+/// Regressions: interleavings on which the properties failed before.
 #[test]
 fn interleavings_that_once_failed() {
     use Step::*;
--- a/crates/sablebay-catalogue/tests/routing.rs
+++ b/crates/sablebay-catalogue/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes.
+//! Route lookup by host and path.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -57,7 +57,7 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(11), cases: 400, ..Config::default() })]
 
-    /// The table finds what a search through all routes finds.
+    /// The table agrees with a linear search.
     #[test]
     fn look_ups_agree_with_a_search(
         prefixes in proptest::collection::btree_set(prefix(), 0..6),
@@ -70,7 +70,7 @@
         prop_assert_eq!(table.find("h", &path).map(|route| route.name.clone()), longest.map(|route| route.name.clone()));
     }
 
-    /// The minimum is the least number of shards whose share is not below the minimum share.
+    /// The minimum is the smallest number of shards that reaches the minimum share.
     #[test]
     fn the_minimum_share_is_met_and_no_more(shards in 1usize..200, percent in 0u32..=100) {
         let minimum_share = f64::from(percent) / 100.0;
--- a/crates/sablebay-catalogue/tests/view.rs
+++ b/crates/sablebay-catalogue/tests/view.rs
@@ -1,4 +1,4 @@
-//! A node's view of the catalogue never goes back, whatever order news comes in.
+//! A node's view never regresses, whatever the order of updates.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -11,12 +11,12 @@
 
 const START: Micros = Micros::from_secs(10);
 
-/// A revision of a source that names no era.
+/// A revision of a source without eras.
 fn at(number: u64) -> CatalogueRevision {
     CatalogueRevision::new(Era::UNNAMED, number)
 }
 
-/// A position of such a source.
+/// A position at a source without eras.
 fn up_to(number: u64) -> CataloguePosition {
     EraStage::UNNAMED.at(number)
 }
@@ -57,7 +57,7 @@
     view.apply(ReplicaChange::Written(replica("b", ReplicaPhase::Ready)), at(2), START);
     view.apply(ReplicaChange::Written(replica("a", ReplicaPhase::Draining)), at(3), START);
     assert_eq!(routable(&view, START), [("b".to_string(), false)]);
-    // Older news of it, which may come from a peer, does not bring it back.
+    // An older update does not bring the replica back.
     view.apply(ReplicaChange::Written(replica("a", ReplicaPhase::Ready)), at(1), START);
     assert_eq!(routable(&view, START), [("b".to_string(), false)]);
 }
@@ -71,7 +71,7 @@
     let expiry = view.next_expiry(START).expect("it expires");
     assert!(expiry.since(START) < Micros::from_secs(3), "well within the bound on leaving back ends");
     assert!(routable(&view, expiry).is_empty());
-    // Its next heartbeat, after trouble of the source, brings it back.
+    // The next heartbeat brings the replica back.
     view.apply(ReplicaChange::Written(replica("a", ReplicaPhase::Ready)), at(3), expiry);
     assert_eq!(routable(&view, expiry), [("a".to_string(), false)]);
 }
@@ -131,8 +131,7 @@
     assert_eq!(older.routes().map(|routes| routes.version()), Some(4));
 }
 
-/// Seen on a recorded day (inc-f69a): each change of one replica carried the whole list to every
-/// node.
+/// Guards against sending the full list of replicas for each change.
 #[test]
 fn a_peer_is_told_what_changed_and_no_more() {
     let mut view = CatalogueView::default();
@@ -155,8 +154,8 @@
     assert!(!view.snapshot(0, up_to(52), START).full);
 }
 
-/// Seen in a property of returns: a node that started after an entry went never knew it, and whoever went on from what it told
-/// kept the replica in use for good.
+/// Guards against a replica that is never removed because the peer started after its removal and does not
+/// know of it.
 #[test]
 fn a_peer_that_listed_later_tells_all_to_whom_it_may_have_missed_something() {
     let mut view = CatalogueView::default();
@@ -204,8 +203,7 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(12), cases: 300, ..Config::default() })]
 
-    /// Changes that come in any order, some of them twice, end in the state that their own order
-    /// ends in.
+    /// Changes applied in any order, with duplicates, give the same state as in their own order.
     #[test]
     fn the_order_of_arrival_does_not_matter(
         steps in proptest::collection::vec(step(), 1..20),
@@ -224,8 +222,7 @@
         prop_assert_eq!(routable(&ordered, later), routable(&shuffled, later));
     }
 
-    /// A peer that follows by what it is told, whenever it asks, ends with what there is; also when
-    /// vanished entries are forgotten in between.
+    /// A peer that requests updates at any time ends in the same state, even if tombstones expire in between.
     #[test]
     fn a_peer_that_follows_ends_with_the_same(
         steps in proptest::collection::vec((step(), any::<bool>(), any::<bool>()), 1..30),
