--- a/crates/sablebay-catalogue/src/configuration_step.rs
+++ b/crates/sablebay-catalogue/src/configuration_step.rs
@@ -17,13 +17,13 @@
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum StepError {
     #[display("step starts from another version")]
-    OtherBase,
+    BaseMismatch,
     /// The step refers to entries that the base does not have.
     #[display("step refers to entries that its base does not have")]
-    NoSuchEntry,
+    MissingEntry,
     /// The result does not match the digest.
     #[display("result does not match the digest of the step")]
-    OtherContents,
+    DigestMismatch,
 }
 
 /// A run of entries copied from the old list, followed by new entries.
@@ -75,12 +75,12 @@
         let mut list = Vec::with_capacity(base.len() + added.len());
         let mut added = added.iter();
         for run in &self.0 {
-            let from = usize::try_from(run.kept_from).map_err(|_| StepError::NoSuchEntry)?;
-            let kept = usize::try_from(run.kept).map_err(|_| StepError::NoSuchEntry)?;
-            let until = from.checked_add(kept).ok_or(StepError::NoSuchEntry)?;
-            list.extend_from_slice(base.get(from..until).ok_or(StepError::NoSuchEntry)?);
+            let from = usize::try_from(run.kept_from).map_err(|_| StepError::MissingEntry)?;
+            let kept = usize::try_from(run.kept).map_err(|_| StepError::MissingEntry)?;
+            let until = from.checked_add(kept).ok_or(StepError::MissingEntry)?;
+            list.extend_from_slice(base.get(from..until).ok_or(StepError::MissingEntry)?);
             for _ in 0..run.added {
-                list.push(added.next().ok_or(StepError::NoSuchEntry)?.clone());
+                list.push(added.next().ok_or(StepError::MissingEntry)?.clone());
             }
         }
         Ok(list)
@@ -133,9 +133,9 @@
     }
 
     /// Applies the step to `base` without checking the digest.
-    fn lead(&self, base: &RoutingConfiguration) -> Result<RoutingConfiguration, StepError> {
+    fn apply_unchecked(&self, base: &RoutingConfiguration) -> Result<RoutingConfiguration, StepError> {
         if base.version != self.base {
-            return Err(StepError::OtherBase);
+            return Err(StepError::BaseMismatch);
         }
         let old_tenants = base.tenants.as_deref().unwrap_or_default();
         let tenants = self.tenants.as_ref().map(|runs| runs.apply(old_tenants, &self.added_tenants));
@@ -152,17 +152,17 @@
     ///
     /// # Errors
     /// Fails if a step does not match its base or the result does not match the digest of the last step.
-    pub fn follow(
+    pub fn apply_all(
         steps: &[ConfigurationStep],
         base: &RoutingConfiguration,
     ) -> Result<RoutingConfiguration, StepError> {
-        let (last, others) = steps.split_last().ok_or(StepError::OtherBase)?;
+        let (last, others) = steps.split_last().ok_or(StepError::BaseMismatch)?;
         let mut reached = None;
         for step in others {
-            reached = Some(step.lead(reached.as_ref().unwrap_or(base))?);
+            reached = Some(step.apply_unchecked(reached.as_ref().unwrap_or(base))?);
         }
-        let next = last.lead(reached.as_ref().unwrap_or(base))?;
-        if digest_of(&next) == last.digest { Ok(next) } else { Err(StepError::OtherContents) }
+        let next = last.apply_unchecked(reached.as_ref().unwrap_or(base))?;
+        if digest_of(&next) == last.digest { Ok(next) } else { Err(StepError::DigestMismatch) }
     }
 
     pub fn encoded_bytes(&self) -> usize {
--- a/crates/sablebay-catalogue/src/evacuation.rs
+++ b/crates/sablebay-catalogue/src/evacuation.rs
@@ -43,7 +43,7 @@
     /// Latest revision at which the zone was evacuated.
     evacuated_by: Option<CatalogueRevision>,
     /// When this node learned that the evacuation was lifted; `None` while evacuated.
-    restored_at: Option<Micros>,
+    lifted_at: Option<Micros>,
 }
 
 /// Evacuation state by zone. Zones without an entry accept requests.
@@ -61,8 +61,8 @@
             return false;
         }
         let was_evacuated = known.is_some_and(|known| known.evacuated);
-        let before = known.and_then(|known| known.restored_at);
-        let restored_at = match (was_evacuated, notice.evacuated) {
+        let before = known.and_then(|known| known.lifted_at);
+        let lifted_at = match (was_evacuated, notice.evacuated) {
             (_, true) => None,
             (true, false) => Some(now),
             (false, false) => before,
@@ -70,14 +70,14 @@
         let revision = notice.revision();
         let evacuated_by =
             if notice.evacuated { Some(revision) } else { known.and_then(|known| known.evacuated_by) };
-        let next = KnownNotice { evacuated: notice.evacuated, revision, evacuated_by, restored_at };
+        let next = KnownNotice { evacuated: notice.evacuated, revision, evacuated_by, lifted_at };
         self.notices.insert(notice.zone.clone(), next);
         was_evacuated != notice.evacuated
     }
 
     /// Lifts evacuations older than revision `at` of all zones not in `listed`; those from an earlier era
     /// only if `settled`. Returns whether any was lifted.
-    pub fn restore_unlisted(
+    pub fn lift_unlisted(
         &mut self,
         listed: impl Fn(&ZoneName) -> bool,
         at: CatalogueRevision,
@@ -112,8 +112,8 @@
     }
 
     /// When this node learned that the evacuation of a zone was lifted.
-    pub fn restored_at(&self, zone: &ZoneName) -> Option<Micros> {
-        self.notices.get(zone).and_then(|known| known.restored_at)
+    pub fn lifted_at(&self, zone: &ZoneName) -> Option<Micros> {
+        self.notices.get(zone).and_then(|known| known.lifted_at)
     }
 
     /// All known settings, for a peer.
--- a/crates/sablebay-catalogue/src/incoming_configuration.rs
+++ b/crates/sablebay-catalogue/src/incoming_configuration.rs
@@ -90,7 +90,7 @@
     }
 
     /// Records that `version` is in force and returns the staged steps that continue from it.
-    pub fn reached(&mut self, version: u64) -> Vec<ConfigurationStep> {
+    pub fn mark_in_force(&mut self, version: u64) -> Vec<ConfigurationStep> {
         self.announced = self.announced.filter(|announced| announced.version > version);
         if self.fetching.is_some_and(|fetching| fetching <= version) {
             self.fetching = None;
--- a/crates/sablebay-catalogue/src/known_configuration.rs
+++ b/crates/sablebay-catalogue/src/known_configuration.rs
@@ -88,7 +88,7 @@
             self.incoming.stage(steps);
             return false;
         };
-        let Ok(next) = ConfigurationStep::follow(&steps[first..], routes.configuration()) else {
+        let Ok(next) = ConfigurationStep::apply_all(&steps[first..], routes.configuration()) else {
             self.incoming.need_full();
             return false;
         };
@@ -101,7 +101,7 @@
     fn put_in_force(&mut self, configuration: RoutingConfiguration) -> bool {
         let version = configuration.version;
         self.routes = Some(Arc::new(RouteTable::new(configuration)));
-        let waiting = self.incoming.reached(version);
+        let waiting = self.incoming.mark_in_force(version);
         if !waiting.is_empty() {
             self.take_steps(waiting);
         }
@@ -109,7 +109,7 @@
     }
 
     /// Returns what a peer at `version` lacks.
-    pub fn news_since(&self, version: u64) -> ConfigurationUpdate {
+    pub fn update_since(&self, version: u64) -> ConfigurationUpdate {
         if self.version() <= version {
             return ConfigurationUpdate::None;
         }
--- a/crates/sablebay-catalogue/src/snapshot.rs
+++ b/crates/sablebay-catalogue/src/snapshot.rs
@@ -112,12 +112,13 @@
 
     /// Takes the replicas with the revisions of their entries.
     pub fn take_replicas(&mut self) -> Vec<(Replica, CatalogueRevision)> {
-        let told = std::mem::take(&mut self.replicas).into_iter();
-        told.map(|(entry, number)| {
-            let revision = CatalogueRevision::new(entry.era, number);
-            (Replica::from(entry), revision)
-        })
-        .collect()
+        let entries = std::mem::take(&mut self.replicas).into_iter();
+        entries
+            .map(|(entry, number)| {
+                let revision = CatalogueRevision::new(entry.era, number);
+                (Replica::from(entry), revision)
+            })
+            .collect()
     }
 
     /// Takes the removed replicas with the revisions of the removals.
@@ -125,12 +126,13 @@
         let ended = std::mem::take(&mut self.removed_incarnations)
             .into_iter()
             .chain(std::iter::repeat(RemovedIncarnation::default()));
-        let told = std::mem::take(&mut self.removed).into_iter().zip(ended);
-        told.map(|((id, number), ended)| {
-            let revision = CatalogueRevision::new(ended.era, number);
-            (ReplicaId::with_incarnation(id.name(), ended.started_ms), revision)
-        })
-        .collect()
+        let entries = std::mem::take(&mut self.removed).into_iter().zip(ended);
+        entries
+            .map(|((id, number), ended)| {
+                let revision = CatalogueRevision::new(ended.era, number);
+                (ReplicaId::with_incarnation(id.name(), ended.started_ms), revision)
+            })
+            .collect()
     }
 
     /// Encodes the snapshot; `None` on failure.
--- a/crates/sablebay-catalogue/src/view.rs
+++ b/crates/sablebay-catalogue/src/view.rs
@@ -236,7 +236,7 @@
 
     /// Returns what a peer at `version` lacks of the configuration.
     pub fn configuration_update(&self, version: u64) -> ConfigurationUpdate {
-        self.configuration.news_since(version)
+        self.configuration.update_since(version)
     }
 
     /// Merges the revisions of readable and unreadable configurations.
@@ -262,7 +262,7 @@
         let settled = self.replicas_at.is_settled();
         match change {
             ReplicaChange::Written(replica) => self.write(replica, revision, settled, now),
-            ReplicaChange::Removed(id) => self.vanish(&id, revision, settled, now),
+            ReplicaChange::Removed(id) => self.remove(&id, revision, settled, now),
         }
     }
 
@@ -281,8 +281,8 @@
     /// Applies a full listing. Older replicas and evacuations that it lacks are removed; after a restore of
     /// the source, only once the era is settled. Returns whether the view changed.
     pub fn replace(&mut self, listing: Listing, now: Micros) -> bool {
-        let returned = !self.replicas_at.is_nothing() && listing.at.era() > self.replicas_at.era();
-        if returned && self.catch_up.is_none() {
+        let restored = !self.replicas_at.is_nothing() && listing.at.era() > self.replicas_at.era();
+        if restored && self.catch_up.is_none() {
             self.begin_catch_up(now);
         }
         if listing.at.era() == Era::UNNAMED {
@@ -323,7 +323,7 @@
             };
         }
         let listed = |zone: &ZoneName| listing.evacuated.iter().any(|(named, _)| named == zone);
-        self.evacuations.restore_unlisted(listed, listing.at, &self.source, settled, now) || changed
+        self.evacuations.lift_unlisted(listed, listing.at, &self.source, settled, now) || changed
     }
 
     /// Applies a full list of replicas. Older entries that are not mentioned are removed.
@@ -343,27 +343,27 @@
         let missing = |(id, entry): &(&ReplicaId, &Entry)| entry.revision < at && !mentioned.contains(*id);
         let missing: Vec<ReplicaId> = self.entries.iter().filter(missing).map(|(id, _)| id.clone()).collect();
         for id in missing {
-            changed |= self.miss(&id, at, settled, now);
+            changed |= self.remove_unlisted(&id, at, settled, now);
         }
         changed
     }
 
     /// Removes an entry that a listing lacks. An entry from before the source's restore is retained until the
     /// era is settled.
-    fn miss(&mut self, id: &ReplicaId, at: CatalogueRevision, settled: bool, now: Micros) -> bool {
+    fn remove_unlisted(&mut self, id: &ReplicaId, at: CatalogueRevision, settled: bool, now: Micros) -> bool {
         match self.entries.get_mut(id) {
             Some(entry) if entry.revision.era() != at.era() && !settled => {
-                entry.retained = entry.vanished_at.is_none();
+                entry.retained = entry.removed_at.is_none();
                 false
             }
-            _ => self.vanish(id, at, settled, now),
+            _ => self.remove(id, at, settled, now),
         }
     }
 
     fn write(&mut self, replica: Replica, revision: CatalogueRevision, settled: bool, now: Micros) -> bool {
         let id = replica.id.without_incarnation();
         if let Some(entry) = self.entries.get_mut(&id) {
-            if entry.has(&replica) && revision.era() > entry.revision.era() {
+            if entry.matches(&replica) && revision.era() > entry.revision.era() {
                 entry.retained = false;
                 // Peers with an older copy of the entry still need the rewrite.
                 if self.source.is_written_since_restore(revision) {
@@ -379,12 +379,12 @@
         let warm_at = now.plus(Micros::from_millis(replica.warm_up_left_ms));
         let incarnation = replica.id.clone();
         let replica = Some(Arc::new(replica));
-        let entry = Entry { incarnation, replica, revision, retained: false, warm_at, vanished_at: None };
+        let entry = Entry { incarnation, replica, revision, retained: false, warm_at, removed_at: None };
         self.entries.insert(id, entry);
         true
     }
 
-    fn vanish(&mut self, id: &ReplicaId, revision: CatalogueRevision, settled: bool, now: Micros) -> bool {
+    fn remove(&mut self, id: &ReplicaId, revision: CatalogueRevision, settled: bool, now: Micros) -> bool {
         let source = &self.source;
         let entry =
             self.entries.entry(id.without_incarnation()).or_insert_with(|| Entry::absent(id.clone(), now));
@@ -393,9 +393,9 @@
         }
         entry.revision = revision;
         entry.retained = false;
-        let first = entry.vanished_at.is_none();
+        let first = entry.removed_at.is_none();
         if first {
-            entry.vanished_at = Some(now);
+            entry.removed_at = Some(now);
         }
         first
     }
@@ -404,8 +404,7 @@
     pub fn expire(&mut self, now: Micros) {
         let mut forgotten = self.forgotten_up_to;
         self.entries.retain(|_, entry| {
-            let kept =
-                entry.vanished_at.is_none_or(|vanished_at| now.since(vanished_at) < TOMBSTONE_LIFETIME);
+            let kept = entry.removed_at.is_none_or(|removed_at| now.since(removed_at) < TOMBSTONE_LIFETIME);
             if !kept {
                 forgotten = forgotten.max(entry.revision);
             }
@@ -426,13 +425,13 @@
             if self.is_evacuated(&replica.zone) {
                 continue;
             }
-            let vanished_for = entry.vanished_at.map(|vanished_at| now.since(vanished_at));
-            if vanished_for.is_some_and(|absence| absence >= ABSENCE_GRACE_PERIOD) {
+            let absent_for = entry.removed_at.map(|removed_at| now.since(removed_at));
+            if absent_for.is_some_and(|absence| absence >= ABSENCE_GRACE_PERIOD) {
                 continue;
             }
             services.entry(replica.service.clone()).or_default().push(RoutableReplica {
                 replica: replica.clone(),
-                last_resort: vanished_for.is_some(),
+                last_resort: absent_for.is_some(),
                 beyond_share: false,
                 warm_at: self.warm_at(entry, replica),
                 cold_calls_per_s: None,
@@ -446,18 +445,18 @@
 
     /// When a replica has warmed up: by its own entry, and after its zone's evacuation was lifted.
     fn warm_at(&self, entry: &Entry, replica: &Replica) -> Micros {
-        let Some(returned_at) = self.evacuations.restored_at(&replica.zone) else {
+        let Some(lifted_at) = self.evacuations.lifted_at(&replica.zone) else {
             return entry.warm_at;
         };
         let service = self.routes().and_then(|routes| routes.service(&replica.service));
-        let told = service.map_or(0, |service| service.warm_up.lasts_ms);
-        let lasts = if told > 0 { Micros::from_millis(told) } else { ASSUMED_WARM_UP };
-        entry.warm_at.max(returned_at.plus(lasts))
+        let configured_ms = service.map_or(0, |service| service.warm_up.lasts_ms);
+        let lasts = if configured_ms > 0 { Micros::from_millis(configured_ms) } else { ASSUMED_WARM_UP };
+        entry.warm_at.max(lifted_at.plus(lasts))
     }
 
     /// When the result of [`CatalogueView::routable`] next changes without an update.
     pub fn next_expiry(&self, now: Micros) -> Option<Micros> {
-        let expiries = self.entries.values().filter_map(|entry| entry.vanished_at);
+        let expiries = self.entries.values().filter_map(|entry| entry.removed_at);
         expiries.map(|at| at.plus(ABSENCE_GRACE_PERIOD)).filter(|at| *at > now).min()
     }
 }
--- a/crates/sablebay-catalogue/src/view/entry.rs
+++ b/crates/sablebay-catalogue/src/view/entry.rs
@@ -19,7 +19,7 @@
     /// Whether the entry is kept from before the source's restore although the source differs or lacks it.
     pub(super) retained: bool,
     pub(super) warm_at: Micros,
-    pub(super) vanished_at: Option<Micros>,
+    pub(super) removed_at: Option<Micros>,
 }
 
 impl Entry {
@@ -32,12 +32,12 @@
             revision,
             retained: false,
             warm_at: Micros(0),
-            vanished_at: Some(now),
+            removed_at: Some(now),
         }
     }
 
-    pub(super) fn has(&self, replica: &Replica) -> bool {
-        self.vanished_at.is_none() && self.replica.as_deref() == Some(replica)
+    pub(super) fn matches(&self, replica: &Replica) -> bool {
+        self.removed_at.is_none() && self.replica.as_deref() == Some(replica)
     }
 
     /// Whether an announced replica replaces the entry.
@@ -94,10 +94,10 @@
             && !is_later_incarnation
     }
 
-    /// Whether a peer at position `peer` lacks the entry as known at position `teller`. A peer that has not
+    /// Whether a peer at position `peer` lacks the entry as known at position `sender`. A peer that has not
     /// settled an era gets all entries of it again, as it may have retained others.
-    pub(super) fn is_news_to(&self, peer: CataloguePosition, teller: CataloguePosition) -> bool {
-        let settled_since = teller.is_settled() && !peer.is_settled() && self.revision.era() == peer.era();
+    pub(super) fn is_update_for(&self, peer: CataloguePosition, sender: CataloguePosition) -> bool {
+        let settled_since = sender.is_settled() && !peer.is_settled() && self.revision.era() == peer.era();
         self.revision > peer.revision() || settled_since
     }
 }
--- a/crates/sablebay-catalogue/src/view/exchange.rs
+++ b/crates/sablebay-catalogue/src/view/exchange.rs
@@ -90,9 +90,10 @@
         if self.replicas_at <= peer.at {
             return snapshot;
         }
-        for entry in self.entries.values().filter(|entry| full || entry.is_news_to(peer.at, self.replicas_at))
+        for entry in
+            self.entries.values().filter(|entry| full || entry.is_update_for(peer.at, self.replicas_at))
         {
-            match (&entry.replica, entry.vanished_at) {
+            match (&entry.replica, entry.removed_at) {
                 (Some(replica), None) => snapshot.push_replica(replica, entry.revision),
                 _ => snapshot.push_removed(entry.incarnation.clone(), entry.revision),
             }
@@ -135,7 +136,7 @@
             // have received them yet.
             let named = |zone: &ZoneName| zones.iter().any(|notice| notice.evacuated && notice.zone == *zone);
             changed |=
-                self.evacuations.restore_unlisted(named, peer_position.revision(), &self.source, true, now);
+                self.evacuations.lift_unlisted(named, peer_position.revision(), &self.source, true, now);
         }
         // A peer that is behind may hold entries whose tombstones have expired here, so its list counts only
         // during catch-up.
@@ -157,7 +158,7 @@
         let mut gone = HashSet::new();
         for (id, revision) in snapshot.take_removed() {
             gone.insert(id.without_incarnation());
-            changed |= self.vanish(&id, revision, settled, now);
+            changed |= self.remove(&id, revision, settled, now);
         }
         let replicas = snapshot.take_replicas();
         if snapshot.full && peer_position > self.replicas_at {
--- a/crates/sablebay-catalogue/tests/configuration_steps.rs
+++ b/crates/sablebay-catalogue/tests/configuration_steps.rs
@@ -66,7 +66,7 @@
     #[test]
     fn a_step_leads_to_what_it_was_made_for(base in any_configuration(3), next in any_configuration(5)) {
         let step = ConfigurationStep::between(&base, &next);
-        prop_assert_eq!(ConfigurationStep::follow(&[step], &base), Ok(next));
+        prop_assert_eq!(ConfigurationStep::apply_all(&[step], &base), Ok(next));
     }
 
     #[test]
@@ -79,7 +79,7 @@
         for base in [&first, &second] {
             let (steps, _) = history.since(base.version).expect("it is kept");
             let steps: Vec<ConfigurationStep> = steps.into_iter().cloned().collect();
-            prop_assert_eq!(ConfigurationStep::follow(&steps, base), Ok(third.clone()));
+            prop_assert_eq!(ConfigurationStep::apply_all(&steps, base), Ok(third.clone()));
         }
         prop_assert!(history.since(4).is_none());
     }
@@ -89,7 +89,7 @@
         base in any_configuration(3), other in any_configuration(3), next in any_configuration(5),
     ) {
         let step = ConfigurationStep::between(&base, &next);
-        if let Ok(reached) = ConfigurationStep::follow(&[step], &other) {
+        if let Ok(reached) = ConfigurationStep::apply_all(&[step], &other) {
             prop_assert_eq!(reached, next);
         }
     }
@@ -98,7 +98,7 @@
 #[test]
 fn a_step_from_another_version_leads_nowhere() {
     let step = ConfigurationStep::between(&large(3, 2), &large(5, 3));
-    assert_eq!(ConfigurationStep::follow(&[step], &large(4, 2)), Err(StepError::OtherBase));
+    assert_eq!(ConfigurationStep::apply_all(&[step], &large(4, 2)), Err(StepError::BaseMismatch));
 }
 
 #[test]
--- a/crates/sablebay-catalogue/tests/confirmation.rs
+++ b/crates/sablebay-catalogue/tests/confirmation.rs
@@ -104,14 +104,14 @@
     fn nodes_that_agree_in_being_old_do_not_keep_each_other_fresh(
         exchanges in prop::collection::vec(delays(), 1..20),
     ) {
-        let (mut told, mut at) = read_source(START, exchanges[0], 5_000_000, false);
-        let first = told.newest_up_to;
+        let (mut peer, mut at) = read_source(START, exchanges[0], 5_000_000, false);
+        let first = peer.newest_up_to;
         for (turn, delays) in exchanges.iter().enumerate() {
-            let (asker, arrived) = ask_peer(at, *delays, turn as u64 % 2 * 7_000_000, &told);
+            let (asker, arrived) = ask_peer(at, *delays, turn as u64 % 2 * 7_000_000, &peer);
             prop_assert!(asker.bound_in_true_time() <= first);
-            (told, at) = (asker, arrived);
+            (peer, at) = (asker, arrived);
         }
-        prop_assert!(told.clock(at).since(told.bound).0 >= at - first);
+        prop_assert!(peer.clock(at).since(peer.bound).0 >= at - first);
     }
 
     /// With short delays the bound stays close to the true time.
--- a/crates/sablebay-catalogue/tests/evacuation.rs
+++ b/crates/sablebay-catalogue/tests/evacuation.rs
@@ -128,11 +128,11 @@
         tenants: None,
     });
     view.apply_notice(&notice("b", true, 4), START);
-    let returned_at = START.plus(Micros::from_secs(30));
-    view.apply_notice(&notice("b", false, 5), returned_at);
-    let services = view.routable(returned_at);
+    let lifted_at = START.plus(Micros::from_secs(30));
+    view.apply_notice(&notice("b", false, 5), lifted_at);
+    let services = view.routable(lifted_at);
     let warm_at: Vec<Micros> = services[&ServiceName::new("s")].iter().map(|known| known.warm_at).collect();
-    assert_eq!(warm_at, [START, returned_at.plus(Micros::from_millis(7_000)), START]);
+    assert_eq!(warm_at, [START, lifted_at.plus(Micros::from_millis(7_000)), START]);
 }
 
 /// An update that a node receives.
--- a/crates/sablebay-catalogue/tests/returns.rs
+++ b/crates/sablebay-catalogue/tests/returns.rs
@@ -172,7 +172,7 @@
     }
 
     /// Applies the changes since the view's position; returns whether the source has them.
-    fn tell_changes(&self, view: &mut CatalogueView, now: Micros) -> bool {
+    fn apply_changes(&self, view: &mut CatalogueView, now: Micros) -> bool {
         let after = view.replicas_at().revision();
         if after.era() != self.era || after > self.revision(self.contents.number) {
             return false;
@@ -201,7 +201,7 @@
 }
 
 fn read(source: &Source, view: &mut CatalogueView, now: Micros) {
-    if view.must_settle(now) || !source.tell_changes(view, now) {
+    if view.must_settle(now) || !source.apply_changes(view, now) {
         view.replace(source.list(), now);
     }
 }
@@ -447,13 +447,13 @@
 fn a_return_is_told_by_its_differences() {
     let (mut source, view, now) = restored();
     let before = CataloguePosition::new(CatalogueRevision::new(Era::new(1), 15), true);
-    let told = view.snapshot(0, before, now);
-    assert_eq!((told.replicas.len(), told.removed.len(), told.full), (0, 0, false));
+    let snapshot = view.snapshot(0, before, now);
+    assert_eq!((snapshot.replicas.len(), snapshot.removed.len(), snapshot.full), (0, 0, false));
     source.change(2);
     let mut view = view;
     read(&source, &mut view, now);
-    let told = view.snapshot(0, before, now);
-    assert_eq!((told.replicas.len(), told.removed.len(), told.full), (1, 0, false));
+    let snapshot = view.snapshot(0, before, now);
+    assert_eq!((snapshot.replicas.len(), snapshot.removed.len(), snapshot.full), (1, 0, false));
 }
 
 /// A node that lists the new era before it received all changes of the old one catches up from a peer.
--- a/crates/sablebay-catalogue/tests/view.rs
+++ b/crates/sablebay-catalogue/tests/view.rs
@@ -143,8 +143,8 @@
     view.apply(ReplicaChange::Written(replica("r7", ReplicaPhase::Draining)), at(51), START);
     view.apply(ReplicaChange::Removed(ReplicaId::new("r8")), at(52), START);
     view.advance(at(52));
-    let told = view.snapshot(0, up_to(50), START);
-    assert_eq!((told.replicas.len(), told.removed.len(), told.full), (1, 1, false));
+    let snapshot = view.snapshot(0, up_to(50), START);
+    assert_eq!((snapshot.replicas.len(), snapshot.removed.len(), snapshot.full), (1, 1, false));
     assert_eq!(view.snapshot(0, up_to(0), START).replicas.len(), 49, "who knows nothing is told all");
     view.expire(START.plus(Micros::from_secs(120)));
     assert!(
@@ -169,9 +169,9 @@
         evacuated: Vec::new(),
     };
     started.replace(listing, START);
-    let told = started.snapshot(0, view.replicas_at(), START);
-    assert!(told.full);
-    view.merge(told, START);
+    let snapshot = started.snapshot(0, view.replicas_at(), START);
+    assert!(snapshot.full);
+    view.merge(snapshot, START);
     let later = START.plus(Micros::from_secs(2));
     assert_eq!(routable(&view, later), [("a".to_string(), false)]);
     assert!(!started.snapshot(0, view.replicas_at(), START).full, "who knows as much is told no more");
