--- a/crates/sablebay-catalogue/tests/configuration_steps.rs
+++ b/crates/sablebay-catalogue/tests/configuration_steps.rs
@@ -77,7 +77,7 @@
         history.keep(ConfigurationStep::between(&first, &second));
         history.keep(ConfigurationStep::between(&second, &third));
         for base in [&first, &second] {
-            let (steps, _) = history.since(base.version).expect("it is kept");
+            let (steps, _) = history.since(base.version).expect("the history starts at this version");
             let steps: Vec<ConfigurationStep> = steps.into_iter().cloned().collect();
             prop_assert_eq!(ConfigurationStep::apply_all(&steps, base), Ok(third.clone()));
         }
@@ -103,9 +103,9 @@
 
 #[test]
 fn a_step_costs_what_changed() {
-    let whole = musli::wire::to_vec(&large(1, 1_400)).expect("it is encoded").len();
+    let whole = musli::wire::to_vec(&large(1, 1_400)).expect("the value is encodable").len();
     let one_more = ConfigurationStep::between(&large(1, 1_400), &large(2, 1_401)).encoded_bytes();
-    assert!(one_more < 300, "{one_more} bytes for one route; the whole has {whole}");
+    assert!(one_more < 300, "{one_more} bytes for one route; the full configuration has {whole}");
     let mut changed = large(3, 1_401);
     changed.routes[700].time_limit_ms = 2_000;
     changed.routes.remove(100);
--- a/crates/sablebay-catalogue/tests/confirmation.rs
+++ b/crates/sablebay-catalogue/tests/confirmation.rs
@@ -92,10 +92,10 @@
         clock_ahead in 0..10_000_000_u64,
     ) {
         let (mut node, mut at) = read_source(START, first, clock_ahead, waits);
-        prop_assert!(node.is_valid(), "of the source: {node:?}");
+        prop_assert!(node.is_valid(), "bound from the source: {node:?}");
         for (delays, clock_ahead) in hops {
             (node, at) = ask_peer(at, delays, clock_ahead, &node);
-            prop_assert!(node.is_valid(), "of a peer: {node:?}");
+            prop_assert!(node.is_valid(), "bound from a peer: {node:?}");
         }
     }
 
--- a/crates/sablebay-catalogue/tests/distribution.rs
+++ b/crates/sablebay-catalogue/tests/distribution.rs
@@ -28,7 +28,7 @@
         assert_eq!(sources.iter().filter(|source| source.is_none()).count(), roots);
         for place in 0..askers {
             let fetchers = sources.iter().filter(|source| **source == Some(place)).count();
-            assert!(fetchers <= FAN_OUT, "{fetchers} fetch from one");
+            assert!(fetchers <= FAN_OUT, "{fetchers} nodes fetch from one node");
         }
     }
 }
@@ -80,8 +80,8 @@
     // A quarter of fleets of 140, 300 and 2,700 nodes.
     for askers in [35, 75, 675] {
         let (sound, slowed) = (last_arrival_s(askers, 200_000, 0), last_arrival_s(askers, 200_000, 3));
-        println!("{askers} nodes: 200 kB after {sound:.2} s, with three in ten slowed {slowed:.2} s");
-        assert!(sound < 1.0 && slowed < 3.0, "{askers} nodes: {sound} and {slowed} s");
+        println!("{askers} nodes: 200 kB after {sound:.2} s, with three in ten slowed after {slowed:.2} s");
+        assert!(sound < 1.0 && slowed < 3.0, "{askers} nodes: {sound} s, slowed {slowed} s");
     }
 }
 
--- a/crates/sablebay-catalogue/tests/evacuation.rs
+++ b/crates/sablebay-catalogue/tests/evacuation.rs
@@ -21,7 +21,7 @@
     Replica {
         id: ReplicaId::new(format!("r-{zone}")),
         service: ServiceName::new("s"),
-        address: "127.0.0.1:1".parse().expect("an address"),
+        address: "127.0.0.1:1".parse().expect("valid address"),
         zone: ZoneName::new(zone),
         slots: 2,
         phase: ReplicaPhase::Ready,
@@ -59,7 +59,7 @@
     assert_eq!(zones_in_use(&view, START), ["a", "c"]);
     assert!(view.apply_notice(&notice("b", false, 6), START));
     assert_eq!(zones_in_use(&view, START), ["a", "b", "c"]);
-    assert!(!view.apply_notice(&notice("b", true, 4), START), "an older word comes late");
+    assert!(!view.apply_notice(&notice("b", true, 4), START), "an older update is ignored");
     assert_eq!(zones_in_use(&view, START), ["a", "b", "c"]);
 }
 
@@ -113,7 +113,7 @@
     snapshot.zones = None;
     let mut view = CatalogueView::default();
     view.merge(snapshot, START);
-    assert!(view.replicas_at().is_nothing(), "this node still asks the source for everything");
+    assert!(view.replicas_at().is_nothing(), "a full listing is still due");
 }
 
 #[test]
--- a/crates/sablebay-catalogue/tests/lives.rs
+++ b/crates/sablebay-catalogue/tests/lives.rs
@@ -24,7 +24,7 @@
     Replica {
         id: ReplicaId::with_incarnation("a", started_ms),
         service: ServiceName::new("s"),
-        address: "127.0.0.1:1".parse().expect("an address"),
+        address: "127.0.0.1:1".parse().expect("valid address"),
         zone: ZoneName::new("z"),
         slots: 2,
         phase,
@@ -118,11 +118,11 @@
 
 #[test]
 fn nodes_that_know_no_lives_are_told_names() {
-    let encoded =
-        musli::wire::to_vec(&ReplicaEntry::from(&replica(5, ReplicaPhase::Ready))).expect("it is encoded");
-    let decoded: LegacyReplica = musli::wire::from_slice(&encoded).expect("a former node reads it");
+    let encoded = musli::wire::to_vec(&ReplicaEntry::from(&replica(5, ReplicaPhase::Ready)))
+        .expect("the value is encodable");
+    let decoded: LegacyReplica = musli::wire::from_slice(&encoded).expect("an earlier release decodes it");
     assert_eq!(decoded.id, ReplicaId::new("a"));
-    let encoded = musli::wire::to_vec(&decoded).expect("it is encoded");
-    let entry: ReplicaEntry = musli::wire::from_slice(&encoded).expect("a node reads it");
+    let encoded = musli::wire::to_vec(&decoded).expect("the value is encodable");
+    let entry: ReplicaEntry = musli::wire::from_slice(&encoded).expect("a node decodes it");
     assert_eq!(Replica::from(entry), replica(0, ReplicaPhase::Ready));
 }
--- a/crates/sablebay-catalogue/tests/ranks.rs
+++ b/crates/sablebay-catalogue/tests/ranks.rs
@@ -53,9 +53,9 @@
     let (first, last, plain) = (tenant("first", Some(0)), tenant("last", Some(4)), tenant("plain", None));
     let tenants = vec![first.clone(), last.clone(), plain.clone()];
     let table = table(vec![urgent.clone(), other.clone()], Some(tenants));
-    assert_eq!(table.rank(&other, Some(&first)), 0, "the most urgent of all, whatever its route");
+    assert_eq!(table.rank(&other, Some(&first)), 0, "the tenant's priority overrides the route's");
     assert_eq!(table.rank(&urgent, Some(&last)), 4);
-    assert_eq!(table.rank(&urgent, Some(&plain)), 1, "without one of its own it takes the route's");
+    assert_eq!(table.rank(&urgent, Some(&plain)), 1, "a tenant without a priority uses the route's");
     assert_eq!(table.rank(&other, Some(&plain)), 3);
 }
 
@@ -64,7 +64,7 @@
     let urgent = route("urgent", "s", 0, false);
     let (second, third) = (tenant("second", Some(2)), tenant("third", Some(3)));
     let table = table(vec![urgent.clone()], Some(vec![second.clone(), third.clone()]));
-    assert_eq!(table.rank(&urgent, Some(&second)), 0, "nobody who is more urgent may come");
+    assert_eq!(table.rank(&urgent, Some(&second)), 0, "no tenant is more urgent");
     assert_eq!(table.rank(&urgent, Some(&third)), 1);
 }
 
@@ -73,7 +73,11 @@
     let (public, keyed) = (route("public", "s", 2, true), route("keyed", "s", 5, false));
     let only = tenant("only", Some(1));
     let table = table(vec![public.clone(), keyed.clone()], Some(vec![only.clone()]));
-    assert_eq!(table.rank(&public, None), 1, "the tenant comes to the same service, and is more urgent");
+    assert_eq!(
+        table.rank(&public, None),
+        1,
+        "the tenant reaches the same service with a more urgent priority"
+    );
     assert_eq!(table.rank(&keyed, Some(&only)), 0);
 }
 
--- a/crates/sablebay-catalogue/tests/reading.rs
+++ b/crates/sablebay-catalogue/tests/reading.rs
@@ -31,7 +31,7 @@
 fn timeout_of(step: SourceStep) -> Duration {
     match step {
         SourceStep::Read(SourceRead::All { timeout } | SourceRead::Changes { timeout, .. }) => timeout,
-        SourceStep::Wait(_) => panic!("a reader reads"),
+        SourceStep::Wait(_) => panic!("expected a read"),
     }
 }
 
@@ -76,7 +76,7 @@
         known_up_to: CataloguePosition::NOTHING,
         must_settle: false,
     };
-    assert!(matches!(policy.next(&at(0, true, false)), SourceStep::Wait(_)), "alone it would be a reader");
+    assert!(matches!(policy.next(&at(0, true, false)), SourceStep::Wait(_)), "waits for peers first");
     assert!(matches!(policy.next(&at(100, true, true)), SourceStep::Read(SourceRead::All { .. })));
     assert!(matches!(policy.next(&at(100, false, true)), SourceStep::Wait(_)));
     assert!(matches!(policy.next(&at(900, false, true)), SourceStep::Read(SourceRead::All { .. })));
@@ -105,7 +105,7 @@
     let again = policy.next(&reader);
     assert!(
         matches!(again, SourceStep::Read(SourceRead::Changes { after: SEVEN, .. })),
-        "a lost answer loses no history"
+        "a timeout does not require a full listing"
     );
     policy.failed(ReadFailure::MustReadAll, true, 0.5);
     assert!(matches!(policy.next(&reader), SourceStep::Read(SourceRead::All { .. })));
@@ -142,7 +142,7 @@
 fn wait_of(step: SourceStep) -> Duration {
     match step {
         SourceStep::Read(SourceRead::Changes { wait, .. }) => wait,
-        other => panic!("it asks for changes: {other:?}"),
+        other => panic!("expected a read of changes, got {other:?}"),
     }
 }
 
@@ -173,12 +173,12 @@
     let reads_from = |position: f64| {
         let policy = ReadingPolicy::default();
         let read = |age_ms| matches!(policy.next(&limited(false, age_ms, position)), SourceStep::Read(_));
-        (0..5_000).step_by(10).find(|age_ms| read(*age_ms)).expect("it reads before the limit")
+        (0..5_000).step_by(10).find(|age_ms| read(*age_ms)).expect("reads before the limit")
     };
     let ages: Vec<u64> = (0..=10).map(|tenth| reads_from(f64::from(tenth) / 10.0)).collect();
     assert!(ages.windows(2).all(|pair| pair[0] < pair[1]), "{ages:?}");
-    assert!(ages[0] > 3_600, "beyond what is usual: {ages:?}");
-    assert!(ages[10] + 400 < 5_000, "in time for an answer: {ages:?}");
+    assert!(ages[0] > 3_600, "no read at usual ages: {ages:?}");
+    assert!(ages[10] + 400 < 5_000, "leaves time for a response: {ages:?}");
 }
 
 /// Guards against a busy loop when every read leaves the configuration close to its age limit.
--- a/crates/sablebay-catalogue/tests/returns.rs
+++ b/crates/sablebay-catalogue/tests/returns.rs
@@ -28,7 +28,7 @@
     Replica {
         id: ReplicaId::with_incarnation(format!("r{id}"), started_ms),
         service: ServiceName::new("s"),
-        address: "127.0.0.1:1".parse().expect("an address"),
+        address: "127.0.0.1:1".parse().expect("valid address"),
         zone: ZoneName::new(ZONE),
         slots: 2,
         phase: if ready { ReplicaPhase::Ready } else { ReplicaPhase::Draining },
@@ -318,9 +318,11 @@
             for (name, (announcement, stopped)) in &mut self.seen[node] {
                 match in_use.get(name) {
                     Some(now) if *stopped => {
-                        prop_assert!(now > announcement, "node {node}: {name} again at {now:?}")
+                        prop_assert!(now > announcement, "node {node}: {name} in use again at {now:?}")
+                    }
+                    Some(now) => {
+                        prop_assert!(now >= announcement, "node {node}: {name} went back to {now:?}")
                     }
-                    Some(now) => prop_assert!(now >= announcement, "node {node}: {name} back to {now:?}"),
                     None => *stopped = true,
                 }
             }
@@ -412,11 +414,11 @@
 #[test]
 fn what_the_copy_says_takes_nothing_back() {
     let (source, view, now) = restored();
-    assert_eq!(source.contents.replicas[&0].0.1, 1, "the copy has it as ready");
+    assert_eq!(source.contents.replicas[&0].0.1, 1, "the copy holds the entry as ready");
     assert_eq!(in_use(&view, now).into_keys().collect::<Vec<_>>(), ["r2"]);
     assert_eq!(view.retained(), 2);
     assert!(!view.replicas_at().is_settled());
-    assert!(!view.source_confirms(), "a copy proves nothing newer wrong");
+    assert!(!view.source_confirms(), "a copy cannot confirm the configuration");
 }
 
 #[test]
@@ -428,7 +430,7 @@
     source.copy = source.contents.clone();
     source.restore();
     read(&source, &mut view, START);
-    assert_eq!(in_use(&view, START).len(), 3, "absence in the copy is no announcement of anybody");
+    assert_eq!(in_use(&view, START).len(), 3, "absence from the copy is not a removal");
     let settled = START.plus(SETTLE_PERIOD);
     assert!(view.must_settle(settled));
     read(&source, &mut view, settled);
@@ -468,7 +470,7 @@
     read(&source, &mut behind, START);
     assert!(in_use(&behind, START).contains_key("r0"));
     ask(&mut behind, &view, START);
-    assert!(!in_use(&behind, START).contains_key("r0"), "it is leaving");
+    assert!(!in_use(&behind, START).contains_key("r0"), "the replica is draining");
 }
 
 #[test]
--- a/crates/sablebay-catalogue/tests/routing.rs
+++ b/crates/sablebay-catalogue/tests/routing.rs
@@ -98,5 +98,5 @@
     let table = table(vec![urgent.clone(), patient.clone(), alone.clone()]);
     assert_eq!(table.rank(&urgent, None), 0);
     assert_eq!(table.rank(&patient, None), 2);
-    assert_eq!(table.rank(&alone, None), 0, "nothing more urgent wants its service");
+    assert_eq!(table.rank(&alone, None), 0, "no other route uses the service");
 }
--- a/crates/sablebay-catalogue/tests/view.rs
+++ b/crates/sablebay-catalogue/tests/view.rs
@@ -25,7 +25,7 @@
     Replica {
         id: ReplicaId::new(id),
         service: ServiceName::new("s"),
-        address: "127.0.0.1:1".parse().expect("an address"),
+        address: "127.0.0.1:1".parse().expect("valid address"),
         zone: ZoneName::new("z"),
         slots: 2,
         phase,
@@ -68,8 +68,8 @@
     view.apply(ReplicaChange::Written(replica("a", ReplicaPhase::Ready)), at(1), START);
     view.apply(ReplicaChange::Removed(ReplicaId::new("a")), at(2), START);
     assert_eq!(routable(&view, START), [("a".to_string(), true)]);
-    let expiry = view.next_expiry(START).expect("it expires");
-    assert!(expiry.since(START) < Micros::from_secs(3), "well within the bound on leaving back ends");
+    let expiry = view.next_expiry(START).expect("the absence expires");
+    assert!(expiry.since(START) < Micros::from_secs(3), "within the bound for removed replicas");
     assert!(routable(&view, expiry).is_empty());
     // The next heartbeat brings the replica back.
     view.apply(ReplicaChange::Written(replica("a", ReplicaPhase::Ready)), at(3), expiry);
@@ -145,11 +145,11 @@
     view.advance(at(52));
     let snapshot = view.snapshot(0, up_to(50), START);
     assert_eq!((snapshot.replicas.len(), snapshot.removed.len(), snapshot.full), (1, 1, false));
-    assert_eq!(view.snapshot(0, up_to(0), START).replicas.len(), 49, "who knows nothing is told all");
+    assert_eq!(view.snapshot(0, up_to(0), START).replicas.len(), 49, "an empty peer gets all replicas");
     view.expire(START.plus(Micros::from_secs(120)));
     assert!(
         view.snapshot(0, up_to(50), START).full,
-        "what went is forgotten here, and can only be told by the whole"
+        "the tombstone has expired, so the peer needs the full list"
     );
     assert!(!view.snapshot(0, up_to(52), START).full);
 }
@@ -174,7 +174,10 @@
     view.merge(snapshot, START);
     let later = START.plus(Micros::from_secs(2));
     assert_eq!(routable(&view, later), [("a".to_string(), false)]);
-    assert!(!started.snapshot(0, view.replicas_at(), START).full, "who knows as much is told no more");
+    assert!(
+        !started.snapshot(0, view.replicas_at(), START).full,
+        "a peer at the same position needs no full list"
+    );
 }
 
 #[derive(Clone, Debug)]
