--- a/crates/sablebay-catalogue/src/configuration_step.rs
+++ b/crates/sablebay-catalogue/src/configuration_step.rs
@@ -1,12 +1,8 @@
-//! What one configuration changes in another.
+//! Deltas between configurations, which nodes exchange instead of full configurations.
 //!
-//! Nodes pass these on in place of whole configurations: what an answer costs is then what changed, times those who
-//! ask, however large the configuration is. A link of 14 Mbit/s bears 1.75 MB a second; a whole configuration of 300 kB
-//! to the 35 nodes of a zone would fill it for 6 s.
-//!
-//! Invariant kept here: a step gives the configuration that it was made from, or nothing. It names the version that it
-//! starts from and a digest of what it leads to, since two nodes may have read different contents under one version: one
-//! of an earlier release does not know every field.
+//! Invariant: a step yields exactly the configuration that it was computed for, or an error. It names its
+//! base version and carries a digest of the result, because two nodes may hold different contents under one
+//! version, for example after an upgrade that adds fields.
 
 use std::collections::HashMap;
 
@@ -18,38 +14,36 @@
 
 use crate::configuration::{BackendService, CallerLimits, Route, RoutingConfiguration};
 
-/// Why a step does not lead to a configuration.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum StepError {
-    /// It starts from another version.
-    #[display("it starts from another version")]
-    OtherBase,
-    /// It names entries that the version it starts from does not have.
-    #[display("it names entries that are not there")]
-    NoSuchEntry,
-    /// What it leads to is not what it was made for.
-    #[display("it leads to other contents")]
-    OtherContents,
+    #[display("step starts from another version")]
+    BaseMismatch,
+    /// The step refers to entries that the base does not have.
+    #[display("step refers to entries that its base does not have")]
+    MissingEntry,
+    /// The result does not match the digest.
+    #[display("result does not match the digest of the step")]
+    DigestMismatch,
 }
 
-/// A part of a list that was changed: entries of the old list, and new ones behind them.
+/// A run of entries copied from the old list, followed by new entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 struct Run {
-    /// The place of the first old entry.
+    /// Index of the first copied entry.
     kept_from: u64,
-    /// The number of old entries.
+    /// Number of copied entries.
     kept: u64,
-    /// The number of new entries.
+    /// Number of new entries.
     added: u64,
 }
 
-/// How a list comes out of another.
+/// Edit script that turns one list into another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 struct Runs(Vec<Run>);
 
 impl Runs {
-    /// How `next` comes out of `base`, and the entries of it that `base` does not have. `name` tells which entries may be
-    /// the same.
+    /// Computes the edit script from `base` to `next` and the entries that `base` lacks. Entries with equal
+    /// `name` are compared.
     fn between<'a, T: Clone + PartialEq>(
         base: &'a [T],
         next: &'a [T],
@@ -76,49 +70,46 @@
         (Self(runs), added)
     }
 
-    /// The list that comes out of `base` and the added entries.
+    /// Applies the edit script to `base`, taking new entries from `added`.
     fn apply<T: Clone>(&self, base: &[T], added: &[T]) -> Result<Vec<T>, StepError> {
         let mut list = Vec::with_capacity(base.len() + added.len());
         let mut added = added.iter();
         for run in &self.0 {
-            let from = usize::try_from(run.kept_from).map_err(|_| StepError::NoSuchEntry)?;
-            let kept = usize::try_from(run.kept).map_err(|_| StepError::NoSuchEntry)?;
-            let until = from.checked_add(kept).ok_or(StepError::NoSuchEntry)?;
-            list.extend_from_slice(base.get(from..until).ok_or(StepError::NoSuchEntry)?);
+            let from = usize::try_from(run.kept_from).map_err(|_| StepError::MissingEntry)?;
+            let kept = usize::try_from(run.kept).map_err(|_| StepError::MissingEntry)?;
+            let until = from.checked_add(kept).ok_or(StepError::MissingEntry)?;
+            list.extend_from_slice(base.get(from..until).ok_or(StepError::MissingEntry)?);
             for _ in 0..run.added {
-                list.push(added.next().ok_or(StepError::NoSuchEntry)?.clone());
+                list.push(added.next().ok_or(StepError::MissingEntry)?.clone());
             }
         }
         Ok(list)
     }
 }
 
-/// What one configuration changes in another.
+/// A delta between two configurations.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ConfigurationStep {
-    /// The version that it starts from.
     pub base: u64,
-    /// The version that it leads to.
     pub version: u64,
-    /// Of the configuration that it leads to.
+    /// Digest of the resulting configuration.
     digest: u64,
     routes: Runs,
     added_routes: Vec<Route>,
     services: Runs,
     added_services: Vec<BackendService>,
     limits: CallerLimits,
-    /// Nothing where callers need no key.
+    /// `None` if callers need no key.
     tenants: Option<Runs>,
     added_tenants: Vec<Tenant>,
 }
 
-/// The digest of a configuration; 0 for one that cannot be encoded, which no node can be sent either.
+/// Returns 0 for a configuration that cannot be encoded; such a configuration cannot be sent either.
 fn digest_of(configuration: &RoutingConfiguration) -> u64 {
     musli::wire::to_vec(configuration).map_or(0, |bytes| xxh3_64(&bytes))
 }
 
 impl ConfigurationStep {
-    /// What `next` changes in `base`.
     pub fn between(base: &RoutingConfiguration, next: &RoutingConfiguration) -> Self {
         let (routes, added_routes) = Runs::between(&base.routes, &next.routes, |route| &route.name);
         let (services, added_services) =
@@ -141,10 +132,10 @@
         }
     }
 
-    /// The configuration that it leads to from `base`; not compared with its digest.
-    fn lead(&self, base: &RoutingConfiguration) -> Result<RoutingConfiguration, StepError> {
+    /// Applies the step to `base` without checking the digest.
+    fn apply_unchecked(&self, base: &RoutingConfiguration) -> Result<RoutingConfiguration, StepError> {
         if base.version != self.base {
-            return Err(StepError::OtherBase);
+            return Err(StepError::BaseMismatch);
         }
         let old_tenants = base.tenants.as_deref().unwrap_or_default();
         let tenants = self.tenants.as_ref().map(|runs| runs.apply(old_tenants, &self.added_tenants));
@@ -157,24 +148,23 @@
         })
     }
 
-    /// The configuration that steps lead to from `base`, one after the other.
+    /// Applies consecutive steps to `base`.
     ///
     /// # Errors
-    /// Why they do not lead to what they were made for.
-    pub fn follow(
+    /// Fails if a step does not match its base or the result does not match the digest of the last step.
+    pub fn apply_all(
         steps: &[ConfigurationStep],
         base: &RoutingConfiguration,
     ) -> Result<RoutingConfiguration, StepError> {
-        let (last, others) = steps.split_last().ok_or(StepError::OtherBase)?;
+        let (last, others) = steps.split_last().ok_or(StepError::BaseMismatch)?;
         let mut reached = None;
         for step in others {
-            reached = Some(step.lead(reached.as_ref().unwrap_or(base))?);
+            reached = Some(step.apply_unchecked(reached.as_ref().unwrap_or(base))?);
         }
-        let next = last.lead(reached.as_ref().unwrap_or(base))?;
-        if digest_of(&next) == last.digest { Ok(next) } else { Err(StepError::OtherContents) }
+        let next = last.apply_unchecked(reached.as_ref().unwrap_or(base))?;
+        if digest_of(&next) == last.digest { Ok(next) } else { Err(StepError::DigestMismatch) }
     }
 
-    /// Its size when it is sent, in bytes.
     pub fn encoded_bytes(&self) -> usize {
         musli::wire::to_vec(self).map_or(usize::MAX, |bytes| bytes.len())
     }
--- a/crates/sablebay-catalogue/src/lib.rs
+++ b/crates/sablebay-catalogue/src/lib.rs
@@ -1,8 +1,7 @@
-//! What routes and replicas there are, by revision.
+//! Catalogue of routes and replicas, ordered by revision.
 //!
-//! Decided here: which route a request takes, which replicas of a service may get new work, that a
-//! node's view of both never goes back, and when the source of the catalogue is read. Not decided
-//! here: how that source spells things, which is an adapter's matter. No I/O and no clock.
+//! Covers route selection, the replicas that may receive new requests, monotonic merging of updates, and when
+//! to read the catalogue's source. Adapters parse the source's format. No I/O and no clock.
 
 mod configuration;
 mod configuration_history;
@@ -17,7 +16,7 @@
 mod revision;
 mod route_table;
 mod snapshot;
-mod source_return;
+mod source_era;
 mod urgency;
 mod view;
 
@@ -32,14 +31,14 @@
 };
 pub use document::{CHUNK_BYTES, Distribution, DocumentDigest, DocumentOffer, FAN_OUT, INLINE_BYTES};
 pub use evacuation::{Evacuations, ZoneNotice};
-pub use incoming_configuration::{HeardVersion, IncomingConfiguration};
-pub use known_configuration::ConfigurationNews;
+pub use incoming_configuration::{AnnouncedVersion, IncomingConfiguration};
+pub use known_configuration::ConfigurationUpdate;
 pub use reading::{
-    LONGEST_UNAWARE, LimitedAge, READERS, ReadFailure, ReadingInputs, ReadingPolicy, SourceRead, SourceStep,
+    LimitedAge, MAXIMUM_STALENESS, READERS, ReadFailure, ReadingInputs, ReadingPolicy, SourceRead, SourceStep,
 };
 pub use replica::{Replica, ReplicaEntry, ReplicaId, ReplicaPhase, ServiceName};
 pub use revision::{CataloguePosition, CatalogueRevision, Era, EraStage, PeerPosition};
 pub use route_table::RouteTable;
 pub use snapshot::CatalogueSnapshot;
-pub use source_return::{SETTLING, SourceEra};
+pub use source_era::{SETTLE_PERIOD, SourceEra};
 pub use view::{CatalogueView, Listing, ReplicaChange, RoutableReplica};
--- a/crates/sablebay-catalogue/tests/configuration_steps.rs
+++ b/crates/sablebay-catalogue/tests/configuration_steps.rs
@@ -1,4 +1,5 @@
-//! Steps between configurations: they lead to what they were made for or nowhere, and cost what changed.
+//! Configuration steps yield exactly the target configuration or an error, and their size depends on the
+//! change.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -44,7 +45,7 @@
     configuration(version, (0..routes).map(|name| route(name, 1_000)).collect())
 }
 
-/// Any configuration of few names, some of them twice and in any order.
+/// Any configuration over a few names, with duplicates and in any order.
 fn any_configuration(version: u64) -> impl Strategy<Value = RoutingConfiguration> {
     let routes = prop::collection::vec((0..12u32, 1..3u64), 0..16);
     let services = prop::collection::vec(0..5u32, 0..5);
@@ -65,7 +66,7 @@
     #[test]
     fn a_step_leads_to_what_it_was_made_for(base in any_configuration(3), next in any_configuration(5)) {
         let step = ConfigurationStep::between(&base, &next);
-        prop_assert_eq!(ConfigurationStep::follow(&[step], &base), Ok(next));
+        prop_assert_eq!(ConfigurationStep::apply_all(&[step], &base), Ok(next));
     }
 
     #[test]
@@ -76,9 +77,9 @@
         history.keep(ConfigurationStep::between(&first, &second));
         history.keep(ConfigurationStep::between(&second, &third));
         for base in [&first, &second] {
-            let (steps, _) = history.since(base.version).expect("it is kept");
+            let (steps, _) = history.since(base.version).expect("the history starts at this version");
             let steps: Vec<ConfigurationStep> = steps.into_iter().cloned().collect();
-            prop_assert_eq!(ConfigurationStep::follow(&steps, base), Ok(third.clone()));
+            prop_assert_eq!(ConfigurationStep::apply_all(&steps, base), Ok(third.clone()));
         }
         prop_assert!(history.since(4).is_none());
     }
@@ -88,7 +89,7 @@
         base in any_configuration(3), other in any_configuration(3), next in any_configuration(5),
     ) {
         let step = ConfigurationStep::between(&base, &next);
-        if let Ok(reached) = ConfigurationStep::follow(&[step], &other) {
+        if let Ok(reached) = ConfigurationStep::apply_all(&[step], &other) {
             prop_assert_eq!(reached, next);
         }
     }
@@ -97,14 +98,14 @@
 #[test]
 fn a_step_from_another_version_leads_nowhere() {
     let step = ConfigurationStep::between(&large(3, 2), &large(5, 3));
-    assert_eq!(ConfigurationStep::follow(&[step], &large(4, 2)), Err(StepError::OtherBase));
+    assert_eq!(ConfigurationStep::apply_all(&[step], &large(4, 2)), Err(StepError::BaseMismatch));
 }
 
 #[test]
 fn a_step_costs_what_changed() {
-    let whole = musli::wire::to_vec(&large(1, 1_400)).expect("it is encoded").len();
+    let whole = musli::wire::to_vec(&large(1, 1_400)).expect("the value is encodable").len();
     let one_more = ConfigurationStep::between(&large(1, 1_400), &large(2, 1_401)).encoded_bytes();
-    assert!(one_more < 300, "{one_more} bytes for one route; the whole has {whole}");
+    assert!(one_more < 300, "{one_more} bytes for one route; the full configuration has {whole}");
     let mut changed = large(3, 1_401);
     changed.routes[700].time_limit_ms = 2_000;
     changed.routes.remove(100);
@@ -120,11 +121,11 @@
     }
     assert!(history.since(100).is_none());
     assert!(history.since(150).is_some());
-    // The newest is kept however large it is; older ones are not kept beside it.
+    // The newest step is kept regardless of its size; older ones are dropped.
     history.keep(ConfigurationStep::between(&large(200, 1), &large(201, 8_000)));
     assert!(history.since(199).is_none());
     assert!(history.since(200).is_some());
-    // After a gap nothing older leads to the newest.
+    // After a gap in versions, earlier steps are dropped.
     history.keep(ConfigurationStep::between(&large(300, 1), &large(301, 2)));
     assert!(history.since(200).is_none());
 }
--- a/crates/sablebay-catalogue/tests/confirmation.rs
+++ b/crates/sablebay-catalogue/tests/confirmation.rs
@@ -1,7 +1,6 @@
-//! Bounds of the moment up to which a configuration is the newest, over hops that take any time.
+//! Confirmation bounds are never later than the true time, over any number of hops with arbitrary delays.
 //!
-//! Each case plays questions and answers in true time and compares what nodes believe with what is so. Clocks of
-//! nodes differ by any amount; they run at one rate.
+//! Clocks of nodes differ by any offset but run at the same rate.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -12,12 +11,11 @@
 };
 use sablebay_model::Micros;
 
-/// The same cases at every run.
 fn cases() -> Config {
     Config { cases: 2_000, rng_seed: RngSeed::Fixed(16), failure_persistence: None, ..Config::default() }
 }
 
-/// A node: what it believes, by its own clock, and what is so, in true time.
+/// A node with its bound by its own clock and the true time up to which its configuration is the newest.
 #[derive(Clone, Copy, Debug)]
 struct Node {
     clock_ahead: u64,
@@ -30,58 +28,57 @@
         Micros(at + self.clock_ahead)
     }
 
-    /// Its bound in true time.
-    fn believed(&self) -> u64 {
+    fn bound_in_true_time(&self) -> u64 {
         self.bound.0.saturating_sub(self.clock_ahead)
     }
 
-    fn is_right(&self) -> bool {
-        self.believed() <= self.newest_up_to
+    fn is_valid(&self) -> bool {
+        self.bound_in_true_time() <= self.newest_up_to
     }
 }
 
-/// How long the parts of one exchange take, in microseconds.
+/// Delays of one request and its response, in microseconds.
 #[derive(Clone, Copy, Debug)]
 struct Delays {
     before: u64,
-    way_there: u64,
+    request_delay: u64,
     held: u64,
-    way_back: u64,
+    response_delay: u64,
 }
 
 fn delays() -> impl Strategy<Value = Delays> {
     let way = || prop_oneof![0..2_000_u64, 0..4_000_000_u64];
-    (way(), way(), 0..900_000_u64, way()).prop_map(|(before, way_there, held, way_back)| Delays {
+    (way(), way(), 0..900_000_u64, way()).prop_map(|(before, request_delay, held, response_delay)| Delays {
         before,
-        way_there,
+        request_delay,
         held,
-        way_back,
+        response_delay,
     })
 }
 
-/// The source answers at a moment between question and answer; a wait may have heard nothing for a while before.
+/// The source evaluates the request between sending and response; a watch may have missed changes before.
 fn read_source(at: u64, delays: Delays, clock_ahead: u64, waits: bool) -> (Node, u64) {
     let asked_at = at + delays.before;
-    let answered = asked_at + delays.way_there + delays.held;
-    let unheard = if waits { WATCH_SILENCE.0 } else { 0 };
+    let answered = asked_at + delays.request_delay + delays.held;
+    let silence = if waits { WATCH_SILENCE.0 } else { 0 };
     let asked = Micros(asked_at + clock_ahead);
     let bound = if waits { bound_of_wait(asked) } else { bound_of_listing(asked) };
-    let node = Node { clock_ahead, bound, newest_up_to: answered - unheard };
-    (node, answered + delays.way_back)
+    let node = Node { clock_ahead, bound, newest_up_to: answered - silence };
+    (node, answered + delays.response_delay)
 }
 
-/// A node learns from another one.
 fn ask_peer(at: u64, delays: Delays, clock_ahead: u64, peer: &Node) -> (Node, u64) {
     let asked_at = at + delays.before;
-    let received = asked_at + delays.way_there;
-    let spoke = received + delays.held;
-    let arrived = spoke + delays.way_back;
-    let said = PeerConfirmation { held: Micros(delays.held), age: peer.clock(spoke).since(peer.bound) };
-    let bound = said.bound(Micros(asked_at + clock_ahead), Micros(arrived + clock_ahead));
+    let received = asked_at + delays.request_delay;
+    let responded_at = received + delays.held;
+    let arrived = responded_at + delays.response_delay;
+    let confirmation =
+        PeerConfirmation { held: Micros(delays.held), age: peer.clock(responded_at).since(peer.bound) };
+    let bound = confirmation.bound(Micros(asked_at + clock_ahead), Micros(arrived + clock_ahead));
     (Node { clock_ahead, bound, newest_up_to: peer.newest_up_to }, arrived)
 }
 
-/// Long before any clock of a case: ages do not reach back beyond the start of a clock.
+/// Start of each case, later than any age, so that clocks do not underflow.
 const START: u64 = 3_600_000_000;
 
 proptest! {
@@ -95,35 +92,35 @@
         clock_ahead in 0..10_000_000_u64,
     ) {
         let (mut node, mut at) = read_source(START, first, clock_ahead, waits);
-        prop_assert!(node.is_right(), "of the source: {node:?}");
+        prop_assert!(node.is_valid(), "bound from the source: {node:?}");
         for (delays, clock_ahead) in hops {
             (node, at) = ask_peer(at, delays, clock_ahead, &node);
-            prop_assert!(node.is_right(), "of a peer: {node:?}");
+            prop_assert!(node.is_valid(), "bound from a peer: {node:?}");
         }
     }
 
-    /// Two nodes that hear only each other: their knowledge ages as fast as time goes.
+    /// Guards against two stale nodes confirming each other: the bound ages with time.
     #[test]
     fn nodes_that_agree_in_being_old_do_not_keep_each_other_fresh(
         exchanges in prop::collection::vec(delays(), 1..20),
     ) {
-        let (mut told, mut at) = read_source(START, exchanges[0], 5_000_000, false);
-        let first = told.newest_up_to;
+        let (mut peer, mut at) = read_source(START, exchanges[0], 5_000_000, false);
+        let first = peer.newest_up_to;
         for (turn, delays) in exchanges.iter().enumerate() {
-            let (asker, arrived) = ask_peer(at, *delays, turn as u64 % 2 * 7_000_000, &told);
-            prop_assert!(asker.believed() <= first);
-            (told, at) = (asker, arrived);
+            let (asker, arrived) = ask_peer(at, *delays, turn as u64 % 2 * 7_000_000, &peer);
+            prop_assert!(asker.bound_in_true_time() <= first);
+            (peer, at) = (asker, arrived);
         }
-        prop_assert!(told.clock(at).since(told.bound).0 >= at - first);
+        prop_assert!(peer.clock(at).since(peer.bound).0 >= at - first);
     }
 
-    /// Where ways are short the bound is close to the truth: a node in touch serves.
+    /// With short delays the bound stays close to the true time.
     #[test]
     fn a_bound_loses_no_more_than_the_way_there(held in 0..900_000_u64, way in 0..50_000_u64) {
-        let (reader, at) = read_source(START, Delays { before: 0, way_there: 0, held: 0, way_back: 0 }, 0, false);
-        let delays = Delays { before: 0, way_there: way, held, way_back: way };
+        let (reader, at) = read_source(START, Delays { before: 0, request_delay: 0, held: 0, response_delay: 0 }, 0, false);
+        let delays = Delays { before: 0, request_delay: way, held, response_delay: way };
         let (node, _) = ask_peer(at, delays, 0, &reader);
-        prop_assert!(node.newest_up_to - node.believed() <= way);
+        prop_assert!(node.newest_up_to - node.bound_in_true_time() <= way);
     }
 }
 
@@ -132,12 +129,12 @@
     ConfigurationRevisions::new(at(read), at(unreadable))
 }
 
-/// A peer whose clock runs fast, or one that says nonsense, cannot make the bound later than the present less its age.
+/// A peer with a fast clock or invalid values cannot move the bound past the present minus its age.
 #[test]
 fn a_peer_cannot_have_held_a_question_for_longer_than_the_answer_took() {
-    let said = PeerConfirmation { held: Micros::from_secs(60), age: Micros::from_secs(2) };
+    let confirmation = PeerConfirmation { held: Micros::from_secs(60), age: Micros::from_secs(2) };
     let (asked_at, now) = (Micros::from_secs(100), Micros::from_secs(101));
-    assert_eq!(said.bound(asked_at, now), Micros::from_secs(99));
+    assert_eq!(confirmation.bound(asked_at, now), Micros::from_secs(99));
 }
 
 #[test]
@@ -147,7 +144,7 @@
     known.merge(revisions(4, 0));
     known.merge(revisions(0, 9));
     assert!(!known.newest_is_read());
-    // An answer that says nothing of it, and the older one once more.
+    // Neither an empty update nor the older revision clears the unreadable one.
     known.merge(ConfigurationRevisions::default());
     known.merge(revisions(4, 0));
     assert!(!known.newest_is_read());
--- a/crates/sablebay-catalogue/tests/evacuation.rs
+++ b/crates/sablebay-catalogue/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Replicas of an evacuated zone get no work, whoever tells of the evacuation and in whatever order.
+//! Replicas of an evacuated zone get no requests, whatever the source and order of updates.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -12,7 +12,7 @@
 const START: Micros = Micros::from_secs(10);
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// A revision of a source that names no era.
+/// A revision of a source without eras.
 fn at(number: u64) -> CatalogueRevision {
     CatalogueRevision::new(Era::UNNAMED, number)
 }
@@ -21,7 +21,7 @@
     Replica {
         id: ReplicaId::new(format!("r-{zone}")),
         service: ServiceName::new("s"),
-        address: "127.0.0.1:1".parse().expect("an address"),
+        address: "127.0.0.1:1".parse().expect("valid address"),
         zone: ZoneName::new(zone),
         slots: 2,
         phase: ReplicaPhase::Ready,
@@ -54,12 +54,12 @@
     let mut view = view_of_three_zones();
     assert!(view.apply_notice(&notice("b", true, 4), START));
     assert_eq!(zones_in_use(&view, START), ["a", "c"]);
-    // An entry that is written meanwhile changes nothing about it.
+    // A write of a replica's entry does not lift the evacuation.
     view.apply(ReplicaChange::Written(replica("b")), at(5), START);
     assert_eq!(zones_in_use(&view, START), ["a", "c"]);
     assert!(view.apply_notice(&notice("b", false, 6), START));
     assert_eq!(zones_in_use(&view, START), ["a", "b", "c"]);
-    assert!(!view.apply_notice(&notice("b", true, 4), START), "an older word comes late");
+    assert!(!view.apply_notice(&notice("b", true, 4), START), "an older update is ignored");
     assert_eq!(zones_in_use(&view, START), ["a", "b", "c"]);
 }
 
@@ -81,13 +81,13 @@
     let mut started = CatalogueView::default();
     assert!(started.merge(peer.snapshot(0, CataloguePosition::NOTHING, START), START));
     assert_eq!(zones_in_use(&started, START), ["a", "b"]);
-    // Afterwards a peer that lags does not bring the zone back.
+    // A peer that is behind does not lift the evacuation.
     started.merge(view_of_three_zones().snapshot(0, CataloguePosition::NOTHING, START), START);
     assert_eq!(zones_in_use(&started, START), ["a", "b"]);
 }
 
-/// Seen in a property of returns: a node that started after a zone was taken back names no such zone, and whoever went on from
-/// what it told kept the zone empty for good.
+/// Guards against an evacuation that is never lifted because the peer started after it was and does not
+/// mention the zone.
 #[test]
 fn a_peer_that_never_heard_of_a_zone_takes_it_back() {
     let mut view = view_of_three_zones();
@@ -98,7 +98,7 @@
     started.replace(Listing { at: at(5), replicas: replicas.collect(), evacuated: Vec::new() }, START);
     assert!(view.merge(started.snapshot(0, view.replicas_at(), START), START));
     assert_eq!(zones_in_use(&view, START), ["a", "b", "c"]);
-    // One that knows less takes nothing back.
+    // A peer that is behind lifts nothing.
     view.apply_notice(&notice("c", true, 6), START);
     view.advance(at(6));
     view.merge(started.snapshot(0, view.replicas_at(), START), START);
@@ -113,7 +113,7 @@
     snapshot.zones = None;
     let mut view = CatalogueView::default();
     view.merge(snapshot, START);
-    assert!(view.replicas_at().is_nothing(), "this node still asks the source for everything");
+    assert!(view.replicas_at().is_nothing(), "a full listing is still due");
 }
 
 #[test]
@@ -128,19 +128,19 @@
         tenants: None,
     });
     view.apply_notice(&notice("b", true, 4), START);
-    let returned_at = START.plus(Micros::from_secs(30));
-    view.apply_notice(&notice("b", false, 5), returned_at);
-    let services = view.routable(returned_at);
+    let lifted_at = START.plus(Micros::from_secs(30));
+    view.apply_notice(&notice("b", false, 5), lifted_at);
+    let services = view.routable(lifted_at);
     let warm_at: Vec<Micros> = services[&ServiceName::new("s")].iter().map(|known| known.warm_at).collect();
-    assert_eq!(warm_at, [START, returned_at.plus(Micros::from_millis(7_000)), START]);
+    assert_eq!(warm_at, [START, lifted_at.plus(Micros::from_millis(7_000)), START]);
 }
 
-/// One thing that a node hears.
+/// An update that a node receives.
 #[derive(Clone, Debug)]
-enum News {
-    /// The change with this number, by itself.
+enum Event {
+    /// The change with this number.
     Change(usize),
-    /// Everything as it was after this many changes.
+    /// The state after the change with this number.
     Listing(usize),
 }
 
@@ -151,31 +151,30 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(14), cases: 512, ..Config::default() })]
 
-    /// Whatever comes twice, late or not at all: who has heard the last word on a zone goes by it from then
-    /// on, and nothing older overrules it.
+    /// The latest received setting of a zone applies, even if updates are duplicated, delayed or lost.
     #[test]
     fn the_last_word_that_was_heard_stands(
-        said in history(),
-        heard in prop::collection::vec((any::<bool>(), any::<prop::sample::Index>()), 1..30),
+        notices in history(),
+        received in prop::collection::vec((any::<bool>(), any::<prop::sample::Index>()), 1..30),
     ) {
         let mut view = view_of_three_zones();
         let mut newest = [0u64; ZONES.len()];
-        for (by_listing, index) in heard {
-            let number = index.index(said.len());
-            let news = if by_listing { News::Listing(number) } else { News::Change(number) };
-            match news {
-                News::Change(number) => {
-                    let (zone, evacuated) = said[number];
+        for (by_listing, index) in received {
+            let number = index.index(notices.len());
+            let event = if by_listing { Event::Listing(number) } else { Event::Change(number) };
+            match event {
+                Event::Change(number) => {
+                    let (zone, evacuated) = notices[number];
                     let revision = 10 + number as u64;
                     view.apply_notice(&notice(ZONES[zone], evacuated, revision), START);
                     newest[zone] = newest[zone].max(revision);
                 }
-                News::Listing(number) => {
+                Event::Listing(number) => {
                     let listed_at = 10 + number as u64;
                     let mut evacuated = Vec::new();
                     for (zone, name) in ZONES.iter().enumerate() {
-                        let last = (0..=number).rev().find(|change| said[*change].0 == zone);
-                        if let Some(last) = last.filter(|change| said[*change].1) {
+                        let last = (0..=number).rev().find(|change| notices[*change].0 == zone);
+                        if let Some(last) = last.filter(|change| notices[*change].1) {
                             evacuated.push((ZoneName::new(name), at(10 + last as u64)));
                         }
                     }
@@ -187,8 +186,8 @@
                 }
             }
             for (zone, name) in ZONES.iter().enumerate() {
-                let last = said.iter().enumerate().rev()
-                    .find(|(number, (said_of, _))| *said_of == zone && 10 + *number as u64 <= newest[zone]);
+                let last = notices.iter().enumerate().rev()
+                    .find(|(number, (notice_zone, _))| *notice_zone == zone && 10 + *number as u64 <= newest[zone]);
                 let expected = last.is_some_and(|(_, (_, evacuated))| *evacuated);
                 prop_assert_eq!(view.is_evacuated(&ZoneName::new(name)), expected);
                 prop_assert_eq!(zones_in_use(&view, START).contains(&name.to_string()), !expected);
