--- a/crates/sablebay-dispatch/src/fanout.rs
+++ b/crates/sablebay-dispatch/src/fanout.rs
@@ -38,7 +38,7 @@
 pub use terms::{DelegatedShards, FanoutAction, FanoutOutcome, FanoutSettings, GatheredShards, ShardTargets};
 
 /// What a step of the machine works with.
-pub struct FanoutTurn<'a, R> {
+pub struct FanoutContext<'a, R> {
     /// What is known of the replicas.
     pub table: &'a ReplicaTable,
     /// The budgets of the services.
@@ -176,7 +176,7 @@
 
     /// Keeps the last attempt of each shard for the replica named for it, as another node asks that
     /// may send the shard there too.
-    pub fn keeping_spares(mut self, spares: Vec<Option<ReplicaId>>) -> Self {
+    pub fn with_spares(mut self, spares: Vec<Option<ReplicaId>>) -> Self {
         for (shard, spare) in self.shards.iter_mut().zip(spares) {
             shard.spare = spare;
         }
@@ -184,7 +184,7 @@
     }
 
     /// Has other nodes gather these shards. No shard may stand in two delegations.
-    pub fn delegating(mut self, delegations: Vec<DelegatedShards>) -> Self {
+    pub fn with_delegations(mut self, delegations: Vec<DelegatedShards>) -> Self {
         self.delegations = delegations.into_iter().map(Delegation::new).collect();
         for (number, delegation) in self.delegations.iter().enumerate() {
             for shard in &delegation.delegated.shards {
@@ -195,7 +195,7 @@
     }
 
     /// Has a tenant pay for extra calls.
-    pub fn on_behalf_of(mut self, tenant: Option<TenantName>) -> Self {
+    pub fn with_tenant(mut self, tenant: Option<TenantName>) -> Self {
         self.tenant = tenant;
         self
     }
--- a/crates/sablebay-dispatch/src/fanout/delegation.rs
+++ b/crates/sablebay-dispatch/src/fanout/delegation.rs
@@ -10,32 +10,32 @@
 
 use super::call::{CallFailure, CallNumber, Execution};
 use super::terms::{DelegatedShards, FanoutAction, GatheredShards};
-use super::{Call, CallScope, Delegation, Fanout, FanoutTurn, HEDGE_RECHECK, ShardState};
+use super::{Call, CallScope, Delegation, Fanout, FanoutContext, HEDGE_RECHECK, ShardState};
 
 impl Fanout {
     /// Asks each gatherer for its shards.
-    pub(super) fn delegate<R: Rng>(&mut self, turn: &mut FanoutTurn<'_, R>) {
+    pub(super) fn delegate<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
         for number in 0..self.delegations.len() {
             if !self.delegations[number].delegated.shards.is_empty() {
-                self.ask(number, turn);
+                self.ask(number, context);
             }
         }
     }
 
     /// Asks the gatherer of a delegation for its shards.
-    fn ask<R: Rng>(&mut self, number: usize, turn: &mut FanoutTurn<'_, R>) {
+    fn ask<R: Rng>(&mut self, number: usize, context: &mut FanoutContext<'_, R>) {
         let call = CallNumber(self.calls.len() as u32);
         self.calls.push(Call { scope: CallScope::Delegation(number), open: true });
         let delegation = &mut self.delegations[number];
         delegation.call = Some(call);
-        delegation.due_at = turn.now.plus(self.settings.rescue_delay);
+        delegation.due_at = context.now.plus(self.settings.gatherer_timeout);
         let delegated = delegation.delegated.clone();
         let mut spares = Vec::with_capacity(delegated.shards.len());
         for shard in &delegated.shards {
             // Both nodes that were asked for a shard must know the same spare.
             let spare = match delegated.continued {
                 true => self.shards[*shard].spare.clone(),
-                false => self.choose_spare(*shard, &delegated.zone, turn),
+                false => self.choose_spare(*shard, &delegated.zone, context),
             };
             let progress = &mut self.shards[*shard];
             progress.spare = spare.clone();
@@ -46,39 +46,39 @@
             progress.hedge_at = Micros::MAX;
             spares.push(spare);
         }
-        turn.actions.push(FanoutAction::Delegate { call, delegated, spares });
+        context.actions.push(FanoutAction::Delegate { call, delegated, spares });
     }
 
     /// Has others do the work of gatherers that are past the time of their next word: the other owner of
     /// the shards, or where there is none, this node. A gatherer that was only slow may still answer.
-    pub(super) fn replace_silent_gatherers<R: Rng>(&mut self, turn: &mut FanoutTurn<'_, R>) {
+    pub(super) fn replace_silent_gatherers<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
         for number in 0..self.delegations.len() {
             let delegation = &mut self.delegations[number];
-            if turn.now < delegation.due_at {
+            if context.now < delegation.due_at {
                 continue;
             }
             delegation.due_at = Micros::MAX;
-            if delegation.delegated.second.is_some() {
-                self.ask_second(number, Execution::Possible, turn);
+            if delegation.delegated.fallback.is_some() {
+                self.ask_fallback(number, Execution::Possible, context);
                 continue;
             }
             for shard in delegation.delegated.shards.clone() {
                 if self.waits_for(shard, number) {
-                    self.shards[shard].hedge_at = turn.now;
+                    self.shards[shard].hedge_at = context.now;
                 }
             }
         }
     }
 
     /// Asks the second owner for what a gatherer still owes. Returns whether there is one.
-    fn ask_second<R: Rng>(
+    fn ask_fallback<R: Rng>(
         &mut self,
         number: usize,
         execution: Execution,
-        turn: &mut FanoutTurn<'_, R>,
+        context: &mut FanoutContext<'_, R>,
     ) -> bool {
         let delegation = &mut self.delegations[number];
-        let Some(second) = delegation.delegated.second.take() else {
+        let Some(fallback) = delegation.delegated.fallback.take() else {
             return false;
         };
         let zone = delegation.delegated.zone.clone();
@@ -97,9 +97,9 @@
             }
             progress.gatherers.push(next);
         }
-        let delegated = DelegatedShards { gatherer: second, zone, shards: owed, second: None, continued };
+        let delegated = DelegatedShards { gatherer: fallback, zone, shards: owed, fallback: None, continued };
         self.delegations.push(Delegation::new(delegated));
-        self.ask(next, turn);
+        self.ask(next, context);
         true
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Nothing that a gatherer says is wanted any more.
-    fn abandon_gatherer<R: Rng>(&mut self, number: usize, turn: &mut FanoutTurn<'_, R>) {
+    fn abandon_gatherer<R: Rng>(&mut self, number: usize, context: &mut FanoutContext<'_, R>) {
         let delegation = &mut self.delegations[number];
         delegation.due_at = Micros::MAX;
         let Some(call) = delegation.call.take() else {
@@ -121,17 +121,17 @@
         if known.open {
             known.open = false;
             self.may_have_run = true;
-            turn.actions.push(FanoutAction::Abandon { call });
+            context.actions.push(FanoutAction::Abandon { call });
         }
     }
 
     /// Gives up the gatherers whose shards have all come from others.
-    fn abandon_needless_gatherers<R: Rng>(&mut self, turn: &mut FanoutTurn<'_, R>) {
+    fn abandon_needless_gatherers<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
         for number in 0..self.delegations.len() {
             let mut shards = self.delegations[number].delegated.shards.iter();
             if self.delegations[number].call.is_some() && !shards.any(|shard| self.waits_for(*shard, number))
             {
-                self.abandon_gatherer(number, turn);
+                self.abandon_gatherer(number, context);
             }
         }
     }
@@ -143,7 +143,7 @@
         &self,
         shard: usize,
         zone: &ZoneName,
-        turn: &mut FanoutTurn<'_, R>,
+        context: &mut FanoutContext<'_, R>,
     ) -> Option<ReplicaId> {
         let replicas = &self.targets[shard].replicas;
         let attempts = self.settings.maximum_attempts as usize;
@@ -152,8 +152,8 @@
         }
         let in_zone = replicas.iter().filter(|known| known.replica.zone == *zone);
         let in_zone: SmallVec<[ReplicaId; 3]> = in_zone.map(|known| known.replica.id.clone()).collect();
-        let outside = turn.table.choose(replicas, &in_zone, turn.now, turn.random);
-        let chosen = outside.or_else(|| turn.table.choose(replicas, &[], turn.now, turn.random))?;
+        let outside = context.table.choose(replicas, &in_zone, context.now, context.random);
+        let chosen = outside.or_else(|| context.table.choose(replicas, &[], context.now, context.random))?;
         Some(replicas[chosen].replica.id.clone())
     }
 
@@ -163,7 +163,7 @@
         &mut self,
         call: CallNumber,
         gathered: &GatheredShards,
-        turn: &mut FanoutTurn<'_, R>,
+        context: &mut FanoutContext<'_, R>,
     ) -> bool {
         let Some(number) = self.open_delegation(call) else {
             return false;
@@ -178,21 +178,21 @@
         let taken = !gathered.answered.is_empty() && distinct && gathered.answered.iter().all(ours);
         if taken {
             for shard in &gathered.answered {
-                self.take_gathered(*shard, call, turn);
+                self.take_gathered(*shard, call, context);
             }
         }
         for shard in &gathered.closed {
             if self.waits_for(*shard, number) {
-                self.give_up_waiting(*shard, number, Execution::Possible, turn);
+                self.give_up_waiting(*shard, number, Execution::Possible, context);
             }
         }
         if gathered.last {
-            self.end_delegation(call, number, Execution::Possible, turn);
+            self.end_delegation(call, number, Execution::Possible, context);
         } else {
-            self.leave_to_gatherer(number, turn.now);
+            self.leave_to_gatherer(number, context.now);
         }
-        self.abandon_needless_gatherers(turn);
-        self.settle(turn);
+        self.abandon_needless_gatherers(context);
+        self.settle(context);
         taken
     }
 
@@ -201,7 +201,7 @@
         &mut self,
         call: CallNumber,
         failure: CallFailure,
-        turn: &mut FanoutTurn<'_, R>,
+        context: &mut FanoutContext<'_, R>,
     ) {
         let Some(number) = self.open_delegation(call) else {
             return;
@@ -209,16 +209,16 @@
         let execution = failure.execution();
         self.may_have_run |= execution == Execution::Possible;
         if execution == Execution::Possible {
-            self.ask_second(number, execution, turn);
-            self.end_delegation(call, number, execution, turn);
-        } else if self.delegations[number].delegated.second.is_some() {
+            self.ask_fallback(number, execution, context);
+            self.end_delegation(call, number, execution, context);
+        } else if self.delegations[number].delegated.fallback.is_some() {
             // Nothing was sent: the other owner begins anew.
             self.take_back(call, number);
-            self.ask_second(number, execution, turn);
+            self.ask_fallback(number, execution, context);
         } else {
-            self.end_delegation(call, number, execution, turn);
+            self.end_delegation(call, number, execution, context);
         }
-        self.settle(turn);
+        self.settle(context);
     }
 
     /// The delegation of an open call of a request that has not ended.
@@ -234,7 +234,7 @@
         self.shards.get(shard).is_some_and(|progress| progress.gatherers.contains(&delegation))
     }
 
-    fn take_gathered<R: Rng>(&mut self, shard: usize, call: CallNumber, turn: &mut FanoutTurn<'_, R>) {
+    fn take_gathered<R: Rng>(&mut self, shard: usize, call: CallNumber, context: &mut FanoutContext<'_, R>) {
         self.may_have_run = true;
         let progress = &mut self.shards[shard];
         progress.open_calls -= progress.gatherers.len() as u32;
@@ -249,7 +249,7 @@
             ShardState::Answered => {}
         }
         self.shards[shard].state = ShardState::Answered;
-        self.abandon(turn, |open| open.scope == CallScope::Shard(shard));
+        self.abandon(context, |open| open.scope == CallScope::Shard(shard));
     }
 
     /// The gatherer lives: it hedges by itself what it still waits for. Its first word says that it has
@@ -257,7 +257,7 @@
     fn leave_to_gatherer(&mut self, number: usize, now: Micros) {
         let delegation = &mut self.delegations[number];
         delegation.words += 1;
-        let next_word = self.settings.report_at.max(now).plus(self.settings.rescue_delay);
+        let next_word = self.settings.report_at.max(now).plus(self.settings.gatherer_timeout);
         delegation.due_at = if delegation.words == 1 { next_word } else { Micros::MAX };
         for shard in &self.delegations[number].delegated.shards {
             let progress = &mut self.shards[*shard];
@@ -273,14 +273,14 @@
         call: CallNumber,
         number: usize,
         execution: Execution,
-        turn: &mut FanoutTurn<'_, R>,
+        context: &mut FanoutContext<'_, R>,
     ) {
         self.calls[call.0 as usize].open = false;
         self.delegations[number].call = None;
         self.delegations[number].due_at = Micros::MAX;
         for shard in self.delegations[number].delegated.shards.clone() {
             if self.waits_for(shard, number) {
-                self.give_up_waiting(shard, number, execution, turn);
+                self.give_up_waiting(shard, number, execution, context);
             }
         }
     }
@@ -291,7 +291,7 @@
         shard: usize,
         number: usize,
         execution: Execution,
-        turn: &mut FanoutTurn<'_, R>,
+        context: &mut FanoutContext<'_, R>,
     ) {
         let continues = |known: &Delegation| {
             known.delegated.continued && known.delegated.shards.binary_search(&shard).is_ok()
@@ -313,22 +313,22 @@
             return;
         }
         if progress.attempts == 0 {
-            self.send_first(shard, turn);
+            self.send_first(shard, context);
         } else {
-            self.replace(shard, execution, turn);
+            self.replace(shard, execution, context);
         }
     }
 
     /// The gatherer gave no sign of life: the shard is called directly as well.
-    pub(super) fn rescue<R: Rng>(&mut self, shard: usize, turn: &mut FanoutTurn<'_, R>) {
+    pub(super) fn rescue<R: Rng>(&mut self, shard: usize, context: &mut FanoutContext<'_, R>) {
         let allowed = self.shards[shard].attempts < self.settings.maximum_attempts;
         if !allowed {
             self.shards[shard].hedge_at = Micros::MAX;
             return;
         }
-        let paid = self.pay(shard, turn);
-        if !paid || !self.send(shard, turn) {
-            self.shards[shard].hedge_at = turn.now.plus(HEDGE_RECHECK);
+        let paid = self.pay(shard, context);
+        if !paid || !self.send(shard, context) {
+            self.shards[shard].hedge_at = context.now.plus(HEDGE_RECHECK);
         }
     }
 }
--- a/crates/sablebay-dispatch/src/fanout/ending.rs
+++ b/crates/sablebay-dispatch/src/fanout/ending.rs
@@ -6,17 +6,17 @@
 
 use super::call::CallNumber;
 use super::terms::{FanoutAction, FanoutOutcome};
-use super::{Call, CallScope, Fanout, FanoutTurn};
+use super::{Call, CallScope, Fanout, FanoutContext};
 
 impl Fanout {
     /// Ends the request when its outcome is known.
-    pub(super) fn settle<R: Rng>(&mut self, turn: &mut FanoutTurn<'_, R>) {
+    pub(super) fn settle<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
         if self.outcome.is_some() {
             return;
         }
-        self.outcome = self.decide(turn.now);
+        self.outcome = self.decide(context.now);
         if self.outcome.is_some() {
-            self.abandon(turn, |_| true);
+            self.abandon(context, |_| true);
         }
     }
 
@@ -36,14 +36,18 @@
         unreachable.then_some(failed)
     }
 
-    pub(super) fn abandon<R: Rng>(&mut self, turn: &mut FanoutTurn<'_, R>, selected: impl Fn(&Call) -> bool) {
+    pub(super) fn abandon<R: Rng>(
+        &mut self,
+        context: &mut FanoutContext<'_, R>,
+        selected: impl Fn(&Call) -> bool,
+    ) {
         for (number, call) in self.calls.iter_mut().enumerate() {
             if call.open && selected(call) {
                 call.open = false;
                 if let CallScope::Shard(shard) = call.scope {
                     self.shards[shard].open_calls -= 1;
                 }
-                turn.actions.push(FanoutAction::Abandon { call: CallNumber(number as u32) });
+                context.actions.push(FanoutAction::Abandon { call: CallNumber(number as u32) });
             }
         }
     }
--- a/crates/sablebay-dispatch/src/fanout/hedging.rs
+++ b/crates/sablebay-dispatch/src/fanout/hedging.rs
@@ -4,7 +4,7 @@
 
 use sablebay_model::Micros;
 
-use super::{Fanout, FanoutTurn, HEDGE_RECHECK, ShardState};
+use super::{Fanout, FanoutContext, HEDGE_RECHECK, ShardState};
 
 /// The part of a request's shards that may be slow for hedging to help. Where more are, the load is
 /// everywhere: second calls find the same queues and make them longer. A node that gathers nine or ten shards
@@ -17,34 +17,34 @@
 
 impl Fanout {
     /// Time has passed: hedges what is slow, and ends what is due.
-    pub fn on_wake<R: Rng>(&mut self, turn: &mut FanoutTurn<'_, R>) {
+    pub fn on_wake<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
         if self.outcome.is_some() {
             return;
         }
-        if turn.now < self.settings.deadline {
-            self.replace_silent_gatherers(turn);
+        if context.now < self.settings.deadline {
+            self.replace_silent_gatherers(context);
             let hedging = self.is_down_to_stragglers();
             for shard in 0..self.shards.len() {
                 let progress = &self.shards[shard];
-                if progress.state != ShardState::Open || turn.now < progress.hedge_at {
+                if progress.state != ShardState::Open || context.now < progress.hedge_at {
                     continue;
                 }
                 if !progress.gatherers.is_empty() {
-                    self.rescue(shard, turn);
+                    self.rescue(shard, context);
                 } else if progress.open_calls > 0 {
                     if hedging {
-                        self.hedge(shard, turn);
+                        self.hedge(shard, context);
                     } else {
-                        self.shards[shard].hedge_at = turn.now.plus(HEDGE_RECHECK);
+                        self.shards[shard].hedge_at = context.now.plus(HEDGE_RECHECK);
                     }
                 } else if self.shards[shard].attempts > 0 {
-                    self.send_paid(shard, turn);
-                } else if !self.send(shard, turn) {
+                    self.send_paid(shard, context);
+                } else if !self.send(shard, context) {
                     self.close(shard);
                 }
             }
         }
-        self.settle(turn);
+        self.settle(context);
     }
 
     /// Whether only the slowest shards are still open.
@@ -53,7 +53,7 @@
         self.open <= most.max(STRAGGLING_FLOOR)
     }
 
-    fn hedge<R: Rng>(&mut self, shard: usize, turn: &mut FanoutTurn<'_, R>) {
+    fn hedge<R: Rng>(&mut self, shard: usize, context: &mut FanoutContext<'_, R>) {
         let replicas = &self.targets[shard].replicas;
         let tried = &self.shards[shard].tried;
         if replicas.iter().all(|candidate| tried.contains(&candidate.replica.id)) {
@@ -62,15 +62,15 @@
         }
         let candidates = match self.reserved(shard) {
             None => &replicas[..],
-            Some(spare) => match self.untried_position(shard, &spare, turn.table) {
+            Some(spare) => match self.untried_position(shard, &spare, context.table) {
                 Some(position) => &replicas[position..=position],
                 None => &[],
             },
         };
-        let worthwhile = turn.table.has_fit(candidates, tried, turn.now);
-        let paid = worthwhile && self.pay(shard, turn);
-        if !paid || !self.send(shard, turn) {
-            self.shards[shard].hedge_at = turn.now.plus(HEDGE_RECHECK);
+        let worthwhile = context.table.has_fit(candidates, tried, context.now);
+        let paid = worthwhile && self.pay(shard, context);
+        if !paid || !self.send(shard, context) {
+            self.shards[shard].hedge_at = context.now.plus(HEDGE_RECHECK);
         }
     }
 
--- a/crates/sablebay-dispatch/src/fanout/replies.rs
+++ b/crates/sablebay-dispatch/src/fanout/replies.rs
@@ -6,7 +6,7 @@
 use sablebay_model::Micros;
 
 use super::call::{CallFailure, CallNumber, Execution};
-use super::{CallScope, Fanout, FanoutTurn, ShardState};
+use super::{CallScope, Fanout, FanoutContext, ShardState};
 
 /// Replicas without a connection that one shard is tried at.
 const MAXIMUM_UNREACHABLE: usize = 3;
@@ -28,7 +28,11 @@
     }
 
     /// A call was answered with success. Returns the shard that the answer is taken for.
-    pub fn on_answer<R: Rng>(&mut self, call: CallNumber, turn: &mut FanoutTurn<'_, R>) -> Option<usize> {
+    pub fn on_answer<R: Rng>(
+        &mut self,
+        call: CallNumber,
+        context: &mut FanoutContext<'_, R>,
+    ) -> Option<usize> {
         if self.outcome.is_some() {
             return None;
         }
@@ -41,8 +45,8 @@
         self.shards[shard].answered_by = Some(call);
         self.answered += 1;
         self.open -= 1;
-        self.abandon(turn, |open| open.scope == CallScope::Shard(shard));
-        self.settle(turn);
+        self.abandon(context, |open| open.scope == CallScope::Shard(shard));
+        self.settle(context);
         Some(shard)
     }
 
@@ -51,7 +55,7 @@
         &mut self,
         call: CallNumber,
         failure: CallFailure,
-        turn: &mut FanoutTurn<'_, R>,
+        context: &mut FanoutContext<'_, R>,
     ) {
         if self.outcome.is_some() {
             return;
@@ -67,9 +71,9 @@
         if failure == CallFailure::HeldBack && self.shards[shard].open_calls == 0 {
             self.close(shard);
         } else if self.shards[shard].state == ShardState::Open {
-            self.replace(shard, execution, turn);
+            self.replace(shard, execution, context);
         }
-        self.settle(turn);
+        self.settle(context);
     }
 
     /// Sends a failed call's work to another replica, or closes the shard.
@@ -77,15 +81,15 @@
         &mut self,
         shard: usize,
         execution: Execution,
-        turn: &mut FanoutTurn<'_, R>,
+        context: &mut FanoutContext<'_, R>,
     ) {
         if self.shards[shard].open_calls > 0 {
             return;
         }
-        if self.may_send_again(shard, execution, turn) && self.send(shard, turn) {
+        if self.may_send_again(shard, execution, context) && self.send(shard, context) {
             return;
         }
-        if !self.plan_round(shard, execution, turn.now) {
+        if !self.plan_round(shard, execution, context.now) {
             self.close(shard);
         }
     }
@@ -110,16 +114,16 @@
         &self,
         shard: usize,
         execution: Execution,
-        turn: &mut FanoutTurn<'_, R>,
+        context: &mut FanoutContext<'_, R>,
     ) -> bool {
         let progress = &self.shards[shard];
         let unreachable = progress.tried.len().saturating_sub(progress.attempts as usize);
-        let allowed = turn.now < self.settings.deadline
+        let allowed = context.now < self.settings.deadline
             && progress.attempts < self.settings.maximum_attempts
             && unreachable < MAXIMUM_UNREACHABLE
             && (self.settings.repeatability == Repeatability::Repeatable || execution != Execution::Possible);
         // A call that was never sent is no arrival at the service; its replacement is the first.
         let free = execution == Execution::NotSent && progress.attempts == 0;
-        allowed && (free || self.pay(shard, turn))
+        allowed && (free || self.pay(shard, context))
     }
 }
--- a/crates/sablebay-dispatch/src/fanout/sending.rs
+++ b/crates/sablebay-dispatch/src/fanout/sending.rs
@@ -7,31 +7,31 @@
 
 use super::call::CallNumber;
 use super::terms::FanoutAction;
-use super::{Call, CallScope, Fanout, FanoutTurn, HEDGE_RECHECK, ShardState};
+use super::{Call, CallScope, Fanout, FanoutContext, HEDGE_RECHECK, ShardState};
 use crate::replica_table::ReplicaTable;
 
 impl Fanout {
     /// Sends the first call of each shard, or asks the node that gathers it.
-    pub fn start<R: Rng>(&mut self, turn: &mut FanoutTurn<'_, R>) {
-        self.close_unservable(turn.table);
+    pub fn start<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
+        self.close_unservable(context.table);
         if self.open < self.settings.minimum_shards {
-            self.settle(turn);
+            self.settle(context);
             return;
         }
-        if turn.now < self.settings.deadline {
-            self.delegate(turn);
+        if context.now < self.settings.deadline {
+            self.delegate(context);
         }
         for shard in 0..self.shards.len() {
             if self.shards[shard].open_calls > 0 || self.shards[shard].state != ShardState::Open {
                 continue;
             }
             if self.shards[shard].attempts == 0 {
-                self.send_first(shard, turn);
+                self.send_first(shard, context);
             } else {
-                self.send_paid(shard, turn);
+                self.send_paid(shard, context);
             }
         }
-        self.settle(turn);
+        self.settle(context);
     }
 
     /// Gives up the shards without a replica that takes work; no other node is asked for them either.
@@ -48,37 +48,37 @@
     }
 
     /// Takes an extra call of a shard out of the budget.
-    pub(super) fn pay<R: Rng>(&self, shard: usize, turn: &mut FanoutTurn<'_, R>) -> bool {
+    pub(super) fn pay<R: Rng>(&self, shard: usize, context: &mut FanoutContext<'_, R>) -> bool {
         let service = &self.targets[shard].service;
-        turn.budgets.spend(service, self.tenant.as_ref(), turn.allowance, turn.now)
+        context.budgets.spend(service, self.tenant.as_ref(), context.allowance, context.now)
     }
 
     /// Sends a further call of a shard that has none open here, once the budget allows it.
-    pub(super) fn send_paid<R: Rng>(&mut self, shard: usize, turn: &mut FanoutTurn<'_, R>) {
+    pub(super) fn send_paid<R: Rng>(&mut self, shard: usize, context: &mut FanoutContext<'_, R>) {
         if self.shards[shard].attempts >= self.settings.maximum_attempts {
             self.close(shard);
-        } else if !self.pay(shard, turn) {
-            self.shards[shard].hedge_at = turn.now.plus(HEDGE_RECHECK);
-        } else if !self.send(shard, turn) {
+        } else if !self.pay(shard, context) {
+            self.shards[shard].hedge_at = context.now.plus(HEDGE_RECHECK);
+        } else if !self.send(shard, context) {
             self.close(shard);
         }
     }
 
     /// Sends the first call of a shard, which earns for the budget.
-    pub(super) fn send_first<R: Rng>(&mut self, shard: usize, turn: &mut FanoutTurn<'_, R>) {
+    pub(super) fn send_first<R: Rng>(&mut self, shard: usize, context: &mut FanoutContext<'_, R>) {
         let service = &self.targets[shard].service;
-        turn.budgets.request(service, turn.allowance, turn.now);
-        if turn.now >= self.settings.deadline || !self.send(shard, turn) {
+        context.budgets.count_request(service, context.allowance, context.now);
+        if context.now >= self.settings.deadline || !self.send(shard, context) {
             self.close(shard);
         }
     }
 
     /// Sends one call of a shard; false when no replica is left.
-    pub(super) fn send<R: Rng>(&mut self, shard: usize, turn: &mut FanoutTurn<'_, R>) -> bool {
+    pub(super) fn send<R: Rng>(&mut self, shard: usize, context: &mut FanoutContext<'_, R>) -> bool {
         let replicas = &self.targets[shard].replicas;
         let chosen = match self.reserved(shard) {
-            Some(spare) => self.untried_position(shard, &spare, turn.table),
-            None => turn.table.choose(replicas, &self.shards[shard].tried, turn.now, turn.random),
+            Some(spare) => self.untried_position(shard, &spare, context.table),
+            None => context.table.choose(replicas, &self.shards[shard].tried, context.now, context.random),
         };
         let Some(index) = chosen else {
             return false;
@@ -91,8 +91,8 @@
         progress.tried.push(replica.clone());
         progress.attempts += 1;
         progress.open_calls += 1;
-        self.shards[shard].hedge_at = self.next_hedge(shard, turn.now);
-        turn.actions.push(FanoutAction::Send { call, shard, replica, first });
+        self.shards[shard].hedge_at = self.next_hedge(shard, context.now);
+        context.actions.push(FanoutAction::Send { call, shard, replica, first });
         true
     }
 
--- a/crates/sablebay-dispatch/src/fanout/terms.rs
+++ b/crates/sablebay-dispatch/src/fanout/terms.rs
@@ -34,7 +34,7 @@
     /// After how long a silent call is hedged.
     pub hedge_delay: Micros,
     /// After how long a gatherer that gave no sign of life is given up.
-    pub rescue_delay: Micros,
+    pub gatherer_timeout: Micros,
 }
 
 /// Shards that one other node gathers for this one.
@@ -47,7 +47,7 @@
     /// Positions of the shards in the request, rising.
     pub shards: Vec<usize>,
     /// The node that is asked in its place when it is of no use; another owner of the shards.
-    pub second: Option<NodeId>,
+    pub fallback: Option<NodeId>,
     /// Whether a node was asked before that may have sent the first call of each of these shards.
     pub continued: bool,
 }
--- a/crates/sablebay-dispatch/src/gatherer_table.rs
+++ b/crates/sablebay-dispatch/src/gatherer_table.rs
@@ -21,21 +21,21 @@
 }
 
 impl GathererTable {
-    /// A node is asked; a sign of life is due within `rescue_delay`.
-    pub fn asked(&mut self, node: &NodeId, key: CallKey, rescue_delay: Micros, now: Micros) {
+    /// A node is asked; a sign of life is due within `gatherer_timeout`.
+    pub fn sent(&mut self, node: &NodeId, key: CallKey, gatherer_timeout: Micros, now: Micros) {
         // A node that is not heard of when its shards are called directly counts as silent.
-        let usual = Micros((rescue_delay.0 as f64 / SILENT_RATIO) as u64);
+        let usual = Micros((gatherer_timeout.0 as f64 / SILENT_RATIO) as u64);
         self.health.entry(node.clone()).or_default().sent(key, usual, now);
     }
 
     /// A node gave a sign of life, and told at which part of its shards work queues.
-    pub fn heard(&mut self, node: &NodeId, key: CallKey, crowded: f64, now: Micros) {
+    pub fn reported(&mut self, node: &NodeId, key: CallKey, crowded: f64, now: Micros) {
         self.health.entry(node.clone()).or_default().answered(key, None, now);
         self.crowded.insert(node.clone(), (crowded, now));
     }
 
     /// The part of a node's shards at which work queues, as it told of late; 0 when it did not.
-    pub fn crowded(&self, node: &NodeId, now: Micros) -> f64 {
+    pub fn crowded_fraction(&self, node: &NodeId, now: Micros) -> f64 {
         let told = self.crowded.get(node).filter(|(_, at)| now.since(*at) <= HINT_LIFETIME);
         told.map_or(0.0, |(crowded, _)| *crowded)
     }
@@ -46,7 +46,7 @@
     }
 
     /// Nobody waits for a node any more. A node that was silent for too long until then has failed.
-    pub fn given_up(&mut self, node: &NodeId, key: CallKey, now: Micros) {
+    pub fn abandoned(&mut self, node: &NodeId, key: CallKey, now: Micros) {
         let health = self.health.entry(node.clone()).or_default();
         if health.is_silent(now) {
             health.timed_out(key, now);
--- a/crates/sablebay-dispatch/src/gatherers.rs
+++ b/crates/sablebay-dispatch/src/gatherers.rs
@@ -150,7 +150,7 @@
         gatherer: pair.first,
         zone: zone.clone(),
         shards,
-        second: pair.second,
+        fallback: pair.second,
         continued: false,
     };
     enough.map(named).collect()
@@ -210,7 +210,7 @@
 }
 
 /// How many nodes gather a shard in all zones together, spare owners among them.
-pub fn gathering_nodes(own: &GathererNode, others: &[GathererNode], own_rate: f64) -> usize {
+pub fn gatherer_count(own: &GathererNode, others: &[GathererNode], own_rate: f64) -> usize {
     let zones = zones_of(own, others);
     zones.values().map(|nodes| (owners_wanted(nodes.len(), own_rate) + 1).min(nodes.len())).sum()
 }
--- a/crates/sablebay-dispatch/src/lib.rs
+++ b/crates/sablebay-dispatch/src/lib.rs
@@ -35,12 +35,12 @@
     FleetSize, ReplicaShareInputs, ZoneNodes, connection_share, has_room_for_all, own_replicas,
 };
 pub use fanout::{
-    CallFailure, CallNumber, DelegatedShards, Execution, Fanout, FanoutAction, FanoutOutcome, FanoutSettings,
-    FanoutTurn, GatheredShards, ShardTargets,
+    CallFailure, CallNumber, DelegatedShards, Execution, Fanout, FanoutAction, FanoutContext, FanoutOutcome,
+    FanoutSettings, GatheredShards, ShardTargets,
 };
 pub use gatherer_table::GathererTable;
 pub use gatherers::{
-    GathererInputs, GathererNode, choose_gatherers, gathering_nodes, owned_shards, shard_owners,
+    GathererInputs, GathererNode, choose_gatherers, gatherer_count, owned_shards, shard_owners,
 };
 pub use quarantine::{
     Audience, CrashNotice, CrashedRun, Evidence, FIRST_HOLD, KEPT_CRASHES, LONGEST_HOLD, LeaseRequest,
--- a/crates/sablebay-dispatch/src/retry_window.rs
+++ b/crates/sablebay-dispatch/src/retry_window.rs
@@ -40,7 +40,7 @@
         owners: usize,
     },
     /// A few others do; this node only where they are of no use.
-    Bystander {
+    NonOwner {
         /// How many the others are.
         owners: usize,
     },
@@ -55,7 +55,7 @@
     /// kept 0.03 to 0.08 more of what they are worth.
     pub fn of_fixed(self, allowance: &RetryAllowance) -> f64 {
         let nodes = allowance.nodes.max(1) as f64;
-        let (BudgetShare::Owner { owners } | BudgetShare::Bystander { owners }) = self else {
+        let (BudgetShare::Owner { owners } | BudgetShare::NonOwner { owners }) = self else {
             return allowance.fixed / nodes;
         };
         let owners = owners.max(1) as f64;
@@ -102,7 +102,7 @@
 
 impl RetryWindow {
     /// Counts a request for the service.
-    pub fn request(&mut self, allowance: &RetryAllowance, now: Micros) {
+    pub fn count_request(&mut self, allowance: &RetryAllowance, now: Micros) {
         self.slot(allowance, now).requests += 1;
     }
 
@@ -164,10 +164,10 @@
 
 impl RetryBudgets {
     /// Counts a request for a service.
-    pub fn request(&mut self, service: &ServiceName, allowance: &RetryAllowance, now: Micros) {
+    pub fn count_request(&mut self, service: &ServiceName, allowance: &RetryAllowance, now: Micros) {
         match self.windows.get_mut(service) {
-            Some(window) => window.request(allowance, now),
-            None => self.windows.entry(service.clone()).or_default().request(allowance, now),
+            Some(window) => window.count_request(allowance, now),
+            None => self.windows.entry(service.clone()).or_default().count_request(allowance, now),
         }
     }
 
--- a/crates/sablebay-dispatch/tests/cold_rate.rs
+++ b/crates/sablebay-dispatch/tests/cold_rate.rs
@@ -8,7 +8,7 @@
 
 use sablebay_catalogue::{Replica, ReplicaId, ReplicaPhase, RoutableReplica, ServiceName};
 use sablebay_dispatch::{
-    Callers, ColdBearing, GathererNode, ReplicaTable, cold_share, gathering_nodes, owned_shards, shard_owners,
+    Callers, ColdBearing, GathererNode, ReplicaTable, cold_share, gatherer_count, owned_shards, shard_owners,
 };
 use sablebay_model::{Micros, NodeId, ZoneName};
 
@@ -142,7 +142,7 @@
     for own in &nodes {
         let others: Vec<GathererNode> = nodes.iter().filter(|other| *other != own).cloned().collect();
         let owners = shard_owners(own, &others, &shards, shard, rate).expect("a few nodes own it");
-        assert_eq!(owners.len(), gathering_nodes(own, &others, rate));
+        assert_eq!(owners.len(), gatherer_count(own, &others, rate));
         let owned = owned_shards(own, &others, &shards, rate).expect("a few nodes own it");
         assert_eq!(owners.contains(&own.node), owned[shard]);
     }
--- a/crates/sablebay-dispatch/tests/delegation.rs
+++ b/crates/sablebay-dispatch/tests/delegation.rs
@@ -11,9 +11,9 @@
 
 use sablebay_catalogue::{Repeatability, Replica, ReplicaId, ReplicaPhase, RoutableReplica, ServiceName};
 use sablebay_dispatch::{
-    CallFailure, CallKey, CallNumber, DelegatedShards, Fanout, FanoutAction, FanoutOutcome, FanoutSettings,
-    FanoutTurn, GatheredShards, GathererInputs, GathererNode, GathererTable, ReplicaTable, RetryAllowance,
-    RetryBudgets, ShardTargets, choose_gatherers, gathering_nodes, owned_shards,
+    CallFailure, CallKey, CallNumber, DelegatedShards, Fanout, FanoutAction, FanoutContext, FanoutOutcome,
+    FanoutSettings, GatheredShards, GathererInputs, GathererNode, GathererTable, ReplicaTable,
+    RetryAllowance, RetryBudgets, ShardTargets, choose_gatherers, gatherer_count, owned_shards,
 };
 use sablebay_model::{Micros, NodeId, ZoneName};
 
@@ -103,7 +103,7 @@
     };
     let now = START.plus(RESCUE_DELAY);
     let mut table = GathererTable::default();
-    table.asked(&others[0].node, CallKey(1), RESCUE_DELAY, START);
+    table.sent(&others[0].node, CallKey(1), RESCUE_DELAY, START);
     for seed in 0..20 {
         let chosen = chosen_by(&table, seed);
         assert_eq!(chosen.as_ref(), Some(&others[1].node), "the other was silent for the rescue delay");
@@ -112,7 +112,7 @@
         table.failed(&others[1].node, CallKey(key), now);
     }
     assert_eq!(chosen_by(&table, 1), None, "nobody is left to ask");
-    table.heard(&others[0].node, CallKey(1), 0.0, now);
+    table.reported(&others[0].node, CallKey(1), 0.0, now);
     assert_eq!(chosen_by(&table, 1).as_ref(), Some(&others[0].node), "a word takes its silence back");
 }
 
@@ -193,7 +193,7 @@
     for shard in 0..90 {
         let owners = kept.values().filter(|kept| kept[shard]).count();
         assert_eq!(owners, 6, "two and a spare one in each zone");
-        assert_eq!(owners, gathering_nodes(&nodes[0], &nodes[1..], 0.8));
+        assert_eq!(owners, gatherer_count(&nodes[0], &nodes[1..], 0.8));
     }
     assert_eq!(owned_shards(&nodes[0], &nodes[1..], &names, 30.0), None, "here every node owns all");
 }
@@ -217,7 +217,7 @@
         for delegated in &chosen {
             assert_eq!(delegated.zone, own.zone);
             assert!(delegated.shards.len() >= 12, "whole chunks");
-            assert!(delegated.second.as_ref().is_some_and(|second| *second != delegated.gatherer));
+            assert!(delegated.fallback.as_ref().is_some_and(|second| *second != delegated.gatherer));
         }
     }
 }
@@ -286,18 +286,18 @@
             partial_at: PARTIAL_AT,
             report_at: REPORT_AT,
             hedge_delay: Micros::from_millis(50),
-            rescue_delay: RESCUE_DELAY,
+            gatherer_timeout: RESCUE_DELAY,
         };
         let delegated = |name: &str, shards: std::ops::Range<usize>| DelegatedShards {
             gatherer: NodeId::new(name),
             zone: ZoneName::new("a"),
             shards: shards.collect(),
-            second: second.map(NodeId::new),
+            fallback: second.map(NodeId::new),
             continued: false,
         };
         let delegations = vec![delegated("n1", 0..4), delegated("n2", 4..6)];
         let mut harness = Self {
-            fanout: Fanout::new(settings, targets(&[&["a", "b", "c"][..]; 8])).delegating(delegations),
+            fanout: Fanout::new(settings, targets(&[&["a", "b", "c"][..]; 8])).with_delegations(delegations),
             table: ReplicaTable::new(ZoneName::new("c")),
             budgets: RetryBudgets::default(),
             allowance: RetryAllowance { ratio: 0.2, fixed, window: Micros::from_secs(10), nodes: 1 },
@@ -307,15 +307,15 @@
             asked: BTreeMap::new(),
             open: Vec::new(),
         };
-        harness.step(|fanout, turn| fanout.start(turn));
+        harness.step(|fanout, context| fanout.start(context));
         harness
     }
 
-    fn step<T>(&mut self, step: impl FnOnce(&mut Fanout, &mut FanoutTurn<'_, SmallRng>) -> T) -> T {
+    fn step<T>(&mut self, step: impl FnOnce(&mut Fanout, &mut FanoutContext<'_, SmallRng>) -> T) -> T {
         let mut actions = Vec::new();
         let result = step(
             &mut self.fanout,
-            &mut FanoutTurn {
+            &mut FanoutContext {
                 table: &self.table,
                 budgets: &mut self.budgets,
                 allowance: &self.allowance,
@@ -353,17 +353,17 @@
         if last {
             self.open.retain(|open| open.0 != call);
         }
-        self.step(|fanout, turn| fanout.on_gathered(CallNumber(call), &gathered, turn))
+        self.step(|fanout, context| fanout.on_gathered(CallNumber(call), &gathered, context))
     }
 
     fn answer(&mut self, call: CallNumber) -> Option<usize> {
         self.open.retain(|open| *open != call);
-        self.step(|fanout, turn| fanout.on_answer(call, turn))
+        self.step(|fanout, context| fanout.on_answer(call, context))
     }
 
     fn wait(&mut self, until: Micros) {
         self.now = until;
-        self.step(|fanout, turn| fanout.on_wake(turn));
+        self.step(|fanout, context| fanout.on_wake(context));
     }
 
     /// Answers every open call to a replica.
@@ -402,17 +402,17 @@
 #[test]
 fn the_shards_of_a_refused_delegation_are_first_calls_without_a_budget() {
     let mut harness = Harness::new(8, 0.0);
-    harness.step(|fanout, turn| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Rejected, turn));
+    harness.step(|fanout, context| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Rejected, context));
     assert!((0..4).all(|shard| harness.direct_calls_of(shard) == 1));
 }
 
 #[test]
 fn the_shards_of_a_gatherer_that_broke_are_paid_for() {
     let mut harness = Harness::new(4, 0.0);
-    harness.step(|fanout, turn| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, turn));
+    harness.step(|fanout, context| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, context));
     assert!((0..4).all(|shard| harness.direct_calls_of(shard) == 0), "its calls may have arrived");
     let mut harness = Harness::new(8, 100.0);
-    harness.step(|fanout, turn| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, turn));
+    harness.step(|fanout, context| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, context));
     assert!((0..4).all(|shard| harness.direct_calls_of(shard) == 1));
 }
 
@@ -463,7 +463,7 @@
 fn the_other_owner_takes_over_what_a_broken_gatherer_still_owes() {
     let mut harness = Harness::with_second(8, 100.0, Some("n3"));
     assert!(harness.gathered(0, &[0, 2], &[], false));
-    harness.step(|fanout, turn| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, turn));
+    harness.step(|fanout, context| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, context));
     let asked = harness.asked.values().next_back().expect("another gatherer is asked");
     assert_eq!((asked.shards.as_slice(), asked.continued), (&[1, 3][..], true));
 }
@@ -471,20 +471,20 @@
 #[test]
 fn the_other_owner_begins_anew_where_the_first_refused() {
     let mut harness = Harness::with_second(8, 0.0, Some("n3"));
-    harness.step(|fanout, turn| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Rejected, turn));
+    harness.step(|fanout, context| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Rejected, context));
     let (call, asked) = harness.asked.iter().next_back().expect("another gatherer is asked");
     assert_eq!((asked.shards.as_slice(), asked.continued), (&[0, 1, 2, 3][..], false));
     let call = *call;
-    harness.step(|fanout, turn| fanout.on_gatherer_failure(call, CallFailure::Rejected, turn));
+    harness.step(|fanout, context| fanout.on_gatherer_failure(call, CallFailure::Rejected, context));
     assert!((0..4).all(|shard| harness.direct_calls_of(shard) == 1), "first calls, with no other owner left");
 }
 
 #[test]
 fn what_was_begun_elsewhere_is_paid_for_also_when_the_other_owner_refuses() {
     let mut harness = Harness::with_second(4, 0.0, Some("n3"));
-    harness.step(|fanout, turn| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, turn));
+    harness.step(|fanout, context| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, context));
     let call = *harness.asked.keys().next_back().expect("another gatherer is asked");
-    harness.step(|fanout, turn| fanout.on_gatherer_failure(call, CallFailure::Rejected, turn));
+    harness.step(|fanout, context| fanout.on_gatherer_failure(call, CallFailure::Rejected, context));
     assert!(
         (0..4).all(|shard| harness.direct_calls_of(shard) == 0),
         "the calls of the first may have arrived"
@@ -497,8 +497,8 @@
     harness.wait(START.plus(RESCUE_DELAY));
     let mut asked = harness.asked.iter().skip(2);
     let second = *asked.find(|(_, asked)| asked.shards == [0, 1, 2, 3]).expect("another gatherer is asked").0;
-    harness.step(|fanout, turn| fanout.on_gatherer_failure(second, CallFailure::Broken, turn));
-    harness.step(|fanout, turn| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Rejected, turn));
+    harness.step(|fanout, context| fanout.on_gatherer_failure(second, CallFailure::Broken, context));
+    harness.step(|fanout, context| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Rejected, context));
     let attempts: Vec<u32> = (0..4).map(|shard| harness.fanout.attempts(shard)).collect();
     assert_eq!(attempts, [2; 4], "one there, and one here");
 }
@@ -588,7 +588,7 @@
                         retried: named(retried),
                         last,
                     };
-                    if harness.step(|fanout, turn| fanout.on_gathered(call, &gathered, turn)) {
+                    if harness.step(|fanout, context| fanout.on_gathered(call, &gathered, context)) {
                         parts.push((call, gathered.answered));
                     }
                     if last {
@@ -600,7 +600,7 @@
                     let last_asked = harness.asked.iter().rfind(|(_, asked)| of_these(asked));
                     let call = *last_asked.expect("each was asked once").0;
                     harness.open.retain(|open| *open != call);
-                    harness.step(|fanout, turn| fanout.on_gatherer_failure(call, failure, turn));
+                    harness.step(|fanout, context| fanout.on_gatherer_failure(call, failure, context));
                 }
                 Event::Answer(index) if !harness.open.is_empty() => {
                     let call = harness.open[index.index(harness.open.len())];
@@ -612,7 +612,7 @@
                     let call = harness.open[index.index(harness.open.len())];
                     if !harness.sent[&call].1 {
                         harness.open.retain(|open| *open != call);
-                        harness.step(|fanout, turn| fanout.on_failure(call, failure, turn));
+                        harness.step(|fanout, context| fanout.on_failure(call, failure, context));
                     }
                 }
                 Event::Wait(milliseconds) => harness.wait(harness.now.plus(Micros::from_millis(milliseconds))),
@@ -670,21 +670,21 @@
 
     fn new(fanout: Fanout, seed: u64) -> Self {
         let mut sender = Self { random: SmallRng::seed_from_u64(seed), ..Self::idle(fanout) };
-        sender.step(START, |fanout, turn| fanout.start(turn));
+        sender.step(START, |fanout, context| fanout.start(context));
         sender
     }
 
     fn step<T>(
         &mut self,
         now: Micros,
-        step: impl FnOnce(&mut Fanout, &mut FanoutTurn<'_, SmallRng>) -> T,
+        step: impl FnOnce(&mut Fanout, &mut FanoutContext<'_, SmallRng>) -> T,
     ) -> T {
         let mut actions = Vec::new();
         let allowance =
             RetryAllowance { ratio: 0.2, fixed: 1_000.0, window: Micros::from_secs(10), nodes: 1 };
         let result = step(
             &mut self.fanout,
-            &mut FanoutTurn {
+            &mut FanoutContext {
                 table: &ReplicaTable::new(ZoneName::new("a")),
                 budgets: &mut self.budgets,
                 allowance: &allowance,
@@ -711,7 +711,7 @@
     fn fail_one(&mut self, now: Micros, index: prop::sample::Index) {
         if !self.open.is_empty() {
             let call = self.open.swap_remove(index.index(self.open.len()));
-            self.step(now, |fanout, turn| fanout.on_failure(call, CallFailure::Broken, turn));
+            self.step(now, |fanout, context| fanout.on_failure(call, CallFailure::Broken, context));
         }
     }
 }
@@ -756,36 +756,36 @@
             partial_at: DEADLINE,
             report_at: DEADLINE,
             hedge_delay: Micros::from_millis(50),
-            rescue_delay: RESCUE_DELAY,
+            gatherer_timeout: RESCUE_DELAY,
         };
         let zones: [&[&str]; 3] = [&["a", "b", "c", "d"][..]; 3];
         let delegated = DelegatedShards {
             gatherer: NodeId::new("n1"),
             zone: ZoneName::new("a"),
             shards: vec![0, 1, 2],
-            second: None,
+            fallback: None,
             continued: false,
         };
-        let root = Fanout::new(settings, targets(&zones)).delegating(vec![delegated]);
+        let root = Fanout::new(settings, targets(&zones)).with_delegations(vec![delegated]);
         let mut root = Sender::new(root, seed);
         let (_, _, spares) = root.delegated[0].clone();
-        let gatherer = Fanout::new(settings, targets(&zones)).keeping_spares(spares);
+        let gatherer = Fanout::new(settings, targets(&zones)).with_spares(spares);
         let mut gatherer = Sender::new(gatherer, !seed);
         let (mut root_now, mut gatherer_now) = (START, START);
         for event in events {
             match event {
                 Race::RootWaits(wait) => {
                     root_now = root_now.plus(Micros::from_millis(wait));
-                    root.step(root_now, |fanout, turn| fanout.on_wake(turn));
+                    root.step(root_now, |fanout, context| fanout.on_wake(context));
                 }
                 Race::GathererWaits(wait) => {
                     gatherer_now = gatherer_now.plus(Micros::from_millis(wait));
-                    gatherer.step(gatherer_now, |fanout, turn| fanout.on_wake(turn));
+                    gatherer.step(gatherer_now, |fanout, context| fanout.on_wake(context));
                 }
                 Race::RootCallFails(index) => root.fail_one(root_now, index),
                 Race::GathererCallFails(index) => gatherer.fail_one(gatherer_now, index),
-                Race::GathererBreaks => root.step(root_now, |fanout, turn| {
-                    fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, turn);
+                Race::GathererBreaks => root.step(root_now, |fanout, context| {
+                    fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, context);
                 }),
                 Race::GathererRefuses => {}
             }
@@ -811,21 +811,21 @@
             partial_at: DEADLINE,
             report_at: DEADLINE,
             hedge_delay: Micros::from_millis(50),
-            rescue_delay: RESCUE_DELAY,
+            gatherer_timeout: RESCUE_DELAY,
         };
         let zones: [&[&str]; 3] = [&["a", "b", "c", "d"][..]; 3];
         let delegated = DelegatedShards {
             gatherer: NodeId::new("n1"),
             zone: ZoneName::new("a"),
             shards: vec![0, 1, 2],
-            second: Some(NodeId::new("n2")),
+            fallback: Some(NodeId::new("n2")),
             continued: false,
         };
-        let root = Fanout::new(settings, targets(&zones)).delegating(vec![delegated]);
+        let root = Fanout::new(settings, targets(&zones)).with_delegations(vec![delegated]);
         let mut root = Sender::new(root, seed);
         let gatherer_of = |root: &Sender, asked: usize| {
             let (_, delegated, spares) = root.delegated[asked].clone();
-            let fanout = Fanout::new(settings, targets(&zones)).keeping_spares(spares);
+            let fanout = Fanout::new(settings, targets(&zones)).with_spares(spares);
             let fanout = if delegated.continued { fanout.continuing() } else { fanout };
             // Not one of the calls of a gatherer that turns out to refuse was sent.
             let runs = delegated.continued || !refuses;
@@ -839,25 +839,25 @@
             match event {
                 Race::RootWaits(wait) => {
                     now = now.plus(Micros::from_millis(wait));
-                    root.step(now, |fanout, turn| fanout.on_wake(turn));
+                    root.step(now, |fanout, context| fanout.on_wake(context));
                 }
                 Race::GathererWaits(wait) => {
                     now = now.plus(Micros::from_millis(wait));
-                    gatherer.step(now, |fanout, turn| fanout.on_wake(turn));
+                    gatherer.step(now, |fanout, context| fanout.on_wake(context));
                 }
                 Race::RootCallFails(index) => root.fail_one(now, index),
                 Race::GathererCallFails(index) => gatherer.fail_one(now, index),
                 Race::GathererBreaks => {
                     let call = root.delegated[if of_first { 0 } else { last }].0;
-                    root.step(now, |fanout, turn| {
-                        fanout.on_gatherer_failure(call, CallFailure::Broken, turn);
+                    root.step(now, |fanout, context| {
+                        fanout.on_gatherer_failure(call, CallFailure::Broken, context);
                     });
                 }
                 // One that ran something does not say that it refuses.
                 Race::GathererRefuses if gatherer.used.is_empty() => {
                     let call = root.delegated[if of_first { 0 } else { last }].0;
-                    root.step(now, |fanout, turn| {
-                        fanout.on_gatherer_failure(call, CallFailure::Rejected, turn);
+                    root.step(now, |fanout, context| {
+                        fanout.on_gatherer_failure(call, CallFailure::Rejected, context);
                     });
                 }
                 Race::GathererRefuses => {}
--- a/crates/sablebay-dispatch/tests/evacuation.rs
+++ b/crates/sablebay-dispatch/tests/evacuation.rs
@@ -9,8 +9,8 @@
 
 use sablebay_catalogue::{Repeatability, Replica, ReplicaId, ReplicaPhase, RoutableReplica, ServiceName};
 use sablebay_dispatch::{
-    CallFailure, CallNumber, DelegatedShards, Fanout, FanoutAction, FanoutOutcome, FanoutSettings,
-    FanoutTurn, ReplicaTable, RetryAllowance, RetryBudgets, ShardTargets,
+    CallFailure, CallNumber, DelegatedShards, Fanout, FanoutAction, FanoutContext, FanoutOutcome,
+    FanoutSettings, ReplicaTable, RetryAllowance, RetryBudgets, ShardTargets,
 };
 use sablebay_model::{Micros, NodeId, ZoneName};
 
@@ -52,7 +52,7 @@
         partial_at: START.plus(Micros::from_millis(500)),
         report_at: START.plus(Micros::from_millis(400)),
         hedge_delay: HEDGE_DELAY,
-        rescue_delay: Micros::from_millis(30),
+        gatherer_timeout: Micros::from_millis(30),
     }
 }
 
@@ -73,9 +73,13 @@
         self.table.set_evacuated(zones.iter().map(ZoneName::new).collect::<BTreeSet<_>>());
     }
 
-    fn step(&mut self, now: Micros, step: impl FnOnce(&mut FanoutTurn<'_, SmallRng>)) -> Vec<FanoutAction> {
+    fn step(
+        &mut self,
+        now: Micros,
+        step: impl FnOnce(&mut FanoutContext<'_, SmallRng>),
+    ) -> Vec<FanoutAction> {
         let mut actions = Vec::new();
-        step(&mut FanoutTurn {
+        step(&mut FanoutContext {
             table: &self.table,
             budgets: &mut self.budgets,
             allowance: &ALLOWANCE,
@@ -99,9 +103,9 @@
 fn a_retry_passes_over_a_zone_that_was_evacuated_meanwhile() {
     let mut bench = Bench::new();
     let mut fanout = Fanout::new(settings(1), targets(&[&["a", "b", "c"]]));
-    assert_eq!(sent_to(&bench.step(START, |turn| fanout.start(turn))), ["0-a"]);
+    assert_eq!(sent_to(&bench.step(START, |context| fanout.start(context))), ["0-a"]);
     bench.evacuate(&["b"]);
-    let failed = bench.step(START, |turn| fanout.on_failure(CallNumber(0), CallFailure::Broken, turn));
+    let failed = bench.step(START, |context| fanout.on_failure(CallNumber(0), CallFailure::Broken, context));
     assert_eq!(sent_to(&failed), ["0-c"]);
 }
 
@@ -109,20 +113,20 @@
 fn a_hedge_passes_over_a_zone_that_was_evacuated_meanwhile() {
     let mut bench = Bench::new();
     let mut fanout = Fanout::new(settings(1), targets(&[&["a", "b"]]));
-    bench.step(START, |turn| fanout.start(turn));
+    bench.step(START, |context| fanout.start(context));
     bench.evacuate(&["b"]);
     let later = START.plus(HEDGE_DELAY);
-    assert_eq!(sent_to(&bench.step(later, |turn| fanout.on_wake(turn))), Vec::<String>::new());
+    assert_eq!(sent_to(&bench.step(later, |context| fanout.on_wake(context))), Vec::<String>::new());
 }
 
 #[test]
 fn the_spare_of_a_gathered_shard_is_not_called_in_an_evacuated_zone() {
     let mut bench = Bench::new();
     let spares = vec![Some(ReplicaId::new("0-c"))];
-    let mut fanout = Fanout::new(settings(0), targets(&[&["a", "b", "c"]])).keeping_spares(spares);
-    bench.step(START, |turn| fanout.start(turn));
+    let mut fanout = Fanout::new(settings(0), targets(&[&["a", "b", "c"]])).with_spares(spares);
+    bench.step(START, |context| fanout.start(context));
     bench.evacuate(&["c"]);
-    let failed = bench.step(START, |turn| fanout.on_failure(CallNumber(0), CallFailure::Broken, turn));
+    let failed = bench.step(START, |context| fanout.on_failure(CallNumber(0), CallFailure::Broken, context));
     assert_eq!(sent_to(&failed), Vec::<String>::new());
 }
 
@@ -131,7 +135,7 @@
     let mut bench = Bench::new();
     bench.evacuate(&["b"]);
     let mut fanout = Fanout::new(settings(2), targets(&[&["a", "b"], &["b"], &["b"]]));
-    assert_eq!(bench.step(START, |turn| fanout.start(turn)), []);
+    assert_eq!(bench.step(START, |context| fanout.start(context)), []);
     assert_eq!(fanout.outcome(), Some(FanoutOutcome::NotRun));
 }
 
@@ -143,12 +147,12 @@
         gatherer: NodeId::new("n2"),
         zone: ZoneName::new("b"),
         shards: vec![0, 1, 2],
-        second: None,
+        fallback: None,
         continued: false,
     };
     let mut fanout =
-        Fanout::new(settings(2), targets(&[&["b", "c"], &["b"], &["c"]])).delegating(vec![delegated]);
-    let actions = bench.step(START, |turn| fanout.start(turn));
+        Fanout::new(settings(2), targets(&[&["b", "c"], &["b"], &["c"]])).with_delegations(vec![delegated]);
+    let actions = bench.step(START, |context| fanout.start(context));
     let [FanoutAction::Delegate { delegated, .. }] = &actions[..] else {
         panic!("one node is asked: {actions:?}");
     };
--- a/crates/sablebay-dispatch/tests/fanout.rs
+++ b/crates/sablebay-dispatch/tests/fanout.rs
@@ -10,8 +10,8 @@
 
 use sablebay_catalogue::{Repeatability, Replica, ReplicaId, ReplicaPhase, RoutableReplica, ServiceName};
 use sablebay_dispatch::{
-    CallFailure, CallKey, CallNumber, Execution, Fanout, FanoutAction, FanoutOutcome, FanoutSettings,
-    FanoutTurn, ReplicaTable, RetryAllowance, RetryBudgets, ShardTargets,
+    CallFailure, CallKey, CallNumber, Execution, Fanout, FanoutAction, FanoutContext, FanoutOutcome,
+    FanoutSettings, ReplicaTable, RetryAllowance, RetryBudgets, ShardTargets,
 };
 use sablebay_model::{Micros, ZoneName};
 
@@ -52,7 +52,7 @@
         partial_at: PARTIAL_AT,
         report_at: PARTIAL_AT,
         hedge_delay: Micros::from_millis(50),
-        rescue_delay: Micros::from_millis(100),
+        gatherer_timeout: Micros::from_millis(100),
     }
 }
 
@@ -82,15 +82,15 @@
             open: Vec::new(),
             ends: HashMap::new(),
         };
-        harness.step(|fanout, turn| fanout.start(turn));
+        harness.step(|fanout, context| fanout.start(context));
         harness
     }
 
-    fn step<T>(&mut self, step: impl FnOnce(&mut Fanout, &mut FanoutTurn<'_, SmallRng>) -> T) -> T {
+    fn step<T>(&mut self, step: impl FnOnce(&mut Fanout, &mut FanoutContext<'_, SmallRng>) -> T) -> T {
         let mut actions = Vec::new();
         let result = step(
             &mut self.fanout,
-            &mut FanoutTurn {
+            &mut FanoutContext {
                 table: &self.table,
                 budgets: &mut self.budgets,
                 allowance: &self.allowance,
@@ -117,18 +117,18 @@
     fn answer(&mut self, call: CallNumber) -> Option<usize> {
         self.open.retain(|open| *open != call);
         self.ends.insert(call, Execution::Possible);
-        self.step(|fanout, turn| fanout.on_answer(call, turn))
+        self.step(|fanout, context| fanout.on_answer(call, context))
     }
 
     fn fail(&mut self, call: CallNumber, failure: CallFailure) {
         self.open.retain(|open| *open != call);
         self.ends.insert(call, failure.execution());
-        self.step(|fanout, turn| fanout.on_failure(call, failure, turn));
+        self.step(|fanout, context| fanout.on_failure(call, failure, context));
     }
 
     fn wait(&mut self, until: Micros) {
         self.now = until;
-        self.step(|fanout, turn| fanout.on_wake(turn));
+        self.step(|fanout, context| fanout.on_wake(context));
     }
 }
 
@@ -302,7 +302,7 @@
     for call in harness.open.clone() {
         if harness.sent[&call].0 >= first_open {
             harness.open.retain(|open| *open != call);
-            harness.step(|fanout, turn| fanout.on_answer(call, turn));
+            harness.step(|fanout, context| fanout.on_answer(call, context));
         }
     }
 }
@@ -312,7 +312,7 @@
     let mut harness = Harness::new(settings(Repeatability::Repeatable, 18), targets(20, 2), 1_000.0);
     for _ in 0..10 {
         harness.now = harness.fanout.next_wake();
-        harness.step(|fanout, turn| fanout.on_wake(turn));
+        harness.step(|fanout, context| fanout.on_wake(context));
     }
     assert_eq!(harness.sent.len(), 20, "the load is everywhere: a second call finds the same queues");
 }
@@ -322,6 +322,6 @@
     let mut harness = Harness::new(settings(Repeatability::Repeatable, 18), targets(20, 2), 1_000.0);
     answer_all_but(&mut harness, 5);
     harness.now = harness.fanout.next_wake();
-    harness.step(|fanout, turn| fanout.on_wake(turn));
+    harness.step(|fanout, context| fanout.on_wake(context));
     assert_eq!(harness.sent.len(), 25);
 }
--- a/crates/sablebay-dispatch/tests/retry_fairness.rs
+++ b/crates/sablebay-dispatch/tests/retry_fairness.rs
@@ -95,7 +95,7 @@
             now = now.plus(Micros::from_millis(gap_ms));
             match event {
                 Event::Request => {
-                    window.request(&allowance, now);
+                    window.count_request(&allowance, now);
                     requests.push(now);
                 }
                 Event::Ask(who) => {
--- a/crates/sablebay-dispatch/tests/shares.rs
+++ b/crates/sablebay-dispatch/tests/shares.rs
@@ -46,7 +46,7 @@
                     extras.push(now);
                 }
             } else {
-                windows[event.node].request(&allowance, now);
+                windows[event.node].count_request(&allowance, now);
                 requests.push(now);
             }
         }
@@ -196,13 +196,13 @@
     for (nodes, owners, fixed) in [(8, 6, 54.0), (76, 12, 192.0), (300, 18, 630.0), (2_700, 18, 630.0)] {
         let allowance = RetryAllowance { ratio: 0.2, fixed, window: WINDOW, nodes };
         let owner = BudgetShare::Owner { owners }.of_fixed(&allowance);
-        let bystander = BudgetShare::Bystander { owners }.of_fixed(&allowance);
+        let bystander = BudgetShare::NonOwner { owners }.of_fixed(&allowance);
         let all = BudgetShare::All.of_fixed(&allowance);
         let sum = owner * owners as f64 + bystander * (nodes - owners) as f64;
         assert!(sum <= fixed + 1e-6, "{sum} of {fixed} at {nodes} nodes");
         assert!(owner >= all, "{owner} against {all} at {nodes} nodes");
         let mut window = RetryWindow::default();
-        let granted = window.spend(&allowance, BudgetShare::Bystander { owners }, Micros::from_secs(100));
+        let granted = window.spend(&allowance, BudgetShare::NonOwner { owners }, Micros::from_secs(100));
         assert_eq!(granted, nodes <= 300, "a call for a node that others are of no use to");
     }
     let allowance = RetryAllowance { ratio: 0.2, fixed: 54.0, window: WINDOW, nodes: 6 };
--- a/crates/sablebay-gateway/src/delegated.rs
+++ b/crates/sablebay-gateway/src/delegated.rs
@@ -27,7 +27,7 @@
     /// The route's target latency; 0 when there is none.
     pub target: Micros,
     /// After how long a node that gave no sign of life is given up.
-    pub rescue_delay: Micros,
+    pub gatherer_timeout: Micros,
     /// When it tells what is in.
     pub report_at: Micros,
     /// When the request is given up.
@@ -73,7 +73,7 @@
         ended = converse(&context, &delegation) => ended,
         _ = &mut abandoned => {
             let now = context.clock().now();
-            context.dispatch.lock().gatherers.given_up(&delegation.delegated.gatherer, delegation.key, now);
+            context.dispatch.lock().gatherers.abandoned(&delegation.delegated.gatherer, delegation.key, now);
             context.metrics.delegated("given_up");
             return;
         }
@@ -189,7 +189,7 @@
     let now = context.clock().now();
     let crowded = f64::from(part.crowded) / delegation.shards.len().max(1) as f64;
     let gatherer = &delegation.delegated.gatherer;
-    context.dispatch.lock().gatherers.heard(gatherer, delegation.key, crowded, now);
+    context.dispatch.lock().gatherers.reported(gatherer, delegation.key, crowded, now);
 }
 
 /// A part in the positions of the request; nothing when it says what cannot be.
--- a/crates/sablebay-gateway/src/driver.rs
+++ b/crates/sablebay-gateway/src/driver.rs
@@ -8,8 +8,8 @@
 
 use sablebay_catalogue::{Destination, Gather, Repeatability, ReplicaId, Route};
 use sablebay_dispatch::{
-    CallFailure, CallNumber, DelegatedShards, Fanout, FanoutAction, FanoutOutcome, FanoutSettings,
-    FanoutTurn, ShardTargets,
+    CallFailure, CallNumber, DelegatedShards, Fanout, FanoutAction, FanoutContext, FanoutOutcome,
+    FanoutSettings, ShardTargets,
 };
 use sablebay_model::Micros;
 
@@ -87,8 +87,8 @@
     let settings = fanout_settings(context, route, targets.len(), &bounds, hedge_delay);
     let terms = delegation_terms(route, target, &settings);
     let fanout = Fanout::new(settings, targets)
-        .on_behalf_of(context.tenant_of(&request.headers))
-        .delegating(delegations);
+        .with_tenant(context.tenant_of(&request.headers))
+        .with_delegations(delegations);
     let mut run = RunningRequest::start(context, fanout, request, usual, terms);
     run.until(Micros::MAX).await;
     let outcome = run.fanout.outcome().expect("without a limit a request runs to its end");
@@ -111,7 +111,7 @@
     };
     let times = DelegationTimes {
         target: target.unwrap_or_default(),
-        rescue_delay: settings.rescue_delay,
+        gatherer_timeout: settings.gatherer_timeout,
         report_at: settings.report_at,
         deadline: settings.deadline,
     };
@@ -178,7 +178,7 @@
             Repeatability::Repeatable => hedge_delay,
             Repeatability::AtMostOnce => Micros::MAX,
         },
-        rescue_delay: part_of(target, bounds, RESCUE_PART),
+        gatherer_timeout: part_of(target, bounds, RESCUE_PART),
     }
 }
 
@@ -238,7 +238,7 @@
             called: Vec::with_capacity(shards),
             work: DriverWork::default(),
         };
-        run.step(|fanout, turn| fanout.start(turn));
+        run.step(|fanout, fanout_context| fanout.start(fanout_context));
         run
     }
 
@@ -254,7 +254,7 @@
                 self.take(event);
             }
             if self.context.clock().now() >= self.fanout.next_wake() {
-                self.step(|fanout, turn| fanout.on_wake(turn));
+                self.step(|fanout, fanout_context| fanout.on_wake(fanout_context));
             }
         }
     }
@@ -287,7 +287,7 @@
         let call = event.call;
         match event.news {
             CallNews::Ended(CallResult::Success(success)) => {
-                let taken = self.step(|fanout, turn| fanout.on_answer(call, turn));
+                let taken = self.step(|fanout, fanout_context| fanout.on_answer(call, fanout_context));
                 let taken =
                     taken.map(|shard| TakenPart { call, shards: vec![shard], part: Part::Single(success) });
                 self.parts.extend(taken);
@@ -295,10 +295,10 @@
             CallNews::Ended(CallResult::Failure(failure, answer)) => {
                 self.note_failure(call, failure);
                 self.failed_answer = answer.or(self.failed_answer.take());
-                self.step(|fanout, turn| fanout.on_failure(call, failure, turn));
+                self.step(|fanout, fanout_context| fanout.on_failure(call, failure, fanout_context));
             }
             CallNews::Gathered(gathered, merged) => {
-                if self.step(|fanout, turn| fanout.on_gathered(call, &gathered, turn)) {
+                if self.step(|fanout, fanout_context| fanout.on_gathered(call, &gathered, fanout_context)) {
                     self.parts.push(TakenPart {
                         call,
                         shards: gathered.answered,
@@ -308,13 +308,13 @@
             }
             CallNews::GathererFailed(failure) => {
                 self.note_failure(call, failure);
-                self.step(|fanout, turn| fanout.on_gatherer_failure(call, failure, turn));
+                self.step(|fanout, fanout_context| fanout.on_gatherer_failure(call, failure, fanout_context));
             }
         }
     }
 
     /// One step of the machine, and the actions that follow.
-    fn step<T>(&mut self, step: impl FnOnce(&mut Fanout, &mut FanoutTurn<'_, SmallRng>) -> T) -> T {
+    fn step<T>(&mut self, step: impl FnOnce(&mut Fanout, &mut FanoutContext<'_, SmallRng>) -> T) -> T {
         let mut actions = Vec::new();
         let now = self.context.clock().now();
         let allowance = self.context.allowance();
@@ -323,7 +323,7 @@
             let dispatch = &mut *dispatch;
             step(
                 &mut self.fanout,
-                &mut FanoutTurn {
+                &mut FanoutContext {
                     table: &dispatch.table,
                     budgets: &mut dispatch.budgets,
                     allowance: &allowance,
@@ -388,8 +388,8 @@
     ) {
         let terms = self.terms.as_ref().expect("only shards whose records are merged are delegated").clone();
         let key = self.context.next_call();
-        let rescue_delay = terms.times.rescue_delay;
-        self.context.dispatch.lock().gatherers.asked(&delegated.gatherer, key, rescue_delay, now);
+        let gatherer_timeout = terms.times.gatherer_timeout;
+        self.context.dispatch.lock().gatherers.sent(&delegated.gatherer, key, gatherer_timeout, now);
         self.work.gatherers += 1;
         self.work.delegated_shards += delegated.shards.len() as u32;
         let abandoned = self.open_call(call, delegated.gatherer.to_string());
--- a/crates/sablebay-gateway/src/gatherer.rs
+++ b/crates/sablebay-gateway/src/gatherer.rs
@@ -105,14 +105,14 @@
         // It asks no other node.
         report_at: times.deadline,
         hedge_delay,
-        rescue_delay: Micros::MAX,
+        gatherer_timeout: Micros::MAX,
     };
     if let Some(notice) = &partial.quarantine {
         context.node.quarantine.hear(from.node.as_str(), std::slice::from_ref(notice), false, now);
     }
     let crowded = crowded(context, &targets, now);
     let spares = spares(&partial, &targets);
-    let mut fanout = Fanout::new(settings, targets).on_behalf_of(tenant).keeping_spares(spares);
+    let mut fanout = Fanout::new(settings, targets).with_tenant(tenant).with_spares(spares);
     if partial.continued {
         fanout = fanout.continuing();
     }
--- a/crates/sablebay-gateway/src/ingress.rs
+++ b/crates/sablebay-gateway/src/ingress.rs
@@ -206,7 +206,7 @@
     let now = context.clock().now();
     let dispatch = context.dispatch.lock();
     let told = |delegated: &DelegatedShards| {
-        dispatch.gatherers.crowded(&delegated.gatherer, now) * delegated.shards.len() as f64
+        dispatch.gatherers.crowded_fraction(&delegated.gatherer, now) * delegated.shards.len() as f64
     };
     let delegated: f64 = delegations.iter().map(told).sum();
     let is_direct = |shard: &usize| delegations.iter().all(|known| !known.shards.contains(shard));
--- a/crates/sablebay-gateway/src/ownership.rs
+++ b/crates/sablebay-gateway/src/ownership.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, HashSet};
 
 use sablebay_catalogue::{Destination, Route, ServiceName};
-use sablebay_dispatch::{BudgetShare, gathering_nodes, owned_shards};
+use sablebay_dispatch::{BudgetShare, gatherer_count, owned_shards};
 
 use crate::fleet_view::Gatherers;
 
@@ -64,7 +64,7 @@
             self.called_by_all.extend(shards.iter().cloned());
             return;
         };
-        let owners = gathering_nodes(&gatherers.own, &gatherers.others, own_rate);
+        let owners = gatherer_count(&gatherers.own, &gatherers.others, own_rate);
         for (shard, own) in shards.iter().zip(owned) {
             let known = self.shards.entry(shard.clone()).or_insert(Owned { own, owners });
             known.own |= own;
@@ -87,7 +87,7 @@
     pub fn budget_shares(&self) -> HashMap<ServiceName, BudgetShare> {
         let share = |owned: &Owned| match owned.own {
             true => BudgetShare::Owner { owners: owned.owners },
-            false => BudgetShare::Bystander { owners: owned.owners },
+            false => BudgetShare::NonOwner { owners: owned.owners },
         };
         self.shards.iter().map(|(shard, owned)| (shard.clone(), share(owned))).collect()
     }
