--- a/crates/sablebay-dispatch/src/fanout.rs
+++ b/crates/sablebay-dispatch/src/fanout.rs
@@ -23,7 +23,7 @@
 mod hedging;
 mod replies;
 mod sending;
-mod terms;
+mod types;
 
 use smallvec::SmallVec;
 
@@ -35,7 +35,7 @@
 use crate::retry_window::{RetryAllowance, RetryBudgets};
 
 pub use call::{CallFailure, CallNumber, Execution};
-pub use terms::{DelegatedShards, FanoutAction, FanoutOutcome, FanoutSettings, GatheredShards, ShardTargets};
+pub use types::{DelegatedShards, FanoutAction, FanoutOutcome, FanoutSettings, GatheredShards, ShardTargets};
 
 /// What a step of the machine works with.
 pub struct FanoutContext<'a, R> {
@@ -75,15 +75,15 @@
     /// Its call, once the node was asked.
     call: Option<CallNumber>,
     /// When the node is given up unless it says something before.
-    due_at: Micros,
+    report_due_at: Micros,
     /// How often it has said something.
-    words: u32,
+    reports: u32,
 }
 
 impl Delegation {
     /// One that is still to be asked for.
     fn new(delegated: DelegatedShards) -> Self {
-        Self { delegated, call: None, due_at: Micros::MAX, words: 0 }
+        Self { delegated, call: None, report_due_at: Micros::MAX, reports: 0 }
     }
 }
 
@@ -104,7 +104,7 @@
     /// When the shard is hedged, or tried anew when no call is open.
     hedge_at: Micros,
     /// Times that none of its replicas could be reached.
-    rounds: u32,
+    unreachable_rounds: u32,
     /// The delegations that it waits for: a second node may be asked while the first is silent.
     gatherers: SmallVec<[usize; 2]>,
     /// The call whose answer was taken.
@@ -113,7 +113,7 @@
     /// knows for sure which replicas the other has used.
     spare: Option<ReplicaId>,
     /// Whether only the spare is left: another node may have used every other attempt.
-    spare_alone: bool,
+    only_spare_left: bool,
 }
 
 /// How soon a hedge that was not possible is looked at again.
@@ -144,11 +144,11 @@
             attempts: 0,
             open_calls: 0,
             hedge_at: Micros::MAX,
-            rounds: 0,
+            unreachable_rounds: 0,
             gatherers: SmallVec::new(),
             answered_by: None,
             spare: None,
-            spare_alone: false,
+            only_spare_left: false,
         };
         Self {
             shards: vec![shard; targets.len()],
@@ -169,7 +169,7 @@
     pub fn continuing(mut self) -> Self {
         for shard in &mut self.shards {
             shard.attempts = 1;
-            shard.spare_alone = shard.spare.is_some();
+            shard.only_spare_left = shard.spare.is_some();
         }
         self
     }
--- a/crates/sablebay-dispatch/src/fanout/delegation.rs
+++ b/crates/sablebay-dispatch/src/fanout/delegation.rs
@@ -9,7 +9,7 @@
 use sablebay_model::{Micros, ZoneName};
 
 use super::call::{CallFailure, CallNumber, Execution};
-use super::terms::{DelegatedShards, FanoutAction, GatheredShards};
+use super::types::{DelegatedShards, FanoutAction, GatheredShards};
 use super::{Call, CallScope, Delegation, Fanout, FanoutContext, HEDGE_RECHECK, ShardState};
 
 impl Fanout {
@@ -17,18 +17,18 @@
     pub(super) fn delegate<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
         for number in 0..self.delegations.len() {
             if !self.delegations[number].delegated.shards.is_empty() {
-                self.ask(number, context);
+                self.send_delegation(number, context);
             }
         }
     }
 
     /// Asks the gatherer of a delegation for its shards.
-    fn ask<R: Rng>(&mut self, number: usize, context: &mut FanoutContext<'_, R>) {
+    fn send_delegation<R: Rng>(&mut self, number: usize, context: &mut FanoutContext<'_, R>) {
         let call = CallNumber(self.calls.len() as u32);
         self.calls.push(Call { scope: CallScope::Delegation(number), open: true });
         let delegation = &mut self.delegations[number];
         delegation.call = Some(call);
-        delegation.due_at = context.now.plus(self.settings.gatherer_timeout);
+        delegation.report_due_at = context.now.plus(self.settings.gatherer_timeout);
         let delegated = delegation.delegated.clone();
         let mut spares = Vec::with_capacity(delegated.shards.len());
         for shard in &delegated.shards {
@@ -39,7 +39,7 @@
             };
             let progress = &mut self.shards[*shard];
             progress.spare = spare.clone();
-            progress.spare_alone = spare.is_some();
+            progress.only_spare_left = spare.is_some();
             // The gatherer's first call; its later ones are told.
             progress.attempts = progress.attempts.max(1);
             progress.open_calls += 1;
@@ -54,10 +54,10 @@
     pub(super) fn replace_silent_gatherers<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
         for number in 0..self.delegations.len() {
             let delegation = &mut self.delegations[number];
-            if context.now < delegation.due_at {
+            if context.now < delegation.report_due_at {
                 continue;
             }
-            delegation.due_at = Micros::MAX;
+            delegation.report_due_at = Micros::MAX;
             if delegation.delegated.fallback.is_some() {
                 self.ask_fallback(number, Execution::Possible, context);
                 continue;
@@ -83,13 +83,14 @@
         };
         let zone = delegation.delegated.zone.clone();
         let shards = delegation.delegated.shards.clone();
-        let owed: Vec<usize> = shards.into_iter().filter(|shard| self.waits_for(*shard, number)).collect();
-        if owed.is_empty() {
+        let outstanding: Vec<usize> =
+            shards.into_iter().filter(|shard| self.waits_for(*shard, number)).collect();
+        if outstanding.is_empty() {
             return true;
         }
         let next = self.delegations.len();
         let continued = execution == Execution::Possible || self.delegations[number].delegated.continued;
-        for shard in &owed {
+        for shard in &outstanding {
             let progress = &mut self.shards[*shard];
             if !continued {
                 progress.gatherers.retain(|waited_for| *waited_for != number);
@@ -97,23 +98,24 @@
             }
             progress.gatherers.push(next);
         }
-        let delegated = DelegatedShards { gatherer: fallback, zone, shards: owed, fallback: None, continued };
+        let delegated =
+            DelegatedShards { gatherer: fallback, zone, shards: outstanding, fallback: None, continued };
         self.delegations.push(Delegation::new(delegated));
-        self.ask(next, context);
+        self.send_delegation(next, context);
         true
     }
 
     /// Forgets that a gatherer was asked that refused; its shards are still owed.
-    fn take_back(&mut self, call: CallNumber, number: usize) {
+    fn withdraw(&mut self, call: CallNumber, number: usize) {
         self.calls[call.0 as usize].open = false;
         self.delegations[number].call = None;
-        self.delegations[number].due_at = Micros::MAX;
+        self.delegations[number].report_due_at = Micros::MAX;
     }
 
     /// Nothing that a gatherer says is wanted any more.
     fn abandon_gatherer<R: Rng>(&mut self, number: usize, context: &mut FanoutContext<'_, R>) {
         let delegation = &mut self.delegations[number];
-        delegation.due_at = Micros::MAX;
+        delegation.report_due_at = Micros::MAX;
         let Some(call) = delegation.call.take() else {
             return;
         };
@@ -126,7 +128,7 @@
     }
 
     /// Gives up the gatherers whose shards have all come from others.
-    fn abandon_needless_gatherers<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
+    fn abandon_unneeded_gatherers<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
         for number in 0..self.delegations.len() {
             let mut shards = self.delegations[number].delegated.shards.iter();
             if self.delegations[number].call.is_some() && !shards.any(|shard| self.waits_for(*shard, number))
@@ -183,16 +185,16 @@
         }
         for shard in &gathered.closed {
             if self.waits_for(*shard, number) {
-                self.give_up_waiting(*shard, number, Execution::Possible, context);
+                self.stop_waiting(*shard, number, Execution::Possible, context);
             }
         }
         if gathered.last {
             self.end_delegation(call, number, Execution::Possible, context);
         } else {
-            self.leave_to_gatherer(number, context.now);
+            self.note_report(number, context.now);
         }
-        self.abandon_needless_gatherers(context);
-        self.settle(context);
+        self.abandon_unneeded_gatherers(context);
+        self.finish_if_decided(context);
         taken
     }
 
@@ -213,12 +215,12 @@
             self.end_delegation(call, number, execution, context);
         } else if self.delegations[number].delegated.fallback.is_some() {
             // Nothing was sent: the other owner begins anew.
-            self.take_back(call, number);
+            self.withdraw(call, number);
             self.ask_fallback(number, execution, context);
         } else {
             self.end_delegation(call, number, execution, context);
         }
-        self.settle(context);
+        self.finish_if_decided(context);
     }
 
     /// The delegation of an open call of a request that has not ended.
@@ -254,11 +256,11 @@
 
     /// The gatherer lives: it hedges by itself what it still waits for. Its first word says that it has
     /// asked the replicas; the second tells what is in.
-    fn leave_to_gatherer(&mut self, number: usize, now: Micros) {
+    fn note_report(&mut self, number: usize, now: Micros) {
         let delegation = &mut self.delegations[number];
-        delegation.words += 1;
-        let next_word = self.settings.report_at.max(now).plus(self.settings.gatherer_timeout);
-        delegation.due_at = if delegation.words == 1 { next_word } else { Micros::MAX };
+        delegation.reports += 1;
+        let next_report = self.settings.report_at.max(now).plus(self.settings.gatherer_timeout);
+        delegation.report_due_at = if delegation.reports == 1 { next_report } else { Micros::MAX };
         for shard in &self.delegations[number].delegated.shards {
             let progress = &mut self.shards[*shard];
             let direct_calls = progress.open_calls - progress.gatherers.len() as u32;
@@ -277,16 +279,16 @@
     ) {
         self.calls[call.0 as usize].open = false;
         self.delegations[number].call = None;
-        self.delegations[number].due_at = Micros::MAX;
+        self.delegations[number].report_due_at = Micros::MAX;
         for shard in self.delegations[number].delegated.shards.clone() {
             if self.waits_for(shard, number) {
-                self.give_up_waiting(shard, number, execution, context);
+                self.stop_waiting(shard, number, execution, context);
             }
         }
     }
 
     /// Nothing more comes for a shard from one of its gatherers.
-    fn give_up_waiting<R: Rng>(
+    fn stop_waiting<R: Rng>(
         &mut self,
         shard: usize,
         number: usize,
@@ -307,7 +309,7 @@
             // No gatherer sent anything: every attempt is this node's own.
             progress.attempts -= 1;
             progress.spare = None;
-            progress.spare_alone = false;
+            progress.only_spare_left = false;
         }
         if progress.state != ShardState::Open {
             return;
@@ -315,18 +317,18 @@
         if progress.attempts == 0 {
             self.send_first(shard, context);
         } else {
-            self.replace(shard, execution, context);
+            self.retry(shard, execution, context);
         }
     }
 
     /// The gatherer gave no sign of life: the shard is called directly as well.
-    pub(super) fn rescue<R: Rng>(&mut self, shard: usize, context: &mut FanoutContext<'_, R>) {
+    pub(super) fn call_directly<R: Rng>(&mut self, shard: usize, context: &mut FanoutContext<'_, R>) {
         let allowed = self.shards[shard].attempts < self.settings.maximum_attempts;
         if !allowed {
             self.shards[shard].hedge_at = Micros::MAX;
             return;
         }
-        let paid = self.pay(shard, context);
+        let paid = self.spend_budget(shard, context);
         if !paid || !self.send(shard, context) {
             self.shards[shard].hedge_at = context.now.plus(HEDGE_RECHECK);
         }
--- a/crates/sablebay-dispatch/src/fanout/ending.rs
+++ b/crates/sablebay-dispatch/src/fanout/ending.rs
@@ -5,12 +5,12 @@
 use sablebay_model::Micros;
 
 use super::call::CallNumber;
-use super::terms::{FanoutAction, FanoutOutcome};
+use super::types::{FanoutAction, FanoutOutcome};
 use super::{Call, CallScope, Fanout, FanoutContext};
 
 impl Fanout {
     /// Ends the request when its outcome is known.
-    pub(super) fn settle<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
+    pub(super) fn finish_if_decided<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
         if self.outcome.is_some() {
             return;
         }
--- a/crates/sablebay-dispatch/src/fanout/hedging.rs
+++ b/crates/sablebay-dispatch/src/fanout/hedging.rs
@@ -11,9 +11,9 @@
 /// has four slow ones when 40 in 100 of the replicas are slow or dark; with 0.3 it waited for one of them
 /// before it sent any second call. Against 0.3, 0.6 was worth 0.014 and 0.021 on two such days, and lost nothing
 /// in bursts.
-const STRAGGLING_PART: f64 = 0.6;
+const STRAGGLER_FRACTION: f64 = 0.6;
 /// Shards that may always be hedged, so that small requests are.
-const STRAGGLING_FLOOR: usize = 2;
+const MINIMUM_STRAGGLERS: usize = 2;
 
 impl Fanout {
     /// Time has passed: hedges what is slow, and ends what is due.
@@ -30,7 +30,7 @@
                     continue;
                 }
                 if !progress.gatherers.is_empty() {
-                    self.rescue(shard, context);
+                    self.call_directly(shard, context);
                 } else if progress.open_calls > 0 {
                     if hedging {
                         self.hedge(shard, context);
@@ -38,19 +38,19 @@
                         self.shards[shard].hedge_at = context.now.plus(HEDGE_RECHECK);
                     }
                 } else if self.shards[shard].attempts > 0 {
-                    self.send_paid(shard, context);
+                    self.send_extra(shard, context);
                 } else if !self.send(shard, context) {
                     self.close(shard);
                 }
             }
         }
-        self.settle(context);
+        self.finish_if_decided(context);
     }
 
     /// Whether only the slowest shards are still open.
     fn is_down_to_stragglers(&self) -> bool {
-        let most = (self.shards.len() as f64 * STRAGGLING_PART).ceil() as usize;
-        self.open <= most.max(STRAGGLING_FLOOR)
+        let most = (self.shards.len() as f64 * STRAGGLER_FRACTION).ceil() as usize;
+        self.open <= most.max(MINIMUM_STRAGGLERS)
     }
 
     fn hedge<R: Rng>(&mut self, shard: usize, context: &mut FanoutContext<'_, R>) {
@@ -60,7 +60,7 @@
             self.shards[shard].hedge_at = Micros::MAX;
             return;
         }
-        let candidates = match self.reserved(shard) {
+        let candidates = match self.required_spare(shard) {
             None => &replicas[..],
             Some(spare) => match self.untried_position(shard, &spare, context.table) {
                 Some(position) => &replicas[position..=position],
@@ -68,7 +68,7 @@
             },
         };
         let worthwhile = context.table.has_fit(candidates, tried, context.now);
-        let paid = worthwhile && self.pay(shard, context);
+        let paid = worthwhile && self.spend_budget(shard, context);
         if !paid || !self.send(shard, context) {
             self.shards[shard].hedge_at = context.now.plus(HEDGE_RECHECK);
         }
@@ -80,7 +80,8 @@
         let hedge_at = open.map(|shard| shard.hedge_at).min().unwrap_or(Micros::MAX);
         let enough = self.answered >= self.settings.minimum_shards;
         let partial_at = if enough { self.settings.partial_at } else { Micros::MAX };
-        let due_at = self.delegations.iter().map(|delegation| delegation.due_at).min().unwrap_or(Micros::MAX);
-        hedge_at.min(due_at).min(partial_at).min(self.settings.deadline)
+        let report_due_at =
+            self.delegations.iter().map(|delegation| delegation.report_due_at).min().unwrap_or(Micros::MAX);
+        hedge_at.min(report_due_at).min(partial_at).min(self.settings.deadline)
     }
 }
--- a/crates/sablebay-dispatch/src/fanout/replies.rs
+++ b/crates/sablebay-dispatch/src/fanout/replies.rs
@@ -11,9 +11,9 @@
 /// Replicas without a connection that one shard is tried at.
 const MAXIMUM_UNREACHABLE: usize = 3;
 /// Times that a shard is tried anew after none of its replicas could be reached.
-const MAXIMUM_ROUNDS: u32 = 3;
+const MAXIMUM_UNREACHABLE_ROUNDS: u32 = 3;
 /// The pause before the first of these; doubles with each.
-const ROUND_PAUSE: Micros = Micros::from_millis(30);
+const ROUND_BACKOFF: Micros = Micros::from_millis(30);
 
 impl Fanout {
     /// The shard of a call to a replica, if the call is open. Anything else is late or repeated.
@@ -46,7 +46,7 @@
         self.answered += 1;
         self.open -= 1;
         self.abandon(context, |open| open.scope == CallScope::Shard(shard));
-        self.settle(context);
+        self.finish_if_decided(context);
         Some(shard)
     }
 
@@ -71,13 +71,13 @@
         if failure == CallFailure::HeldBack && self.shards[shard].open_calls == 0 {
             self.close(shard);
         } else if self.shards[shard].state == ShardState::Open {
-            self.replace(shard, execution, context);
+            self.retry(shard, execution, context);
         }
-        self.settle(context);
+        self.finish_if_decided(context);
     }
 
     /// Sends a failed call's work to another replica, or closes the shard.
-    pub(super) fn replace<R: Rng>(
+    pub(super) fn retry<R: Rng>(
         &mut self,
         shard: usize,
         execution: Execution,
@@ -89,22 +89,22 @@
         if self.may_send_again(shard, execution, context) && self.send(shard, context) {
             return;
         }
-        if !self.plan_round(shard, execution, context.now) {
+        if !self.schedule_round(shard, execution, context.now) {
             self.close(shard);
         }
     }
 
     /// Puts a shard off that reached no replica at all: nothing was sent, and connections that are
     /// refused now may be taken in a moment. Not past the target latency: then the answer is due.
-    fn plan_round(&mut self, shard: usize, execution: Execution, now: Micros) -> bool {
+    fn schedule_round(&mut self, shard: usize, execution: Execution, now: Micros) -> bool {
         let progress = &mut self.shards[shard];
-        let again_at = now.plus(Micros(ROUND_PAUSE.0 << progress.rounds));
+        let again_at = now.plus(Micros(ROUND_BACKOFF.0 << progress.unreachable_rounds));
         let unreached = execution == Execution::NotSent && progress.attempts == 0;
         let in_time = again_at < self.settings.partial_at.min(self.settings.deadline);
-        if !unreached || !in_time || progress.rounds >= MAXIMUM_ROUNDS {
+        if !unreached || !in_time || progress.unreachable_rounds >= MAXIMUM_UNREACHABLE_ROUNDS {
             return false;
         }
-        progress.rounds += 1;
+        progress.unreachable_rounds += 1;
         progress.tried.clear();
         progress.hedge_at = again_at;
         true
@@ -124,6 +124,6 @@
             && (self.settings.repeatability == Repeatability::Repeatable || execution != Execution::Possible);
         // A call that was never sent is no arrival at the service; its replacement is the first.
         let free = execution == Execution::NotSent && progress.attempts == 0;
-        allowed && (free || self.pay(shard, context))
+        allowed && (free || self.spend_budget(shard, context))
     }
 }
--- a/crates/sablebay-dispatch/src/fanout/sending.rs
+++ b/crates/sablebay-dispatch/src/fanout/sending.rs
@@ -6,7 +6,7 @@
 use sablebay_model::Micros;
 
 use super::call::CallNumber;
-use super::terms::FanoutAction;
+use super::types::FanoutAction;
 use super::{Call, CallScope, Fanout, FanoutContext, HEDGE_RECHECK, ShardState};
 use crate::replica_table::ReplicaTable;
 
@@ -15,7 +15,7 @@
     pub fn start<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
         self.close_unservable(context.table);
         if self.open < self.settings.minimum_shards {
-            self.settle(context);
+            self.finish_if_decided(context);
             return;
         }
         if context.now < self.settings.deadline {
@@ -28,10 +28,10 @@
             if self.shards[shard].attempts == 0 {
                 self.send_first(shard, context);
             } else {
-                self.send_paid(shard, context);
+                self.send_extra(shard, context);
             }
         }
-        self.settle(context);
+        self.finish_if_decided(context);
     }
 
     /// Gives up the shards without a replica that takes work; no other node is asked for them either.
@@ -48,16 +48,16 @@
     }
 
     /// Takes an extra call of a shard out of the budget.
-    pub(super) fn pay<R: Rng>(&self, shard: usize, context: &mut FanoutContext<'_, R>) -> bool {
+    pub(super) fn spend_budget<R: Rng>(&self, shard: usize, context: &mut FanoutContext<'_, R>) -> bool {
         let service = &self.targets[shard].service;
         context.budgets.spend(service, self.tenant.as_ref(), context.allowance, context.now)
     }
 
     /// Sends a further call of a shard that has none open here, once the budget allows it.
-    pub(super) fn send_paid<R: Rng>(&mut self, shard: usize, context: &mut FanoutContext<'_, R>) {
+    pub(super) fn send_extra<R: Rng>(&mut self, shard: usize, context: &mut FanoutContext<'_, R>) {
         if self.shards[shard].attempts >= self.settings.maximum_attempts {
             self.close(shard);
-        } else if !self.pay(shard, context) {
+        } else if !self.spend_budget(shard, context) {
             self.shards[shard].hedge_at = context.now.plus(HEDGE_RECHECK);
         } else if !self.send(shard, context) {
             self.close(shard);
@@ -76,7 +76,7 @@
     /// Sends one call of a shard; false when no replica is left.
     pub(super) fn send<R: Rng>(&mut self, shard: usize, context: &mut FanoutContext<'_, R>) -> bool {
         let replicas = &self.targets[shard].replicas;
-        let chosen = match self.reserved(shard) {
+        let chosen = match self.required_spare(shard) {
             Some(spare) => self.untried_position(shard, &spare, context.table),
             None => context.table.choose(replicas, &self.shards[shard].tried, context.now, context.random),
         };
@@ -97,11 +97,11 @@
     }
 
     /// The replica that the next call must go to, when only the spare's attempt is left.
-    pub(super) fn reserved(&self, shard: usize) -> Option<ReplicaId> {
+    pub(super) fn required_spare(&self, shard: usize) -> Option<ReplicaId> {
         let progress = &self.shards[shard];
         let spare = progress.spare.as_ref()?;
         let last = progress.attempts + 1 >= self.settings.maximum_attempts;
-        let kept = progress.spare_alone || (last && !progress.tried.contains(spare));
+        let kept = progress.only_spare_left || (last && !progress.tried.contains(spare));
         kept.then(|| spare.clone())
     }
 
@@ -111,8 +111,8 @@
         replica: &ReplicaId,
         table: &ReplicaTable,
     ) -> Option<usize> {
-        let is_meant = |known: &RoutableReplica| known.replica.id == *replica && table.takes_work(known);
-        let known = self.targets[shard].replicas.iter().position(is_meant);
+        let is_wanted = |known: &RoutableReplica| known.replica.id == *replica && table.takes_work(known);
+        let known = self.targets[shard].replicas.iter().position(is_wanted);
         known.filter(|_| !self.shards[shard].tried.contains(replica))
     }
 
--- a/crates/sablebay-dispatch/src/gatherer_table.rs
+++ b/crates/sablebay-dispatch/src/gatherer_table.rs
@@ -10,7 +10,7 @@
 use crate::replica_table::CallKey;
 
 /// Nodes that look alike are told apart by up to this part, so that their work is shared.
-const SPREAD: f64 = 0.5;
+const COST_JITTER: f64 = 0.5;
 
 /// What this node knows of the nodes that gather for it.
 #[derive(Debug, Default)]
@@ -36,8 +36,8 @@
 
     /// The part of a node's shards at which work queues, as it told of late; 0 when it did not.
     pub fn crowded_fraction(&self, node: &NodeId, now: Micros) -> f64 {
-        let told = self.crowded.get(node).filter(|(_, at)| now.since(*at) <= HINT_LIFETIME);
-        told.map_or(0.0, |(crowded, _)| *crowded)
+        let latest = self.crowded.get(node).filter(|(_, at)| now.since(*at) <= HINT_LIFETIME);
+        latest.map_or(0.0, |(crowded, _)| *crowded)
     }
 
     /// A node refused, broke off or could not be reached.
@@ -61,12 +61,12 @@
         self.crowded.retain(|node, _| keep(node));
     }
 
-    /// The node to ask, of those that are neither silent nor left alone after failures. `given` says how
-    /// many parts as large as this one a node was given of the same request: its work on them adds up.
+    /// The node to ask, of those that are neither silent nor left alone after failures. `assigned` says how
+    /// many parts as large as this one a node was assigned of the same request: its work on them adds up.
     pub fn choose<'a, R: Rng>(
         &self,
         nodes: impl Iterator<Item = &'a NodeId>,
-        given: impl Fn(&NodeId) -> f64,
+        assigned: impl Fn(&NodeId) -> f64,
         now: Micros,
         random: &mut R,
     ) -> Option<&'a NodeId> {
@@ -75,7 +75,7 @@
         });
         let weighed = fit.map(|node| {
             let cost = self.health.get(node).map_or(1.0, |health| health.cost(1, now));
-            (cost * (1.0 + given(node)) * (1.0 + SPREAD * random.random::<f64>()), node)
+            (cost * (1.0 + assigned(node)) * (1.0 + COST_JITTER * random.random::<f64>()), node)
         });
         weighed.min_by(|(one, _), (other, _)| one.total_cmp(other)).map(|(_, node)| node)
     }
--- a/crates/sablebay-dispatch/src/gatherers.rs
+++ b/crates/sablebay-dispatch/src/gatherers.rs
@@ -36,7 +36,7 @@
 
 impl GathererNode {
     /// How much of the work it takes, against others. One that did not say counts as a whole core.
-    fn work_share(&self) -> f64 {
+    fn capacity(&self) -> f64 {
         match self.core_percent {
             0 => 100.0,
             percent => f64::from(percent),
@@ -66,18 +66,18 @@
 
 /// Calls a second at which a replica is known well: a pause of some hundred milliseconds is seen
 /// within a call or two.
-const WELL_KNOWN_RATE: f64 = 10.0;
+const RELIABLE_HEALTH_RATE: f64 = 10.0;
 /// Owners of a chunk in a zone, at the least: one may be lost at any time.
-const FEWEST_OWNERS: usize = 2;
+const MINIMUM_OWNERS: usize = 2;
 /// Shards fewer than this are called directly: a merged part of so few is no smaller than they are.
-const FEWEST_DELEGATED: usize = 3;
+const MINIMUM_DELEGATED: usize = 3;
 
 /// The delegations of a request; shards that stand in none are called directly.
 pub fn choose_gatherers<R: Rng>(inputs: &GathererInputs<'_>, random: &mut R) -> Vec<DelegatedShards> {
     let zones = zones_of(inputs.own, inputs.others);
     let chunks = chunks(inputs.shards.len(), &zones, inputs.own_rate);
     if chunks.len() < 2 {
-        far_shards(inputs, &zones, random)
+        remote_shards(inputs, &zones, random)
     } else {
         owned_chunks(inputs, &zones, chunks, random)
     }
@@ -96,11 +96,11 @@
     let mut chosen: BTreeMap<GathererPair, Vec<usize>> = BTreeMap::new();
     for chunk in chunks {
         let name = inputs.shards[chunk.start].service.as_str();
-        let given = |node: &NodeId| {
-            let parts = chosen.iter().filter(|(pair, _)| pair.first == *node);
+        let assigned = |node: &NodeId| {
+            let parts = chosen.iter().filter(|(pair, _)| pair.primary == *node);
             parts.map(|(_, shards)| shards.len()).sum::<usize>() as f64 / chunk.len() as f64
         };
-        if let Some(pair) = owners_in(inputs, zone, &zones[zone], name, given, random) {
+        if let Some(pair) = owners_in(inputs, zone, &zones[zone], name, assigned, random) {
             chosen.entry(pair).or_default().extend(chunk);
         }
     }
@@ -110,13 +110,13 @@
 /// The node that is asked for some shards, and the one that is asked when it is of no use.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct GathererPair {
-    first: NodeId,
-    second: Option<NodeId>,
+    primary: NodeId,
+    fallback: Option<NodeId>,
 }
 
 /// Where every node gathers the shards of its zone itself: those without a replica here, at one node
 /// of a zone that has one.
-fn far_shards<R: Rng>(
+fn remote_shards<R: Rng>(
     inputs: &GathererInputs<'_>,
     zones: &ZoneMembers<'_>,
     random: &mut R,
@@ -145,12 +145,12 @@
 fn delegations<'a>(
     chosen: impl Iterator<Item = (GathererPair, &'a ZoneName, Vec<usize>)>,
 ) -> Vec<DelegatedShards> {
-    let enough = chosen.filter(|(_, _, shards)| shards.len() >= FEWEST_DELEGATED);
+    let enough = chosen.filter(|(_, _, shards)| shards.len() >= MINIMUM_DELEGATED);
     let named = |(pair, zone, shards): (GathererPair, &ZoneName, _)| DelegatedShards {
-        gatherer: pair.first,
+        gatherer: pair.primary,
         zone: zone.clone(),
         shards,
-        fallback: pair.second,
+        fallback: pair.fallback,
         continued: false,
     };
     enough.map(named).collect()
@@ -179,7 +179,7 @@
         return None;
     }
     let nodes = &zones[&own.zone];
-    let kept = owners_wanted(nodes.len(), own_rate) + 1;
+    let kept = owner_count(nodes.len(), own_rate) + 1;
     let owns = |chunk: &Range<usize>| {
         let owners = owners(shards[chunk.start].as_str(), nodes, kept);
         owners.contains(&own)
@@ -204,28 +204,27 @@
     }
     let chunk = chunks.iter().find(|chunk| chunk.contains(&shard))?;
     let name = shards[chunk.start].as_str();
-    let owners =
-        zones.values().flat_map(|nodes| owners(name, nodes, owners_wanted(nodes.len(), own_rate) + 1));
+    let owners = zones.values().flat_map(|nodes| owners(name, nodes, owner_count(nodes.len(), own_rate) + 1));
     Some(owners.map(|owner| owner.node.clone()).collect())
 }
 
 /// How many nodes gather a shard in all zones together, spare owners among them.
 pub fn gatherer_count(own: &GathererNode, others: &[GathererNode], own_rate: f64) -> usize {
     let zones = zones_of(own, others);
-    zones.values().map(|nodes| (owners_wanted(nodes.len(), own_rate) + 1).min(nodes.len())).sum()
+    zones.values().map(|nodes| (owner_count(nodes.len(), own_rate) + 1).min(nodes.len())).sum()
 }
 
 /// How many nodes of a zone own a chunk, by the rate that the zone's nodes seem to take together.
-fn owners_wanted(nodes: usize, own_rate: f64) -> usize {
+fn owner_count(nodes: usize, own_rate: f64) -> usize {
     let zone_rate = own_rate * nodes as f64;
-    let wanted = (zone_rate / WELL_KNOWN_RATE).ceil() as usize;
-    wanted.max(FEWEST_OWNERS).min(nodes)
+    let wanted = (zone_rate / RELIABLE_HEALTH_RATE).ceil() as usize;
+    wanted.max(MINIMUM_OWNERS).min(nodes)
 }
 
 /// The shards in chunks that have owners of their own: one where every node owns all, otherwise as
 /// many as there are shards in each, so that a request asks about as many nodes as each has calls.
 fn chunks(count: usize, zones: &ZoneMembers<'_>, own_rate: f64) -> Vec<Range<usize>> {
-    let all_own = zones.values().all(|nodes| owners_wanted(nodes.len(), own_rate) == nodes.len());
+    let all_own = zones.values().all(|nodes| owner_count(nodes.len(), own_rate) == nodes.len());
     let length = if all_own { count } else { (count as f64).sqrt().ceil() as usize };
     (0..count).step_by(length.max(1)).map(|start| start..(start + length).min(count)).collect()
 }
@@ -237,22 +236,22 @@
     zones: &ZoneMembers<'a>,
     draw: u64,
 ) -> Option<&'a ZoneName> {
-    let mut far: Vec<(&ZoneName, usize)> = Vec::new();
+    let mut remote: Vec<(&ZoneName, usize)> = Vec::new();
     for candidate in shard.replicas.iter().filter(|candidate| !candidate.last_resort) {
         let zone = &candidate.replica.zone;
         if *zone == inputs.own.zone {
             return Some(&inputs.own.zone);
         }
         if let Some((known, nodes)) = zones.get_key_value(zone)
-            && !far.iter().any(|(seen, _)| seen == known)
+            && !remote.iter().any(|(seen, _)| seen == known)
         {
-            far.push((*known, nodes.len()));
+            remote.push((*known, nodes.len()));
         }
     }
-    far.sort();
-    let nodes: usize = far.iter().map(|(_, nodes)| nodes).sum();
+    remote.sort();
+    let nodes: usize = remote.iter().map(|(_, nodes)| nodes).sum();
     let mut position = draw.checked_rem(nodes as u64)? as usize;
-    for (zone, nodes) in far {
+    for (zone, nodes) in remote {
         if position < nodes {
             return Some(zone);
         }
@@ -262,28 +261,29 @@
 }
 
 /// The owner of a chunk that is asked, and the one that takes over from it; none when this node is an
-/// owner itself, or none is fit. `given` says how many chunks of the request a node has already.
+/// owner itself, or none is fit. `assigned` says how many chunks of the request a node has already.
 fn owners_in<R: Rng>(
     inputs: &GathererInputs<'_>,
     zone: &ZoneName,
     nodes: &[&GathererNode],
     chunk: &str,
-    given: impl Fn(&NodeId) -> f64,
+    assigned: impl Fn(&NodeId) -> f64,
     random: &mut R,
 ) -> Option<GathererPair> {
-    let wanted = owners_wanted(nodes.len(), inputs.own_rate);
+    let wanted = owner_count(nodes.len(), inputs.own_rate);
     // One more keeps connections to the replicas (`owned_shards`).
     let owners = owners(chunk, nodes, wanted + 1);
     let asked = &owners[..wanted.min(owners.len())];
     if *zone == inputs.own.zone && asked.contains(&inputs.own) {
         return None;
     }
-    let first = inputs.table.choose(asked.iter().map(|owner| &owner.node), &given, inputs.now, random)?;
-    let can_follow =
-        |owner: &&&GathererNode| owner.takes_over && owner.node != *first && owner.node != inputs.own.node;
-    let others = owners.iter().filter(can_follow).map(|owner| &owner.node);
-    let second = inputs.table.choose(others, &given, inputs.now, random);
-    Some(GathererPair { first: first.clone(), second: second.cloned() })
+    let primary =
+        inputs.table.choose(asked.iter().map(|owner| &owner.node), &assigned, inputs.now, random)?;
+    let can_take_over =
+        |owner: &&&GathererNode| owner.takes_over && owner.node != *primary && owner.node != inputs.own.node;
+    let others = owners.iter().filter(can_take_over).map(|owner| &owner.node);
+    let fallback = inputs.table.choose(others, &assigned, inputs.now, random);
+    Some(GathererPair { primary: primary.clone(), fallback: fallback.cloned() })
 }
 
 /// The nodes with the highest weights for a chunk.
@@ -301,5 +301,5 @@
     let draw = xxh3_64_with_seed(node.node.as_str().as_bytes(), chunk);
     // Above 0 and below 1.
     let unit = (draw as f64 + 0.5) / (u64::MAX as f64 + 1.0);
-    -node.work_share() / unit.min(1.0 - f64::EPSILON).ln()
+    -node.capacity() / unit.min(1.0 - f64::EPSILON).ln()
 }
--- a/crates/sablebay-dispatch/src/retry_claims.rs
+++ b/crates/sablebay-dispatch/src/retry_claims.rs
@@ -10,9 +10,9 @@
 
 /// The part of the budget that one tenant may spend while another was denied. What is held back is lost if the denied
 /// do not ask again in the window; a half bounds that loss.
-const LARGEST_PART: f64 = 0.5;
+const MAXIMUM_TENANT_FRACTION: f64 = 0.5;
 /// Denied tenants that are remembered at the most. It takes one to hold another back.
-const REMEMBERED_DENIALS: usize = 32;
+const MAXIMUM_DENIALS: usize = 32;
 
 /// Whom calls of a budget were granted, and who was denied one.
 #[derive(Clone, Debug, Default)]
@@ -33,33 +33,34 @@
 impl RetryClaims {
     /// Whether a tenant that would have more than its part of the budget gives way: another was denied within the
     /// window that got less.
-    pub(crate) fn gives_way(
+    pub(crate) fn is_over_fair_share(
         &mut self,
         tenant: Option<&TenantName>,
         budget: f64,
         window: Micros,
         now: Micros,
     ) -> bool {
-        forget(&mut self.denied, window, now);
+        evict_expired(&mut self.denied, window, now);
         if self.denied.is_empty() {
             return false;
         }
-        forget(&mut self.granted, window, now);
+        evict_expired(&mut self.granted, window, now);
         let own = self.granted_to(tenant);
-        if (own + 1) as f64 <= budget * LARGEST_PART {
+        if (own + 1) as f64 <= budget * MAXIMUM_TENANT_FRACTION {
             return false;
         }
         let mut granted: HashMap<Option<&TenantName>, usize> = HashMap::new();
         for claim in &self.granted {
             *granted.entry(claim.tenant.as_ref()).or_default() += 1;
         }
-        let got = |denial: &Claim| granted.get(&denial.tenant.as_ref()).copied().unwrap_or_default();
-        self.denied.iter().any(|denial| got(denial) < own)
+        let granted_count =
+            |denial: &Claim| granted.get(&denial.tenant.as_ref()).copied().unwrap_or_default();
+        self.denied.iter().any(|denial| granted_count(denial) < own)
     }
 
     /// Notes a call that was granted.
     pub(crate) fn grant(&mut self, tenant: Option<&TenantName>, window: Micros, now: Micros) {
-        forget(&mut self.granted, window, now);
+        evict_expired(&mut self.granted, window, now);
         self.granted.push_back(Claim { tenant: tenant.cloned(), at: now });
     }
 
@@ -68,7 +69,7 @@
         let known = self.denied.iter().position(|denial| denial.tenant.as_ref() == tenant);
         match known {
             Some(position) => drop(self.denied.remove(position)),
-            None if self.denied.len() == REMEMBERED_DENIALS => drop(self.denied.pop_front()),
+            None if self.denied.len() == MAXIMUM_DENIALS => drop(self.denied.pop_front()),
             None => {}
         }
         self.denied.push_back(Claim { tenant: tenant.cloned(), at: now });
@@ -80,7 +81,7 @@
 }
 
 /// Drops claims that have left the window; the oldest come first.
-fn forget(claims: &mut VecDeque<Claim>, window: Micros, now: Micros) {
+fn evict_expired(claims: &mut VecDeque<Claim>, window: Micros, now: Micros) {
     while claims.front().is_some_and(|oldest| now.since(oldest.at) > window) {
         claims.pop_front();
     }
--- a/crates/sablebay-dispatch/src/retry_window.rs
+++ b/crates/sablebay-dispatch/src/retry_window.rs
@@ -17,16 +17,16 @@
 /// Slots that a window is divided into.
 const SLOTS: u64 = 20;
 /// The part of the allowance that is spent; the rest covers what nodes cannot see of one another.
-const SPENT_PART: f64 = 0.8;
+const SPENDABLE_FRACTION: f64 = 0.8;
 
 /// The part of the fixed allowance for a service with owners that the other nodes keep, for when its owners
 /// are of no use to them.
-const BYSTANDERS_PART: f64 = 0.4;
+const NON_OWNER_FRACTION: f64 = 0.4;
 /// The same at the most, where there are so many that their share would come to less than one call.
-const LARGEST_BYSTANDERS_PART: f64 = 0.6;
+const MAXIMUM_NON_OWNER_FRACTION: f64 = 0.6;
 
 /// The share in the fixed allowance that is spent as one call; a little more, against rounding.
-const ONE_CALL: f64 = 1.001 / SPENT_PART;
+const ONE_CALL_SHARE: f64 = 1.001 / SPENDABLE_FRACTION;
 
 /// Who sends calls to a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -59,16 +59,16 @@
             return allowance.fixed / nodes;
         };
         let owners = owners.max(1) as f64;
-        let bystanders = (nodes - owners).max(0.0);
-        if bystanders == 0.0 {
+        let non_owners = (nodes - owners).max(0.0);
+        if non_owners == 0.0 {
             return allowance.fixed / nodes;
         }
-        let wanted = ONE_CALL.max(allowance.fixed * BYSTANDERS_PART / bystanders);
-        let most = allowance.fixed * LARGEST_BYSTANDERS_PART / bystanders;
-        let bystander = wanted.min(most).min(allowance.fixed / nodes);
+        let wanted = ONE_CALL_SHARE.max(allowance.fixed * NON_OWNER_FRACTION / non_owners);
+        let most = allowance.fixed * MAXIMUM_NON_OWNER_FRACTION / non_owners;
+        let non_owner_share = wanted.min(most).min(allowance.fixed / nodes);
         match self {
-            BudgetShare::Owner { .. } => (allowance.fixed - bystander * bystanders) / owners,
-            _ => bystander,
+            BudgetShare::Owner { .. } => (allowance.fixed - non_owner_share * non_owners) / owners,
+            _ => non_owner_share,
         }
     }
 }
@@ -124,8 +124,8 @@
         self.slot(allowance, now);
         let extra: u64 = self.slots.iter().map(|slot| slot.extra).sum();
         let budget = self.budget(allowance, share);
-        let has_left = (extra + 1) as f64 <= budget;
-        let granted = has_left && !self.claims.gives_way(tenant, budget, allowance.window, now);
+        let fits_budget = (extra + 1) as f64 <= budget;
+        let granted = fits_budget && !self.claims.is_over_fair_share(tenant, budget, allowance.window, now);
         if granted {
             self.slot(allowance, now).extra += 1;
             self.claims.grant(tenant, allowance.window, now);
@@ -138,7 +138,7 @@
     /// The calls that may be spent in the window.
     fn budget(&self, allowance: &RetryAllowance, share: BudgetShare) -> f64 {
         let requests: u64 = self.slots.iter().map(|slot| slot.requests).sum();
-        SPENT_PART * (allowance.ratio * requests as f64 + share.of_fixed(allowance))
+        SPENDABLE_FRACTION * (allowance.ratio * requests as f64 + share.of_fixed(allowance))
     }
 
     /// The slot of this moment, after those that have left the window were dropped. The window is
--- a/crates/sablebay-dispatch/tests/delegation.rs
+++ b/crates/sablebay-dispatch/tests/delegation.rs
@@ -202,10 +202,10 @@
 fn a_chunk_stays_whole_at_an_owner_of_the_own_zone_wherever_its_replicas_are() {
     let zones = ["a", "b", "c", "d", "e", "f"];
     let nodes: Vec<_> = (0..48).map(|number| node(&format!("n{number}"), zones[number % 6])).collect();
-    let standing: Vec<[&str; 3]> = (0..180)
+    let placements: Vec<[&str; 3]> = (0..180)
         .map(|shard| [shard % 6, (shard / 6 + 1) % 6, (shard / 36 + 3) % 6].map(|at| zones[at]))
         .collect();
-    let shards = targets(&standing.iter().map(|zones| &zones[..]).collect::<Vec<_>>());
+    let shards = targets(&placements.iter().map(|zones| &zones[..]).collect::<Vec<_>>());
     let names: Vec<_> = shards.iter().map(|shard| shard.service.clone()).collect();
     for own in &nodes {
         let others: Vec<_> = nodes.iter().filter(|other| *other != own).cloned().collect();
@@ -618,20 +618,20 @@
                 Event::Wait(milliseconds) => harness.wait(harness.now.plus(Micros::from_millis(milliseconds))),
                 Event::Answer(_) | Event::Fail(..) => {}
             }
-            let standing = parts
+            let counted = parts
                 .iter()
                 .filter(|(call, shards)| {
                     shards.iter().all(|shard| harness.fanout.answered_by(*shard) == Some(*call))
                 })
                 .flat_map(|(_, shards)| shards.clone());
-            let standing: Vec<usize> = standing.collect();
-            let distinct: BTreeSet<usize> = standing.iter().copied().collect();
-            prop_assert_eq!(distinct.len(), standing.len(), "each shard stands in one part");
+            let counted: Vec<usize> = counted.collect();
+            let distinct: BTreeSet<usize> = counted.iter().copied().collect();
+            prop_assert_eq!(distinct.len(), counted.len(), "each shard stands in one part");
             let answered = (0..8).filter(|shard| harness.fanout.answered_by(*shard).is_some()).count();
-            prop_assert_eq!(answered, standing.len(), "no shard counts whose part does not stand");
+            prop_assert_eq!(answered, counted.len(), "no shard counts whose part does not stand");
             if let Some(FanoutOutcome::Answered { missing }) = harness.fanout.outcome() {
-                prop_assert_eq!(missing, 8 - standing.len(), "what the caller is told is true");
-                prop_assert!(standing.len() >= minimum);
+                prop_assert_eq!(missing, 8 - counted.len(), "what the caller is told is true");
+                prop_assert!(counted.len() >= minimum);
             }
             for shard in 0..8 {
                 prop_assert!(harness.direct_calls_of(shard) <= 8, "calls are bounded");
