--- a/crates/sablebay-dispatch/src/fanout.rs
+++ b/crates/sablebay-dispatch/src/fanout.rs
@@ -1,21 +1,18 @@
-//! One request: a state machine from answers, failures and the passing of time to calls.
+//! State machine of one request: turns answers, failures and timer events into calls.
 //!
-//! Invariants kept here:
-//! - a request that may not be repeated is sent again only when it is known that it did not run
-//!   (must-hold 5);
-//! - "did not run" is the outcome only when no call can have run (must-hold 4);
+//! Invariants:
+//! - a request that is not repeatable is sent again only if the earlier call is known not to have run;
+//! - the outcome is "not run" only if no call can have run;
 //! - no shard is sent to more replicas than the route allows;
-//! - every call after the first of its shard is paid from the service's budget, unless no byte of
-//!   the one before can have arrived;
-//! - nothing is sent at or after the deadline, also when the process was paused;
-//! - a request whose least share cannot be reached with the replicas that take work is refused before
-//!   anything is sent;
-//! - a shard is in one part of the answer alone: a merged part cannot be taken apart, so that the
-//!   answers of single replicas give way to it.
+//! - every call of a shard after the first is charged to the service's retry budget, unless no byte of
+//!   the previous call can have arrived;
+//! - nothing is sent at or after the deadline, even if the process was suspended;
+//! - a request is refused before anything is sent if too few shards have a replica that accepts work;
+//! - each shard contributes to the answer once: a merged part cannot be split, so it replaces the
+//!   answers of single replicas.
 //!
-//! Shards may be gathered by other nodes (`gatherers`). What such a node sends to replicas is earned
-//! and paid there; here the shards wait for it, and are called directly when it refuses, breaks or
-//! gives no sign of life in time.
+//! Shards may be delegated to other nodes (see `gatherers`), which charge their calls to their own
+//! budgets. This node calls a delegated shard directly if the gatherer refuses, fails or times out.
 
 mod call;
 mod delegation;
@@ -37,28 +34,25 @@
 pub use call::{CallFailure, CallNumber, Execution};
 pub use types::{DelegatedShards, FanoutAction, FanoutOutcome, FanoutSettings, GatheredShards, ShardTargets};
 
-/// What a step of the machine works with.
+/// Inputs and outputs of one step of the state machine.
 pub struct FanoutContext<'a, R> {
-    /// What is known of the replicas.
+    /// Health and load of the replicas.
     pub table: &'a ReplicaTable,
-    /// The budgets of the services.
+    /// Retry budgets of the services.
     pub budgets: &'a mut RetryBudgets,
-    /// What the fleet may send beyond first calls.
+    /// Extra calls that the whole fleet may send.
     pub allowance: &'a RetryAllowance,
-    /// Now.
     pub now: Micros,
-    /// Random draws.
     pub random: &'a mut R,
-    /// Where actions are put.
+    /// Receives the actions for the caller to carry out.
     pub actions: &'a mut Vec<FanoutAction>,
 }
 
-/// What a call was made for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallScope {
-    /// One shard, at one of its replicas.
+    /// One shard, sent to one of its replicas.
     Shard(usize),
-    /// Several shards, at the node that gathers them; the position among the delegations.
+    /// Several shards, sent to a gatherer. Holds the index of the delegation.
     Delegation(usize),
 }
 
@@ -68,20 +62,20 @@
     open: bool,
 }
 
-/// What is known of shards that another node gathers.
+/// Progress of shards that another node gathers.
 #[derive(Clone, Debug)]
 struct Delegation {
     delegated: DelegatedShards,
-    /// Its call, once the node was asked.
+    /// The call to the gatherer, once sent.
     call: Option<CallNumber>,
-    /// When the node is given up unless it says something before.
+    /// When the gatherer times out unless a report arrives first.
     report_due_at: Micros,
-    /// How often it has said something.
+    /// Number of reports received.
     reports: u32,
 }
 
 impl Delegation {
-    /// One that is still to be asked for.
+    /// Creates a delegation that has not been sent yet.
     fn new(delegated: DelegatedShards) -> Self {
         Self { delegated, call: None, report_due_at: Micros::MAX, reports: 0 }
     }
@@ -98,32 +92,32 @@
 struct Shard {
     state: ShardState,
     tried: SmallVec<[ReplicaId; 3]>,
-    /// Replicas that the shard was sent to; those that could not be reached do not count.
+    /// Replicas that the shard was sent to, not counting unreachable ones.
     attempts: u32,
     open_calls: u32,
-    /// When the shard is hedged, or tried anew when no call is open.
+    /// When the shard is hedged, or retried if no call is open.
     hedge_at: Micros,
-    /// Times that none of its replicas could be reached.
+    /// How often the shard was rescheduled because no replica could be reached.
     unreachable_rounds: u32,
-    /// The delegations that it waits for: a second node may be asked while the first is silent.
+    /// Indexes of the pending delegations: two if a fallback gatherer took over from a silent one.
     gatherers: SmallVec<[usize; 2]>,
-    /// The call whose answer was taken.
+    /// The call whose answer was accepted.
     answered_by: Option<CallNumber>,
-    /// The replica that the last attempt is kept for: two nodes send the shard's calls, and neither
-    /// knows for sure which replicas the other has used.
+    /// The replica reserved for the last attempt. Two nodes may send calls of this shard, and neither
+    /// knows which other replicas its peer has used.
     spare: Option<ReplicaId>,
-    /// Whether only the spare is left: another node may have used every other attempt.
+    /// Whether only the spare may be used, because another node may have used all other attempts.
     only_spare_left: bool,
 }
 
-/// How soon a hedge that was not possible is looked at again.
+/// Delay before a hedge that was not possible is tried again.
 const HEDGE_RECHECK: Micros = Micros::from_millis(15);
 
 /// One request in progress.
 #[derive(Debug)]
 pub struct Fanout {
     settings: FanoutSettings,
-    /// On whose behalf it runs; pays for its extra calls.
+    /// The tenant charged for extra calls.
     tenant: Option<TenantName>,
     targets: Vec<ShardTargets>,
     shards: Vec<Shard>,
@@ -136,7 +130,7 @@
 }
 
 impl Fanout {
-    /// A request over `targets`. Nothing is sent before [`Fanout::start`].
+    /// Creates a request over `targets`. Nothing is sent before [`Fanout::start`].
     pub fn new(settings: FanoutSettings, targets: Vec<ShardTargets>) -> Self {
         let shard = Shard {
             state: ShardState::Open,
@@ -164,8 +158,8 @@
         }
     }
 
-    /// Continues what another node began: it may have sent the first call of each shard, so that what is
-    /// sent here is paid for, and goes to the shard's spare replica where there is one.
+    /// Takes over from another node that may have sent the first call of each shard: calls are charged to
+    /// the budget and go to the shard's spare replica, if it has one.
     pub fn continuing(mut self) -> Self {
         for shard in &mut self.shards {
             shard.attempts = 1;
@@ -174,8 +168,8 @@
         self
     }
 
-    /// Keeps the last attempt of each shard for the replica named for it, as another node asks that
-    /// may send the shard there too.
+    /// Reserves the last attempt of each shard for its spare replica, which the delegating node may use as
+    /// well.
     pub fn with_spares(mut self, spares: Vec<Option<ReplicaId>>) -> Self {
         for (shard, spare) in self.shards.iter_mut().zip(spares) {
             shard.spare = spare;
@@ -183,7 +177,7 @@
         self
     }
 
-    /// Has other nodes gather these shards. No shard may stand in two delegations.
+    /// Delegates shards to other nodes. A shard must not be in more than one delegation.
     pub fn with_delegations(mut self, delegations: Vec<DelegatedShards>) -> Self {
         self.delegations = delegations.into_iter().map(Delegation::new).collect();
         for (number, delegation) in self.delegations.iter().enumerate() {
@@ -194,33 +188,31 @@
         self
     }
 
-    /// Has a tenant pay for extra calls.
+    /// Charges extra calls to a tenant.
     pub fn with_tenant(mut self, tenant: Option<TenantName>) -> Self {
         self.tenant = tenant;
         self
     }
 
-    /// The shards of the request.
     pub fn targets(&self) -> &[ShardTargets] {
         &self.targets
     }
 
-    /// When the request is given up.
     pub fn deadline(&self) -> Micros {
         self.settings.deadline
     }
 
-    /// Whether a shard was given up.
+    /// Returns whether a shard has failed for good.
     pub fn is_closed(&self, shard: usize) -> bool {
         self.shards[shard].state == ShardState::Missing
     }
 
-    /// Replicas that a shard was sent to.
+    /// Returns the number of replicas that a shard was sent to.
     pub fn attempts(&self, shard: usize) -> u32 {
         self.shards[shard].attempts
     }
 
-    /// The call whose answer stands for a shard.
+    /// Returns the call whose answer was accepted for a shard.
     pub fn answered_by(&self, shard: usize) -> Option<CallNumber> {
         self.shards[shard].answered_by
     }
--- a/crates/sablebay-dispatch/src/fanout/call.rs
+++ b/crates/sablebay-dispatch/src/fanout/call.rs
@@ -1,56 +1,55 @@
-//! A call of one request, and how it can fail.
+//! Calls of a request and their failures.
 
 use derive_more::Display;
 
-/// Numbers the calls of one request.
+/// Sequence number of a call within its request.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallNumber(pub u32);
 
-/// Whether a failed call can have run.
+/// Whether a failed call may have been executed.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Execution {
-    /// No byte can have arrived.
+    /// No byte can have reached the replica.
     #[display("not sent")]
     NotSent,
-    /// The replica says that it did not run it.
+    /// The replica reported that it did not execute the call.
     #[display("not run")]
     NotRun,
-    /// It may have run.
+    /// The call may have been executed.
     #[display("may have run")]
     Possible,
 }
 
-/// How a call failed.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum CallFailure {
-    /// No connection came about.
+    /// No connection could be established.
     #[display("no connection")]
     NoConnection,
-    /// The replica rejects work.
+    /// The replica rejected the call.
     #[display("rejected")]
     Rejected,
-    /// Another replica has the address.
+    /// Another replica listens on the address.
     #[display("wrong instance")]
     WrongInstance,
-    /// The connection broke.
+    /// The connection was closed before an answer arrived.
     #[display("broken")]
     Broken,
-    /// The answer is another request's, or none in the protocol.
+    /// The answer belongs to another request or violates the protocol.
     #[display("mismatched")]
     Mismatched,
-    /// The replica answered with a failure.
+    /// The replica answered with an error.
     #[display("failed")]
     Failed,
-    /// The request is held back: back ends ended under it. Nothing was sent, nor would it be elsewhere.
+    /// The request is quarantined because backends crashed while they ran it. It is sent to no replica.
     #[display("held back")]
     HeldBack,
-    /// No answer came in time.
+    /// No answer arrived in time.
     #[display("timed out")]
     TimedOut,
 }
 
 impl CallFailure {
-    /// Whether a call that failed so can have run.
+    /// Returns whether a call that failed this way may have been executed.
     pub fn execution(self) -> Execution {
         match self {
             CallFailure::NoConnection | CallFailure::HeldBack => Execution::NotSent,
--- a/crates/sablebay-dispatch/src/fanout/delegation.rs
+++ b/crates/sablebay-dispatch/src/fanout/delegation.rs
@@ -1,5 +1,5 @@
-//! The shards that other nodes gather: asking, taking merged parts, and calling the shards directly
-//! when a gatherer is of no use.
+//! Delegation of shards to gatherers: requests, merged parts, and recovery when a gatherer fails or
+//! times out.
 
 use rand::Rng;
 
@@ -13,7 +13,7 @@
 use super::{Call, CallScope, Delegation, Fanout, FanoutContext, HEDGE_RECHECK, ShardState};
 
 impl Fanout {
-    /// Asks each gatherer for its shards.
+    /// Sends every delegation to its gatherer.
     pub(super) fn delegate<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
         for number in 0..self.delegations.len() {
             if !self.delegations[number].delegated.shards.is_empty() {
@@ -22,7 +22,6 @@
         }
     }
 
-    /// Asks the gatherer of a delegation for its shards.
     fn send_delegation<R: Rng>(&mut self, number: usize, context: &mut FanoutContext<'_, R>) {
         let call = CallNumber(self.calls.len() as u32);
         self.calls.push(Call { scope: CallScope::Delegation(number), open: true });
@@ -32,7 +31,7 @@
         let delegated = delegation.delegated.clone();
         let mut spares = Vec::with_capacity(delegated.shards.len());
         for shard in &delegated.shards {
-            // Both nodes that were asked for a shard must know the same spare.
+            // Both gatherers of a shard must reserve the same spare.
             let spare = match delegated.continued {
                 true => self.shards[*shard].spare.clone(),
                 false => self.choose_spare(*shard, &delegated.zone, context),
@@ -40,7 +39,7 @@
             let progress = &mut self.shards[*shard];
             progress.spare = spare.clone();
             progress.only_spare_left = spare.is_some();
-            // The gatherer's first call; its later ones are told.
+            // Counts the gatherer's first call; the gatherer reports later ones.
             progress.attempts = progress.attempts.max(1);
             progress.open_calls += 1;
             progress.hedge_at = Micros::MAX;
@@ -49,8 +48,8 @@
         context.actions.push(FanoutAction::Delegate { call, delegated, spares });
     }
 
-    /// Has others do the work of gatherers that are past the time of their next word: the other owner of
-    /// the shards, or where there is none, this node. A gatherer that was only slow may still answer.
+    /// Reassigns the shards of gatherers whose report is overdue to the fallback gatherer, or to this node
+    /// if there is none. A late answer of the slow gatherer is still accepted.
     pub(super) fn replace_silent_gatherers<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
         for number in 0..self.delegations.len() {
             let delegation = &mut self.delegations[number];
@@ -70,7 +69,7 @@
         }
     }
 
-    /// Asks the second owner for what a gatherer still owes. Returns whether there is one.
+    /// Delegates the outstanding shards of a gatherer to its fallback. Returns whether there is a fallback.
     fn ask_fallback<R: Rng>(
         &mut self,
         number: usize,
@@ -105,14 +104,13 @@
         true
     }
 
-    /// Forgets that a gatherer was asked that refused; its shards are still owed.
+    /// Closes a call that its gatherer did not accept; the shards stay outstanding.
     fn withdraw(&mut self, call: CallNumber, number: usize) {
         self.calls[call.0 as usize].open = false;
         self.delegations[number].call = None;
         self.delegations[number].report_due_at = Micros::MAX;
     }
 
-    /// Nothing that a gatherer says is wanted any more.
     fn abandon_gatherer<R: Rng>(&mut self, number: usize, context: &mut FanoutContext<'_, R>) {
         let delegation = &mut self.delegations[number];
         delegation.report_due_at = Micros::MAX;
@@ -127,7 +125,7 @@
         }
     }
 
-    /// Gives up the gatherers whose shards have all come from others.
+    /// Cancels the calls to gatherers that have no outstanding shards left.
     fn abandon_unneeded_gatherers<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
         for number in 0..self.delegations.len() {
             let mut shards = self.delegations[number].delegated.shards.iter();
@@ -138,9 +136,9 @@
         }
     }
 
-    /// The replica that a shard's last attempt is kept for: outside of the gatherer's zone, whose
-    /// replicas it uses first. None where a shard has no more replicas than attempts, so that any of
-    /// them will do.
+    /// Chooses the replica that the last attempt of a shard is reserved for, preferably outside the
+    /// gatherer's zone, since the gatherer uses replicas of its own zone first. Returns `None` if the shard
+    /// has no more replicas than attempts, because no reservation is needed then.
     fn choose_spare<R: Rng>(
         &self,
         shard: usize,
@@ -159,8 +157,8 @@
         Some(replicas[chosen].replica.id.clone())
     }
 
-    /// A gatherer told how far it is. Returns whether the part that came with it is taken; the
-    /// answers of single replicas for the same shards then no longer count.
+    /// Handles a gatherer's report. Returns whether its merged part is accepted, in which case the part
+    /// replaces answers of single replicas for the same shards.
     pub fn on_gathered<R: Rng>(
         &mut self,
         call: CallNumber,
@@ -198,7 +196,7 @@
         taken
     }
 
-    /// A gatherer refused, broke or was not reached: its shards are called directly.
+    /// Handles a failed call to a gatherer: its shards go to the fallback gatherer, or are called directly.
     pub fn on_gatherer_failure<R: Rng>(
         &mut self,
         call: CallNumber,
@@ -214,7 +212,7 @@
             self.ask_fallback(number, execution, context);
             self.end_delegation(call, number, execution, context);
         } else if self.delegations[number].delegated.fallback.is_some() {
-            // Nothing was sent: the other owner begins anew.
+            // The gatherer sent no calls, so the fallback starts from the beginning.
             self.withdraw(call, number);
             self.ask_fallback(number, execution, context);
         } else {
@@ -223,7 +221,7 @@
         self.finish_if_decided(context);
     }
 
-    /// The delegation of an open call of a request that has not ended.
+    /// Returns the delegation of an open call; `None` once the request has ended.
     fn open_delegation(&self, call: CallNumber) -> Option<usize> {
         let known = self.calls.get(call.0 as usize).filter(|call| call.open && self.outcome.is_none())?;
         match known.scope {
@@ -254,8 +252,8 @@
         self.abandon(context, |open| open.scope == CallScope::Shard(shard));
     }
 
-    /// The gatherer lives: it hedges by itself what it still waits for. Its first word says that it has
-    /// asked the replicas; the second tells what is in.
+    /// Records a report, and cancels direct calls planned for the gatherer's shards, which it hedges itself.
+    /// The first report confirms that the replicas were called; the second carries the first answers.
     fn note_report(&mut self, number: usize, now: Micros) {
         let delegation = &mut self.delegations[number];
         delegation.reports += 1;
@@ -287,7 +285,7 @@
         }
     }
 
-    /// Nothing more comes for a shard from one of its gatherers.
+    /// Stops waiting for a gatherer's answer for a shard; retries the shard if no other gatherer is pending.
     fn stop_waiting<R: Rng>(
         &mut self,
         shard: usize,
@@ -306,7 +304,7 @@
             return;
         }
         if execution != Execution::Possible && !continued {
-            // No gatherer sent anything: every attempt is this node's own.
+            // No gatherer sent a call, so all attempts are available to this node.
             progress.attempts -= 1;
             progress.spare = None;
             progress.only_spare_left = false;
@@ -321,7 +319,7 @@
         }
     }
 
-    /// The gatherer gave no sign of life: the shard is called directly as well.
+    /// Calls a shard directly because its gatherer timed out.
     pub(super) fn call_directly<R: Rng>(&mut self, shard: usize, context: &mut FanoutContext<'_, R>) {
         let allowed = self.shards[shard].attempts < self.settings.maximum_attempts;
         if !allowed {
--- a/crates/sablebay-dispatch/src/fanout/ending.rs
+++ b/crates/sablebay-dispatch/src/fanout/ending.rs
@@ -1,4 +1,4 @@
-//! When a request is over, and how it ended.
+//! Completion of a request.
 
 use rand::Rng;
 
@@ -9,7 +9,7 @@
 use super::{Call, CallScope, Fanout, FanoutContext};
 
 impl Fanout {
-    /// Ends the request when its outcome is known.
+    /// Ends the request and cancels its open calls once the outcome is known.
     pub(super) fn finish_if_decided<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
         if self.outcome.is_some() {
             return;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// How the request ended, once it has.
+    /// Returns the outcome, or `None` while the request is in progress.
     pub fn outcome(&self) -> Option<FanoutOutcome> {
         self.outcome
     }
--- a/crates/sablebay-dispatch/src/fanout/hedging.rs
+++ b/crates/sablebay-dispatch/src/fanout/hedging.rs
@@ -1,4 +1,4 @@
-//! What follows from the passing of time: second calls for slow shards.
+//! Timer events: hedged calls for slow shards.
 
 use rand::Rng;
 
@@ -6,17 +6,14 @@
 
 use super::{Fanout, FanoutContext, HEDGE_RECHECK, ShardState};
 
-/// The part of a request's shards that may be slow for hedging to help. Where more are, the load is
-/// everywhere: second calls find the same queues and make them longer. A node that gathers nine or ten shards
-/// has four slow ones when 40 in 100 of the replicas are slow or dark; with 0.3 it waited for one of them
-/// before it sent any second call. Against 0.3, 0.6 was worth 0.014 and 0.021 on two such days, and lost nothing
-/// in bursts.
+/// Largest fraction of a request's shards that may still be open for hedging to start. If more are slow,
+/// the overload is general, and hedged calls would only lengthen the queues.
 const STRAGGLER_FRACTION: f64 = 0.6;
-/// Shards that may always be hedged, so that small requests are.
+/// Number of open shards up to which hedging is always allowed, so that small requests are hedged.
 const MINIMUM_STRAGGLERS: usize = 2;
 
 impl Fanout {
-    /// Time has passed: hedges what is slow, and ends what is due.
+    /// Handles a timer event: hedges slow shards and ends the request if it is due.
     pub fn on_wake<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
         if self.outcome.is_some() {
             return;
@@ -47,7 +44,7 @@
         self.finish_if_decided(context);
     }
 
-    /// Whether only the slowest shards are still open.
+    /// Returns whether so few shards are open that hedging is allowed.
     fn is_down_to_stragglers(&self) -> bool {
         let most = (self.shards.len() as f64 * STRAGGLER_FRACTION).ceil() as usize;
         self.open <= most.max(MINIMUM_STRAGGLERS)
@@ -74,7 +71,7 @@
         }
     }
 
-    /// When [`Fanout::on_wake`] is next due.
+    /// Returns when [`Fanout::on_wake`] is next due.
     pub fn next_wake(&self) -> Micros {
         let open = self.shards.iter().filter(|shard| shard.state == ShardState::Open);
         let hedge_at = open.map(|shard| shard.hedge_at).min().unwrap_or(Micros::MAX);
--- a/crates/sablebay-dispatch/src/fanout/replies.rs
+++ b/crates/sablebay-dispatch/src/fanout/replies.rs
@@ -1,4 +1,4 @@
-//! What follows from answers and failures of calls to replicas.
+//! Answers and failures of calls to replicas.
 
 use rand::Rng;
 
@@ -8,15 +8,15 @@
 use super::call::{CallFailure, CallNumber, Execution};
 use super::{CallScope, Fanout, FanoutContext, ShardState};
 
-/// Replicas without a connection that one shard is tried at.
+/// Number of unreachable replicas after which a shard is not sent to further ones.
 const MAXIMUM_UNREACHABLE: usize = 3;
-/// Times that a shard is tried anew after none of its replicas could be reached.
+/// Maximum number of times a shard is rescheduled because no replica could be reached.
 const MAXIMUM_UNREACHABLE_ROUNDS: u32 = 3;
-/// The pause before the first of these; doubles with each.
+/// Delay before the first of these rounds; doubles with each.
 const ROUND_BACKOFF: Micros = Micros::from_millis(30);
 
 impl Fanout {
-    /// The shard of a call to a replica, if the call is open. Anything else is late or repeated.
+    /// Closes an open call to a replica and returns its shard; `None` for late or duplicate answers.
     fn take_open(&mut self, call: CallNumber) -> Option<usize> {
         let call = self.calls.get_mut(call.0 as usize).filter(|call| call.open)?;
         let CallScope::Shard(shard) = call.scope else {
@@ -27,7 +27,7 @@
         Some(shard)
     }
 
-    /// A call was answered with success. Returns the shard that the answer is taken for.
+    /// Handles a successful answer. Returns the shard if the answer is accepted.
     pub fn on_answer<R: Rng>(
         &mut self,
         call: CallNumber,
@@ -50,7 +50,7 @@
         Some(shard)
     }
 
-    /// A call to a replica failed.
+    /// Handles a failed call to a replica.
     pub fn on_failure<R: Rng>(
         &mut self,
         call: CallNumber,
@@ -76,7 +76,7 @@
         self.finish_if_decided(context);
     }
 
-    /// Sends a failed call's work to another replica, or closes the shard.
+    /// Sends a shard whose call failed to another replica, or closes it.
     pub(super) fn retry<R: Rng>(
         &mut self,
         shard: usize,
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Puts a shard off that reached no replica at all: nothing was sent, and connections that are
-    /// refused now may be taken in a moment. Not past the target latency: then the answer is due.
+    /// Schedules another round for a shard that reached no replica, since refused connections may succeed
+    /// shortly after. No round starts after the target latency, when the answer is due.
     fn schedule_round(&mut self, shard: usize, execution: Execution, now: Micros) -> bool {
         let progress = &mut self.shards[shard];
         let again_at = now.plus(Micros(ROUND_BACKOFF.0 << progress.unreachable_rounds));
@@ -122,7 +122,7 @@
             && progress.attempts < self.settings.maximum_attempts
             && unreachable < MAXIMUM_UNREACHABLE
             && (self.settings.repeatability == Repeatability::Repeatable || execution != Execution::Possible);
-        // A call that was never sent is no arrival at the service; its replacement is the first.
+        // A call that was never sent does not count as load, so its replacement is free of charge.
         let free = execution == Execution::NotSent && progress.attempts == 0;
         allowed && (free || self.spend_budget(shard, context))
     }
--- a/crates/sablebay-dispatch/src/fanout/sending.rs
+++ b/crates/sablebay-dispatch/src/fanout/sending.rs
@@ -1,4 +1,4 @@
-//! Which replica gets a shard: its first call, and the further ones that the budget pays for.
+//! Sends the first call of each shard, and extra calls within the retry budget.
 
 use rand::Rng;
 
@@ -11,7 +11,7 @@
 use crate::replica_table::ReplicaTable;
 
 impl Fanout {
-    /// Sends the first call of each shard, or asks the node that gathers it.
+    /// Sends the first call of each shard, or delegates the shard to its gatherer.
     pub fn start<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
         self.close_unservable(context.table);
         if self.open < self.settings.minimum_shards {
@@ -34,7 +34,7 @@
         self.finish_if_decided(context);
     }
 
-    /// Gives up the shards without a replica that takes work; no other node is asked for them either.
+    /// Closes shards without a replica that accepts work, and removes them from their delegations.
     fn close_unservable(&mut self, table: &ReplicaTable) {
         for shard in 0..self.shards.len() {
             if self.targets[shard].replicas.iter().any(|replica| table.takes_work(replica)) {
@@ -47,13 +47,13 @@
         }
     }
 
-    /// Takes an extra call of a shard out of the budget.
+    /// Charges an extra call of a shard to the retry budget. Returns false if the budget is exhausted.
     pub(super) fn spend_budget<R: Rng>(&self, shard: usize, context: &mut FanoutContext<'_, R>) -> bool {
         let service = &self.targets[shard].service;
         context.budgets.spend(service, self.tenant.as_ref(), context.allowance, context.now)
     }
 
-    /// Sends a further call of a shard that has none open here, once the budget allows it.
+    /// Sends an extra call of a shard without open calls, as soon as the budget allows.
     pub(super) fn send_extra<R: Rng>(&mut self, shard: usize, context: &mut FanoutContext<'_, R>) {
         if self.shards[shard].attempts >= self.settings.maximum_attempts {
             self.close(shard);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Sends the first call of a shard, which earns for the budget.
+    /// Sends the first call of a shard and counts it as a request in the retry budget.
     pub(super) fn send_first<R: Rng>(&mut self, shard: usize, context: &mut FanoutContext<'_, R>) {
         let service = &self.targets[shard].service;
         context.budgets.count_request(service, context.allowance, context.now);
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Sends one call of a shard; false when no replica is left.
+    /// Sends one call of a shard. Returns false if no replica is left.
     pub(super) fn send<R: Rng>(&mut self, shard: usize, context: &mut FanoutContext<'_, R>) -> bool {
         let replicas = &self.targets[shard].replicas;
         let chosen = match self.required_spare(shard) {
@@ -96,7 +96,7 @@
         true
     }
 
-    /// The replica that the next call must go to, when only the spare's attempt is left.
+    /// Returns the spare replica if the next call of the shard must go to it.
     pub(super) fn required_spare(&self, shard: usize) -> Option<ReplicaId> {
         let progress = &self.shards[shard];
         let spare = progress.spare.as_ref()?;
--- a/crates/sablebay-dispatch/src/fanout/types.rs
+++ b/crates/sablebay-dispatch/src/fanout/types.rs
@@ -1,4 +1,4 @@
-//! What a request is asked to do, what it asks the shell to do, and how it ends.
+//! Inputs, actions and outcomes of the request state machine.
 
 use std::sync::Arc;
 
@@ -7,109 +7,98 @@
 
 use super::call::CallNumber;
 
-/// One shard and the replicas that may answer for it.
+/// A shard and the replicas that can serve it.
 #[derive(Clone, Debug)]
 pub struct ShardTargets {
-    /// The shard.
+    /// The service that represents the shard.
     pub service: ServiceName,
-    /// Its replicas.
     pub replicas: Arc<[RoutableReplica]>,
 }
 
-/// What bounds one request.
+/// Limits and times of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct FanoutSettings {
-    /// Whether it may run more than once.
+    /// Whether the request may be executed more than once.
     pub repeatability: Repeatability,
-    /// Replicas that each shard may be sent to.
+    /// Maximum number of replicas that each shard may be sent to.
     pub maximum_attempts: u32,
-    /// Shards without which there is no success.
+    /// Minimum number of shards that must answer for the request to succeed.
     pub minimum_shards: usize,
-    /// When the request is given up.
     pub deadline: Micros,
-    /// When an answer that leaves shards out is worth more than a late whole one.
+    /// When to return a partial answer instead of waiting for the remaining shards.
     pub partial_at: Micros,
-    /// When those who gather shards for this node tell what is in.
+    /// When gatherers send the shards that they have so far.
     pub report_at: Micros,
-    /// After how long a silent call is hedged.
+    /// Time without an answer after which a call is hedged.
     pub hedge_delay: Micros,
-    /// After how long a gatherer that gave no sign of life is given up.
+    /// Time without a report after which a gatherer's shards are reassigned.
     pub gatherer_timeout: Micros,
 }
 
-/// Shards that one other node gathers for this one.
+/// Shards of a request that another node gathers for this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DelegatedShards {
-    /// The node.
     pub gatherer: NodeId,
-    /// Its zone.
+    /// Zone of the gatherer.
     pub zone: ZoneName,
-    /// Positions of the shards in the request, rising.
+    /// Indexes of the shards in the request, in ascending order.
     pub shards: Vec<usize>,
-    /// The node that is asked in its place when it is of no use; another owner of the shards.
+    /// Another owner of the shards, used if the gatherer fails or times out.
     pub fallback: Option<NodeId>,
-    /// Whether a node was asked before that may have sent the first call of each of these shards.
+    /// Whether an earlier gatherer may have sent the first call of each of these shards.
     pub continued: bool,
 }
 
-/// What a gatherer tells of the shards that it was asked for. Positions are those of the request.
+/// Report of a gatherer on its shards, given by their indexes in the request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GatheredShards {
-    /// Shards whose answers are in the merged part that came with this.
+    /// Shards whose answers are in the merged part sent with this report.
     pub answered: Vec<usize>,
-    /// Shards that the gatherer has given up.
+    /// Shards that the gatherer could not get an answer for.
     pub closed: Vec<usize>,
-    /// Shards that it has sent to a second replica so far.
+    /// Shards that the gatherer has sent to a second replica so far.
     pub retried: Vec<usize>,
-    /// Whether nothing more will come.
+    /// Whether this is the final report.
     pub last: bool,
 }
 
-/// What the shell has to do.
+/// An action for the caller of the state machine to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FanoutAction {
-    /// Send a call.
+    /// Send a shard to a replica.
     Send {
-        /// Names the call in what comes back.
         call: CallNumber,
-        /// The shard's position in the request.
+        /// Index of the shard in the request.
         shard: usize,
-        /// Where to.
         replica: ReplicaId,
-        /// Whether it is the first call of its shard.
+        /// Whether this is the first call of the shard.
         first: bool,
     },
-    /// Ask another node for shards.
+    /// Ask another node to gather shards.
     Delegate {
-        /// Names the call in what comes back.
         call: CallNumber,
-        /// The node and the shards.
         delegated: DelegatedShards,
-        /// The spare replica of each of these shards, where it has more replicas than attempts.
+        /// Spare replica of each of these shards; none if it has no more replicas than attempts.
         spares: Vec<Option<ReplicaId>>,
     },
-    /// The answer to a call is no longer wanted.
-    Abandon {
-        /// The call.
-        call: CallNumber,
-    },
+    /// Cancel a call whose answer is no longer needed.
+    Abandon { call: CallNumber },
 }
 
-/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FanoutOutcome {
     /// Enough shards answered.
     Answered {
-        /// Shards left out.
+        /// Number of shards without an answer.
         missing: usize,
     },
-    /// Too few shards answered, and no call can have run.
+    /// Too few shards answered, and no call can have been executed.
     NotRun,
-    /// Too few shards answered.
+    /// Too few shards answered, and a call may have been executed.
     Unknown,
-    /// The deadline came before enough shards had answered.
+    /// The deadline passed before enough shards answered.
     Expired {
-        /// Whether a call can have run.
+        /// Whether a call may have been executed.
         may_have_run: bool,
     },
 }
--- a/crates/sablebay-dispatch/src/gatherer_table.rs
+++ b/crates/sablebay-dispatch/src/gatherer_table.rs
@@ -1,4 +1,4 @@
-//! What this node knows of the nodes that gather for it, from its own requests to them.
+//! Health and load of other gatherers, as observed by this node's requests to them.
 
 use std::collections::HashMap;
 
@@ -9,43 +9,43 @@
 use crate::replica_health::{HINT_LIFETIME, ReplicaHealth, SILENT_RATIO};
 use crate::replica_table::CallKey;
 
-/// Nodes that look alike are told apart by up to this part, so that their work is shared.
+/// Maximum relative random increase of a node's cost, to spread work over similar nodes.
 const COST_JITTER: f64 = 0.5;
 
-/// What this node knows of the nodes that gather for it.
+/// Health and load of other gatherers.
 #[derive(Debug, Default)]
 pub struct GathererTable {
     health: HashMap<NodeId, ReplicaHealth>,
-    /// The part of the shards asked for at which work queued, and when it was told.
+    /// Fraction of the delegated shards that have queued work, and when it was reported.
     crowded: HashMap<NodeId, (f64, Micros)>,
 }
 
 impl GathererTable {
-    /// A node is asked; a sign of life is due within `gatherer_timeout`.
+    /// Records a request to a node. The first report is due within `gatherer_timeout`.
     pub fn sent(&mut self, node: &NodeId, key: CallKey, gatherer_timeout: Micros, now: Micros) {
-        // A node that is not heard of when its shards are called directly counts as silent.
+        // Chosen so that a node becomes silent exactly when the timeout expires.
         let usual = Micros((gatherer_timeout.0 as f64 / SILENT_RATIO) as u64);
         self.health.entry(node.clone()).or_default().sent(key, usual, now);
     }
 
-    /// A node gave a sign of life, and told at which part of its shards work queues.
+    /// Records a report of a node with the fraction of its shards that have queued work.
     pub fn reported(&mut self, node: &NodeId, key: CallKey, crowded: f64, now: Micros) {
         self.health.entry(node.clone()).or_default().answered(key, None, now);
         self.crowded.insert(node.clone(), (crowded, now));
     }
 
-    /// The part of a node's shards at which work queues, as it told of late; 0 when it did not.
+    /// Returns the last reported fraction of a node's shards that have queued work; 0 if none is recent.
     pub fn crowded_fraction(&self, node: &NodeId, now: Micros) -> f64 {
         let latest = self.crowded.get(node).filter(|(_, at)| now.since(*at) <= HINT_LIFETIME);
         latest.map_or(0.0, |(crowded, _)| *crowded)
     }
 
-    /// A node refused, broke off or could not be reached.
+    /// Records that a node refused a request, closed the connection or could not be reached.
     pub fn failed(&mut self, node: &NodeId, key: CallKey, now: Micros) {
         self.health.entry(node.clone()).or_default().failed(key, now);
     }
 
-    /// Nobody waits for a node any more. A node that was silent for too long until then has failed.
+    /// Records that a request was canceled. Counts as a timeout if the node had been silent for too long.
     pub fn abandoned(&mut self, node: &NodeId, key: CallKey, now: Micros) {
         let health = self.health.entry(node.clone()).or_default();
         if health.is_silent(now) {
@@ -55,14 +55,14 @@
         }
     }
 
-    /// Forgets nodes that `keep` does not name.
+    /// Removes nodes for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&NodeId) -> bool) {
         self.health.retain(|node, health| keep(node) || health.open_calls() > 0);
         self.crowded.retain(|node, _| keep(node));
     }
 
-    /// The node to ask, of those that are neither silent nor left alone after failures. `assigned` says how
-    /// many parts as large as this one a node was assigned of the same request: its work on them adds up.
+    /// Chooses the cheapest node that is neither silent nor paused after failures. `assigned` returns the
+    /// number of parts of this size that a node already has from the same request.
     pub fn choose<'a, R: Rng>(
         &self,
         nodes: impl Iterator<Item = &'a NodeId>,
--- a/crates/sablebay-dispatch/src/gatherers.rs
+++ b/crates/sablebay-dispatch/src/gatherers.rs
@@ -1,13 +1,12 @@
-//! Which node gathers which shards of a request.
+//! Assigns the shards of a request to the nodes that gather them.
 //!
-//! Where a zone takes few requests on many nodes, each node would know every replica by a call now
-//! and then, and keep a connection to each. There a chunk of shards has a few *owners* in each zone,
-//! which gather it for all: an owner calls its replicas often, and knows them. Where every node of a
-//! zone calls often enough, all are owners, and each calls the replicas of its own zone itself.
+//! At low request rates, each chunk of shards has a few *owners* in each zone that gather it for all
+//! nodes of the zone, so that only the owners keep connections to its replicas and call them often enough
+//! to know their health. An owner also calls replicas in other zones directly.
 //!
-//! There, shards without a replica in this node's zone are gathered in a zone that has one, and merged
-//! there: what crosses is one merged part. An owner of a chunk calls the far replicas of its shards
-//! itself.
+//! At high request rates, every node owns all shards and calls the replicas of its own zone directly.
+//! Shards without a replica in that zone are gathered in a zone that has one, so that only one merged
+//! part crosses zones.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -21,21 +20,19 @@
 use crate::fanout::{DelegatedShards, ShardTargets};
 use crate::gatherer_table::GathererTable;
 
-/// A node that gathers for others.
+/// A node that gathers shards for others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GathererNode {
-    /// Its name.
     pub node: NodeId,
-    /// Its zone.
     pub zone: ZoneName,
-    /// Whether it can take over what another gatherer began; nodes of earlier releases cannot.
+    /// Whether the node can take over from another gatherer; earlier releases cannot.
     pub takes_over: bool,
-    /// Its share of a processor core, in percent; 0 when it did not say.
+    /// CPU quota in percent of a core; 0 if unknown.
     pub core_percent: u32,
 }
 
 impl GathererNode {
-    /// How much of the work it takes, against others. One that did not say counts as a whole core.
+    /// Relative amount of work for the node. An unknown quota counts as a whole core.
     fn capacity(&self) -> f64 {
         match self.core_percent {
             0 => 100.0,
@@ -47,32 +44,28 @@
 /// The nodes of each zone.
 type ZoneMembers<'a> = BTreeMap<&'a ZoneName, Vec<&'a GathererNode>>;
 
-/// What the choice is made from.
 #[derive(Clone, Copy, Debug)]
 pub struct GathererInputs<'a> {
-    /// This node.
     pub own: &'a GathererNode,
-    /// The other nodes that gather and take work.
+    /// The other gatherers that accept work.
     pub others: &'a [GathererNode],
-    /// The shards of the request.
     pub shards: &'a [ShardTargets],
-    /// Requests a second for these shards that callers bring to this node.
+    /// Requests per second for these shards that callers send to this node.
     pub own_rate: f64,
-    /// What is known of the other nodes.
+    /// Health and load of the other gatherers.
     pub table: &'a GathererTable,
-    /// Now.
     pub now: Micros,
 }
 
-/// Calls a second at which a replica is known well: a pause of some hundred milliseconds is seen
-/// within a call or two.
+/// Calls per second at which the health of a replica is known reliably: a pause of a few hundred
+/// milliseconds is noticed within one or two calls.
 const RELIABLE_HEALTH_RATE: f64 = 10.0;
-/// Owners of a chunk in a zone, at the least: one may be lost at any time.
+/// Minimum number of owners of a chunk in a zone, so that one may fail.
 const MINIMUM_OWNERS: usize = 2;
-/// Shards fewer than this are called directly: a merged part of so few is no smaller than they are.
+/// Minimum number of shards in a delegation. Merging fewer does not reduce the size of the answer.
 const MINIMUM_DELEGATED: usize = 3;
 
-/// The delegations of a request; shards that stand in none are called directly.
+/// Returns the delegations of a request. Shards that are in none are called directly.
 pub fn choose_gatherers<R: Rng>(inputs: &GathererInputs<'_>, random: &mut R) -> Vec<DelegatedShards> {
     let zones = zones_of(inputs.own, inputs.others);
     let chunks = chunks(inputs.shards.len(), &zones, inputs.own_rate);
@@ -83,9 +76,8 @@
     }
 }
 
-/// Where a few nodes own a chunk: each chunk whole, at one of its owners in this node's zone. An owner
-/// keeps connections to the replicas of its shards in every zone; shards apart, by the zones of their
-/// replicas, would be too few together for any node to keep connections for them.
+/// Delegates each chunk to one of its owners in this node's zone, which keeps connections to the replicas
+/// of the chunk in every zone. Chunks are not split by zone, because the parts would be too small.
 fn owned_chunks<R: Rng>(
     inputs: &GathererInputs<'_>,
     zones: &ZoneMembers<'_>,
@@ -107,15 +99,15 @@
     delegations(chosen.into_iter().map(|(pair, shards)| (pair, zone, shards)))
 }
 
-/// The node that is asked for some shards, and the one that is asked when it is of no use.
+/// The gatherer of some shards, and the node that takes over if it fails.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct GathererPair {
     primary: NodeId,
     fallback: Option<NodeId>,
 }
 
-/// Where every node gathers the shards of its zone itself: those without a replica here, at one node
-/// of a zone that has one.
+/// Delegates the shards without a replica in this node's zone to one node of a zone that has one. Used
+/// where every node gathers the shards of its own zone.
 fn remote_shards<R: Rng>(
     inputs: &GathererInputs<'_>,
     zones: &ZoneMembers<'_>,
@@ -124,7 +116,7 @@
     let Some(first) = inputs.shards.first() else {
         return Vec::new();
     };
-    // One draw a request: its shards from one far zone travel together.
+    // One draw per request, so that shards with the same zones are gathered in the same zone.
     let draw = random.random::<u64>();
     let mut by_zone: BTreeMap<&ZoneName, Vec<usize>> = BTreeMap::new();
     for (shard, targets) in inputs.shards.iter().enumerate() {
@@ -141,7 +133,7 @@
     delegations(chosen.into_iter())
 }
 
-/// Those of enough shards.
+/// Builds the delegations, leaving out those with fewer than [`MINIMUM_DELEGATED`] shards.
 fn delegations<'a>(
     chosen: impl Iterator<Item = (GathererPair, &'a ZoneName, Vec<usize>)>,
 ) -> Vec<DelegatedShards> {
@@ -156,7 +148,7 @@
     enough.map(named).collect()
 }
 
-/// The nodes of each zone, this one among them.
+/// Groups all nodes, including this one, by zone.
 fn zones_of<'a>(own: &'a GathererNode, others: &'a [GathererNode]) -> ZoneMembers<'a> {
     let mut zones: ZoneMembers<'_> = BTreeMap::new();
     for known in others.iter().chain([own]) {
@@ -165,8 +157,8 @@
     zones
 }
 
-/// For each shard, whether this node keeps connections to its replicas as one that gathers it, or
-/// would gather it if one owner were lost. Nothing where every node gathers every shard itself.
+/// Returns for each shard whether this node keeps connections to its replicas, as an owner or as the
+/// standby for a failed owner. Returns `None` if every node owns all shards.
 pub fn owned_shards(
     own: &GathererNode,
     others: &[GathererNode],
@@ -188,8 +180,8 @@
     Some(by_chunk.flatten().collect())
 }
 
-/// The nodes that keep connections to the replicas of one shard, in all zones. Nothing where every node
-/// gathers every shard itself.
+/// Returns the nodes of all zones that keep connections to the replicas of a shard, or `None` if every
+/// node owns all shards.
 pub fn shard_owners(
     own: &GathererNode,
     others: &[GathererNode],
@@ -208,28 +200,28 @@
     Some(owners.map(|owner| owner.node.clone()).collect())
 }
 
-/// How many nodes gather a shard in all zones together, spare owners among them.
+/// Returns the number of owners of a shard in all zones, including one standby per zone.
 pub fn gatherer_count(own: &GathererNode, others: &[GathererNode], own_rate: f64) -> usize {
     let zones = zones_of(own, others);
     zones.values().map(|nodes| (owner_count(nodes.len(), own_rate) + 1).min(nodes.len())).sum()
 }
 
-/// How many nodes of a zone own a chunk, by the rate that the zone's nodes seem to take together.
+/// Returns the number of owners of a chunk in a zone, from the estimated request rate of the zone.
 fn owner_count(nodes: usize, own_rate: f64) -> usize {
     let zone_rate = own_rate * nodes as f64;
     let wanted = (zone_rate / RELIABLE_HEALTH_RATE).ceil() as usize;
     wanted.max(MINIMUM_OWNERS).min(nodes)
 }
 
-/// The shards in chunks that have owners of their own: one where every node owns all, otherwise as
-/// many as there are shards in each, so that a request asks about as many nodes as each has calls.
+/// Splits the shards into chunks with separate owners. One chunk if every node owns all shards; otherwise
+/// about the square root of their number, which balances the calls of a request with those of a gatherer.
 fn chunks(count: usize, zones: &ZoneMembers<'_>, own_rate: f64) -> Vec<Range<usize>> {
     let all_own = zones.values().all(|nodes| owner_count(nodes.len(), own_rate) == nodes.len());
     let length = if all_own { count } else { (count as f64).sqrt().ceil() as usize };
     (0..count).step_by(length.max(1)).map(|start| start..(start + length).min(count)).collect()
 }
 
-/// The zone that a shard is gathered in; none when no node of a zone with a replica is known.
+/// Returns the zone that a shard is gathered in, or `None` if no zone with a replica has a known node.
 fn zone_for<'a>(
     inputs: &GathererInputs<'a>,
     shard: &ShardTargets,
@@ -260,8 +252,8 @@
     None
 }
 
-/// The owner of a chunk that is asked, and the one that takes over from it; none when this node is an
-/// owner itself, or none is fit. `assigned` says how many chunks of the request a node has already.
+/// Chooses the gatherer of a chunk and its fallback. Returns `None` if this node is an owner itself, or no
+/// owner is healthy. `assigned` returns the number of chunks of the request that a node already has.
 fn owners_in<R: Rng>(
     inputs: &GathererInputs<'_>,
     zone: &ZoneName,
@@ -271,7 +263,7 @@
     random: &mut R,
 ) -> Option<GathererPair> {
     let wanted = owner_count(nodes.len(), inputs.own_rate);
-    // One more keeps connections to the replicas (`owned_shards`).
+    // Includes the standby, which also keeps connections (see `owned_shards`).
     let owners = owners(chunk, nodes, wanted + 1);
     let asked = &owners[..wanted.min(owners.len())];
     if *zone == inputs.own.zone && asked.contains(&inputs.own) {
@@ -286,7 +278,7 @@
     Some(GathererPair { primary: primary.clone(), fallback: fallback.cloned() })
 }
 
-/// The nodes with the highest weights for a chunk.
+/// Returns the nodes with the highest weights for a chunk (weighted rendezvous hashing).
 fn owners<'a>(chunk: &str, nodes: &[&'a GathererNode], wanted: usize) -> Vec<&'a GathererNode> {
     let seed = xxh3_64_with_seed(chunk.as_bytes(), 0);
     let mut ranked: Vec<(f64, &GathererNode)> =
@@ -295,11 +287,11 @@
     ranked.into_iter().take(wanted).map(|(_, node)| node).collect()
 }
 
-/// The weight of a node for a chunk: the highest own it. A node owns chunks in proportion to its share of
-/// a core, and one that comes or goes moves its own chunks alone.
+/// Returns the rendezvous hashing weight of a node for a chunk. Nodes own chunks in proportion to their
+/// CPU quota, and a node that joins or leaves moves only its own chunks.
 fn weight(chunk: u64, node: &GathererNode) -> f64 {
     let draw = xxh3_64_with_seed(node.node.as_str().as_bytes(), chunk);
-    // Above 0 and below 1.
+    // In the open interval (0, 1).
     let unit = (draw as f64 + 0.5) / (u64::MAX as f64 + 1.0);
     -node.capacity() / unit.min(1.0 - f64::EPSILON).ln()
 }
--- a/crates/sablebay-dispatch/src/lib.rs
+++ b/crates/sablebay-dispatch/src/lib.rs
@@ -1,10 +1,8 @@
-//! Decisions about one request that goes to one replica of each of its shards: which replica gets
-//! a call, when a silent one is hedged, when a failed one is retried, and when the answer is final.
-//! A request for one replica is a request over one shard.
+//! Scatter-gather dispatch of a request to one replica of each of its shards: replica selection,
+//! hedging, retries, admission and completion. A request for one replica is a request over one shard.
 //!
-//! Not decided here: what routes and replicas there are (`sablebay-catalogue`), and how bytes
-//! travel (`sablebay-gateway`). No I/O, no clock, no ambient randomness: time and random draws are
-//! arguments.
+//! Routes and replicas come from `sablebay-catalogue`; `sablebay-gateway` does the networking. This
+//! crate performs no I/O and reads no clock: time and the random generator are arguments.
 
 mod admission;
 mod answer_lag;
--- a/crates/sablebay-dispatch/src/records.rs
+++ b/crates/sablebay-dispatch/src/records.rs
@@ -1,14 +1,14 @@
-//! Merging of fixed-size records: the greatest of all parts, greatest first.
+//! Merges fixed-size records: keeps the greatest of all parts, in descending order.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// The length of one record.
+/// Length of a record in bytes.
 pub const RECORD_BYTES: usize = 16;
 
 type Record = [u8; RECORD_BYTES];
 
-/// Keeps the greatest records that were added. Records compare byte by byte; equal ones all count.
+/// Keeps the greatest records added. Records are compared byte by byte, and duplicates are kept.
 #[derive(Debug)]
 pub struct TopRecords {
     limit: usize,
@@ -16,12 +16,12 @@
 }
 
 impl TopRecords {
-    /// Keeps `limit` records.
+    /// Creates an empty collection of at most `limit` records.
     pub fn new(limit: usize) -> Self {
         Self { limit, smallest_first: BinaryHeap::new() }
     }
 
-    /// Adds the records of one part. A rest shorter than a record is none.
+    /// Adds the records of one part. Ignores an incomplete record at the end.
     pub fn add(&mut self, part: &[u8]) {
         for record in part.as_chunks::<RECORD_BYTES>().0 {
             self.add_record(*record);
@@ -41,9 +41,9 @@
         }
     }
 
-    /// The records that were kept, greatest first.
+    /// Returns the kept records in descending order.
     pub fn into_bytes(self) -> Vec<u8> {
-        // Sorted by the reversed order, the greatest come first.
+        // `Reverse` makes the ascending order descending.
         let sorted = self.smallest_first.into_sorted_vec();
         sorted.iter().flat_map(|record| record.0).collect()
     }
--- a/crates/sablebay-dispatch/src/retry_claims.rs
+++ b/crates/sablebay-dispatch/src/retry_claims.rs
@@ -1,29 +1,29 @@
-//! How tenants share a budget for extra calls: while others are denied, none of them spends more than its part.
+//! Fair sharing of a retry budget between tenants.
 //!
-//! Who asks most often would else take nearly all of a budget that others have earned as well. Nothing is set
-//! aside beforehand: where nobody else is denied, one tenant may spend the whole.
+//! While other tenants are denied, no tenant may spend more than a fixed fraction of the budget. Nothing is
+//! reserved in advance: if no other tenant is denied, one tenant may spend the whole budget.
 
 use std::collections::{HashMap, VecDeque};
 
 use sablebay_model::Micros;
 use sablebay_tenants::TenantName;
 
-/// The part of the budget that one tenant may spend while another was denied. What is held back is lost if the denied
-/// do not ask again in the window; a half bounds that loss.
+/// Fraction of the budget that one tenant may spend while another is denied. Also bounds the budget left
+/// unused if the denied tenants do not ask again within the window.
 const MAXIMUM_TENANT_FRACTION: f64 = 0.5;
-/// Denied tenants that are remembered at the most. It takes one to hold another back.
+/// Maximum number of denied tenants to track. A single one is enough to limit the others.
 const MAXIMUM_DENIALS: usize = 32;
 
-/// Whom calls of a budget were granted, and who was denied one.
+/// Extra calls granted and denied by one budget, by tenant.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RetryClaims {
-    /// Calls that were granted in the window: no more than the budget.
+    /// Calls granted within the window; bounded by the budget.
     granted: VecDeque<Claim>,
-    /// The last denial of each tenant.
+    /// Last denial of each tenant.
     denied: VecDeque<Claim>,
 }
 
-/// A call that somebody asked for; nobody where the request has no tenant.
+/// An extra call requested by a tenant; `None` for requests without a tenant.
 #[derive(Clone, Debug)]
 struct Claim {
     tenant: Option<TenantName>,
@@ -31,8 +31,8 @@
 }
 
 impl RetryClaims {
-    /// Whether a tenant that would have more than its part of the budget gives way: another was denied within the
-    /// window that got less.
+    /// Returns whether one more call would put a tenant over its fraction of the budget while another tenant
+    /// that was granted fewer calls was denied within the window.
     pub(crate) fn is_over_fair_share(
         &mut self,
         tenant: Option<&TenantName>,
@@ -58,13 +58,13 @@
         self.denied.iter().any(|denial| granted_count(denial) < own)
     }
 
-    /// Notes a call that was granted.
+    /// Records a granted call.
     pub(crate) fn grant(&mut self, tenant: Option<&TenantName>, window: Micros, now: Micros) {
         evict_expired(&mut self.granted, window, now);
         self.granted.push_back(Claim { tenant: tenant.cloned(), at: now });
     }
 
-    /// Notes a call that was denied.
+    /// Records a denied call.
     pub(crate) fn deny(&mut self, tenant: Option<&TenantName>, now: Micros) {
         let known = self.denied.iter().position(|denial| denial.tenant.as_ref() == tenant);
         match known {
@@ -80,7 +80,7 @@
     }
 }
 
-/// Drops claims that have left the window; the oldest come first.
+/// Removes claims older than the window. Claims are ordered from oldest to newest.
 fn evict_expired(claims: &mut VecDeque<Claim>, window: Micros, now: Micros) {
     while claims.front().is_some_and(|oldest| now.since(oldest.at) > window) {
         claims.pop_front();
--- a/crates/sablebay-dispatch/src/retry_window.rs
+++ b/crates/sablebay-dispatch/src/retry_window.rs
@@ -1,10 +1,8 @@
-//! The budget for sending a request to more than one replica: a sliding window, shared by the
-//! fleet without talking about it.
+//! Retry budget for hedged and retried calls: a sliding window, shared by the fleet without coordination.
 //!
-//! The fleet may send `ratio` x requests + `fixed` extra calls to a service in any window. Each
-//! node spends what its own requests earn and, of the fixed part, its share: by the number of nodes, or
-//! where a few nodes own a service and send nearly all of its calls, mostly by the number of these.
-//! A node that knows few others does not thereby get more: see [`RetryAllowance::nodes`].
+//! The fleet may send `ratio` × requests + `fixed` extra calls to a service in any window. Each node
+//! spends `ratio` × its own requests plus its share of the fixed allowance. The fixed allowance is divided
+//! equally between all nodes or, if a few nodes own the service, mostly between the owners.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -14,45 +12,40 @@
 
 use crate::retry_claims::RetryClaims;
 
-/// Slots that a window is divided into.
+/// Number of slots in a window.
 const SLOTS: u64 = 20;
-/// The part of the allowance that is spent; the rest covers what nodes cannot see of one another.
+/// Fraction of the allowance that nodes spend; the rest covers differences between their views of the fleet.
 const SPENDABLE_FRACTION: f64 = 0.8;
 
-/// The part of the fixed allowance for a service with owners that the other nodes keep, for when its owners
-/// are of no use to them.
+/// Fraction of the fixed allowance reserved for the nodes that do not own a service, for when its owners
+/// fail.
 const NON_OWNER_FRACTION: f64 = 0.4;
-/// The same at the most, where there are so many that their share would come to less than one call.
+/// Upper limit of that fraction where it is raised to give each of these nodes at least one call.
 const MAXIMUM_NON_OWNER_FRACTION: f64 = 0.6;
 
-/// The share in the fixed allowance that is spent as one call; a little more, against rounding.
+/// Share of the fixed allowance that is enough for one call, with a margin for rounding errors.
 const ONE_CALL_SHARE: f64 = 1.001 / SPENDABLE_FRACTION;
 
-/// Who sends calls to a service.
+/// How the fixed allowance of a service is divided between nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BudgetShare {
-    /// All nodes alike.
+    /// Equally between all nodes.
     #[default]
     All,
-    /// This node, as one of a few owners.
+    /// This node is one of a few owners.
     Owner {
-        /// How many there are.
+        /// Number of owners, including this node.
         owners: usize,
     },
-    /// A few others do; this node only where they are of no use.
+    /// This node does not own the service and calls it only if the owners fail.
     NonOwner {
-        /// How many the others are.
+        /// Number of owners.
         owners: usize,
     },
 }
 
 impl BudgetShare {
-    /// This node's share of the fixed allowance.
-    ///
-    /// On 76 nodes with 12 owners of each shard, an owner that had a share by the number of all nodes could
-    /// send a second call for 19 in 100 of its first ones, while 40 in 100 of the replicas were slow or dark;
-    /// with this share it may for 29, by arithmetic. With a share a third larger, the worst seconds of such days
-    /// kept 0.03 to 0.08 more of what they are worth.
+    /// Returns this node's share of the fixed allowance. The shares of all nodes add up to the allowance.
     pub fn of_fixed(self, allowance: &RetryAllowance) -> f64 {
         let nodes = allowance.nodes.max(1) as f64;
         let (BudgetShare::Owner { owners } | BudgetShare::NonOwner { owners }) = self else {
@@ -73,16 +66,17 @@
     }
 }
 
-/// What the fleet may send beyond the first call of each request.
+/// Extra calls that the fleet may send beyond the first call of each request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryAllowance {
-    /// Extra calls for each request.
+    /// Extra calls per request.
     pub ratio: f64,
-    /// Extra calls whatever the traffic, for the whole fleet.
+    /// Extra calls of the whole fleet per window, regardless of traffic.
     pub fixed: f64,
-    /// The length of the window.
+    /// Length of the window.
     pub window: Micros,
-    /// Nodes that share the fixed part: the highest number of late.
+    /// Number of nodes that share the fixed allowance: the highest recent number, so that a node that loses
+    /// sight of others does not spend more.
     pub nodes: usize,
 }
 
@@ -93,7 +87,7 @@
     extra: u64,
 }
 
-/// The calls of one node to one service over the last window.
+/// Calls of one node to one service within the last window.
 #[derive(Clone, Debug, Default)]
 pub struct RetryWindow {
     slots: VecDeque<Slot>,
@@ -101,19 +95,18 @@
 }
 
 impl RetryWindow {
-    /// Counts a request for the service.
+    /// Counts a request to the service.
     pub fn count_request(&mut self, allowance: &RetryAllowance, now: Micros) {
         self.slot(allowance, now).requests += 1;
     }
 
-    /// Takes an extra call out of the budget; false when there is none left. `share` says who else sends
-    /// such calls.
+    /// Charges an extra call to the budget. Returns false if the budget is exhausted.
     pub fn spend(&mut self, allowance: &RetryAllowance, share: BudgetShare, now: Micros) -> bool {
         self.spend_for(None, allowance, share, now)
     }
 
-    /// The same for a request of a tenant: false as well where it would have more than its part, and another that got
-    /// less was denied.
+    /// Charges an extra call of a tenant to the budget. Returns false if the budget is exhausted, or if the
+    /// tenant exceeds its fair share while another one is denied.
     pub fn spend_for(
         &mut self,
         tenant: Option<&TenantName>,
@@ -135,14 +128,14 @@
         granted
     }
 
-    /// The calls that may be spent in the window.
+    /// Returns the number of extra calls allowed within the window.
     fn budget(&self, allowance: &RetryAllowance, share: BudgetShare) -> f64 {
         let requests: u64 = self.slots.iter().map(|slot| slot.requests).sum();
         SPENDABLE_FRACTION * (allowance.ratio * requests as f64 + share.of_fixed(allowance))
     }
 
-    /// The slot of this moment, after those that have left the window were dropped. The window is
-    /// one slot longer than the allowance's, so that no shorter span can hold more.
+    /// Removes expired slots and returns the current one. Slots cover one slot more than the allowance's
+    /// window, so that the bound holds for any span of that length.
     fn slot(&mut self, allowance: &RetryAllowance, now: Micros) -> &mut Slot {
         let number = now.0 / (allowance.window.0 / SLOTS).max(1);
         while self.slots.front().is_some_and(|slot| slot.number + SLOTS < number) {
@@ -155,7 +148,7 @@
     }
 }
 
-/// The budgets of every service.
+/// Retry budgets of all services.
 #[derive(Debug, Default)]
 pub struct RetryBudgets {
     windows: HashMap<ServiceName, RetryWindow>,
@@ -163,7 +156,7 @@
 }
 
 impl RetryBudgets {
-    /// Counts a request for a service.
+    /// Counts a request to a service.
     pub fn count_request(&mut self, service: &ServiceName, allowance: &RetryAllowance, now: Micros) {
         match self.windows.get_mut(service) {
             Some(window) => window.count_request(allowance, now),
@@ -171,8 +164,8 @@
         }
     }
 
-    /// Takes an extra call to a service out of its budget, for a request of a tenant; false when there is none left,
-    /// or when the tenant gives way to others.
+    /// Charges an extra call of a tenant to the budget of a service. Returns false if the budget is
+    /// exhausted, or if the tenant exceeds its fair share.
     pub fn spend(
         &mut self,
         service: &ServiceName,
@@ -184,12 +177,12 @@
         self.windows.entry(service.clone()).or_default().spend_for(tenant, allowance, share, now)
     }
 
-    /// Sets who sends calls to the services that a few nodes own; to all others, every node does.
+    /// Sets the shares of the services that a few nodes own. All other services use [`BudgetShare::All`].
     pub fn set_shares(&mut self, shares: HashMap<ServiceName, BudgetShare>) {
         self.shares = shares;
     }
 
-    /// Forgets services that `keep` does not name.
+    /// Removes services for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&ServiceName) -> bool) {
         self.windows.retain(|service, _| keep(service));
     }
