--- a/crates/sablebay-dispatch/tests/delegation.rs
+++ b/crates/sablebay-dispatch/tests/delegation.rs
@@ -1,5 +1,5 @@
-//! Shards that other nodes gather: who is asked, and the request's state machine under any order of
-//! parts, failures and time.
+//! Tests of delegated shards: the choice of gatherers, and the request state machine with merged parts,
+//! failures and timer events in any order.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 const REPORT_AT: Micros = Micros::from_millis(10_400);
 const RESCUE_DELAY: Micros = Micros::from_millis(100);
 
-/// Shards with one replica in each of the zones named for them.
+/// Builds shards with one replica in each of the given zones.
 fn targets(zones_of: &[&[&str]]) -> Vec<ShardTargets> {
     let replica = |shard: usize, zone: &str| RoutableReplica {
         replica: Arc::new(Replica {
@@ -78,7 +78,7 @@
     let others = [node("n2", "a"), node("n3", "b")];
     let shards = targets(&[&["a", "b"], &["c", "a"], &["b", "a"], &["a", "b"], &["c"]]);
     let chosen = choose(&own, &others, &shards, 30.0, 1);
-    assert_eq!(chosen.len(), 1, "one node of one zone is asked");
+    assert_eq!(chosen.len(), 1, "shards must go to one node of one zone");
     assert_eq!(chosen[0].shards, [0, 2, 3]);
 }
 
@@ -106,17 +106,26 @@
     table.sent(&others[0].node, CallKey(1), RESCUE_DELAY, START);
     for seed in 0..20 {
         let chosen = chosen_by(&table, seed);
-        assert_eq!(chosen.as_ref(), Some(&others[1].node), "the other was silent for the rescue delay");
+        assert_eq!(
+            chosen.as_ref(),
+            Some(&others[1].node),
+            "the other node has exceeded the gatherer timeout"
+        );
     }
     for key in [1, 2] {
         table.failed(&others[1].node, CallKey(key), now);
     }
-    assert_eq!(chosen_by(&table, 1), None, "nobody is left to ask");
+    assert_eq!(chosen_by(&table, 1), None, "no healthy gatherer is left");
     table.reported(&others[0].node, CallKey(1), 0.0, now);
-    assert_eq!(chosen_by(&table, 1).as_ref(), Some(&others[0].node), "a word takes its silence back");
+    assert_eq!(
+        chosen_by(&table, 1).as_ref(),
+        Some(&others[0].node),
+        "a report makes the silent node eligible again"
+    );
 }
 
-/// The owners of each shard in a zone of many nodes that take few requests: whom any node asks.
+/// Returns the owners of each shard in a zone with many nodes and few requests, from the delegations of all
+/// nodes.
 fn owners(nodes: &[GathererNode], shards: &[ShardTargets]) -> Vec<BTreeSet<NodeId>> {
     let mut owners = vec![BTreeSet::new(); shards.len()];
     for own in nodes {
@@ -142,13 +151,16 @@
     let nodes: Vec<_> = (0..20).map(|number| node(&format!("n{number}"), "a")).collect();
     let shards = targets(&[&["a", "b"][..]; 90]);
     let before = owners(&nodes, &shards);
-    assert!(before.iter().all(|owners| owners.len() == 2), "16 calls a second want two owners");
+    assert!(before.iter().all(|owners| owners.len() == 2), "16 calls per second need two owners");
     let gone = nodes[7].node.clone();
     let left: Vec<_> = nodes.iter().filter(|known| known.node != gone).cloned().collect();
     for (owners, before) in owners(&left, &shards).iter().zip(&before) {
         assert!(!owners.contains(&gone));
         let stayed = before.iter().filter(|owner| owners.contains(*owner)).count();
-        assert!(stayed >= 1 && (stayed == 2 || before.contains(&gone)), "only its own shards move");
+        assert!(
+            stayed >= 1 && (stayed == 2 || before.contains(&gone)),
+            "only shards of the node that left may change owner"
+        );
     }
 }
 
@@ -165,8 +177,11 @@
             let mut seen = BTreeSet::new();
             for delegated in &chosen {
                 assert!(delegated.shards.is_sorted_by(|one, next| one < next));
-                assert!(delegated.shards.len() >= 3, "so few are smaller apart than merged");
-                assert!(delegated.shards.iter().all(|shard| seen.insert(*shard)), "in one part alone");
+                assert!(delegated.shards.len() >= 3, "fewer than three shards must be called directly");
+                assert!(
+                    delegated.shards.iter().all(|shard| seen.insert(*shard)),
+                    "a shard is in two delegations"
+                );
             }
         }
     }
@@ -192,10 +207,14 @@
     }
     for shard in 0..90 {
         let owners = kept.values().filter(|kept| kept[shard]).count();
-        assert_eq!(owners, 6, "two and a spare one in each zone");
+        assert_eq!(owners, 6, "two owners and one standby in each of two zones");
         assert_eq!(owners, gatherer_count(&nodes[0], &nodes[1..], 0.8));
     }
-    assert_eq!(owned_shards(&nodes[0], &nodes[1..], &names, 30.0), None, "here every node owns all");
+    assert_eq!(
+        owned_shards(&nodes[0], &nodes[1..], &names, 30.0),
+        None,
+        "every node owns all shards at a high request rate"
+    );
 }
 
 #[test]
@@ -213,10 +232,13 @@
         let kept = owned_shards(own, &others, &names, 0.2).expect("few nodes own a shard");
         let mut direct: BTreeSet<usize> = (0..180).collect();
         direct.retain(|shard| !chosen.iter().any(|delegated| delegated.shards.contains(shard)));
-        assert!(direct.iter().all(|shard| kept[*shard]), "only what this node owns is called directly");
+        assert!(
+            direct.iter().all(|shard| kept[*shard]),
+            "only shards owned by this node may be called directly"
+        );
         for delegated in &chosen {
             assert_eq!(delegated.zone, own.zone);
-            assert!(delegated.shards.len() >= 12, "whole chunks");
+            assert!(delegated.shards.len() >= 12, "a chunk was split");
             assert!(delegated.fallback.as_ref().is_some_and(|second| *second != delegated.gatherer));
         }
     }
@@ -232,7 +254,10 @@
         for delegated in choose(own, &others, &shards, 0.2, 1) {
             *given.entry(delegated.gatherer).or_default() += delegated.shards.len();
         }
-        assert!(given.values().all(|shards| *shards <= 2 * 14), "at most two chunks at one node: {given:?}");
+        assert!(
+            given.values().all(|shards| *shards <= 2 * 14),
+            "more than two chunks at one node: {given:?}"
+        );
     }
 }
 
@@ -250,12 +275,16 @@
     };
     let large: usize = nodes[..5].iter().map(owned).sum();
     let small: usize = nodes[5..].iter().map(owned).sum();
-    assert_eq!(large + small, 3 * 400, "two owners of each and a spare one");
-    // Five of 50 nodes have a third of the cores; draws without repetition even that out a little.
-    assert!((2.0..6.0).contains(&(9.0 * large as f64 / small as f64)), "{large} and {small}");
+    assert_eq!(large + small, 3 * 400, "two owners and one standby per shard");
+    // Five of 50 nodes have about a third of the CPU. A node owns a chunk only once, which reduces their
+    // share.
+    assert!(
+        (2.0..6.0).contains(&(9.0 * large as f64 / small as f64)),
+        "{large} shards at large nodes, {small} at small ones"
+    );
 }
 
-/// A request with everything around it, and a record of what was sent.
+/// Runs a request and records the calls that it sends.
 struct Harness {
     fanout: Fanout,
     table: ReplicaTable,
@@ -263,20 +292,20 @@
     allowance: RetryAllowance,
     random: SmallRng,
     now: Micros,
-    /// The shards of each call, and whether it went to a gatherer.
+    /// The shards of each call, and whether the call went to a gatherer.
     sent: BTreeMap<CallNumber, (Vec<usize>, bool)>,
-    /// What the gatherers were asked for, by call.
+    /// The delegations sent, by call.
     asked: BTreeMap<CallNumber, DelegatedShards>,
     open: Vec<CallNumber>,
 }
 
 impl Harness {
-    /// Eight shards; the first four are gathered by one node, the next two by another.
+    /// Starts a request over eight shards; one node gathers the first four, another the next two.
     fn new(minimum_shards: usize, fixed: f64) -> Self {
         Self::with_second(minimum_shards, fixed, None)
     }
 
-    /// The same; another node may take over from either gatherer.
+    /// Like `new`, with an optional fallback for both gatherers.
     fn with_second(minimum_shards: usize, fixed: f64, second: Option<&str>) -> Self {
         let settings = FanoutSettings {
             repeatability: Repeatability::Repeatable,
@@ -366,7 +395,7 @@
         self.step(|fanout, context| fanout.on_wake(context));
     }
 
-    /// Answers every open call to a replica.
+    /// Answers all open calls to replicas.
     fn answer_replicas(&mut self) {
         for call in self.open.clone() {
             if !self.sent[&call].1 {
@@ -391,7 +420,7 @@
 #[test]
 fn merged_parts_and_single_answers_make_a_whole() {
     let mut harness = Harness::new(8, 100.0);
-    assert!(harness.gathered(0, &[0, 1, 3], &[], false), "what is in comes before the rest");
+    assert!(harness.gathered(0, &[0, 1, 3], &[], false), "a partial report is accepted");
     assert!(harness.gathered(1, &[4, 5], &[], true));
     harness.answer_replicas();
     assert_eq!(harness.fanout.outcome(), None, "shard 2 is still being gathered");
@@ -410,7 +439,10 @@
 fn the_shards_of_a_gatherer_that_broke_are_paid_for() {
     let mut harness = Harness::new(4, 0.0);
     harness.step(|fanout, context| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, context));
-    assert!((0..4).all(|shard| harness.direct_calls_of(shard) == 0), "its calls may have arrived");
+    assert!(
+        (0..4).all(|shard| harness.direct_calls_of(shard) == 0),
+        "the gatherer's calls may have arrived, and no budget is left"
+    );
     let mut harness = Harness::new(8, 100.0);
     harness.step(|fanout, context| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, context));
     assert!((0..4).all(|shard| harness.direct_calls_of(shard) == 1));
@@ -422,8 +454,14 @@
     harness.answer_replicas();
     harness.gathered(1, &[], &[], false);
     harness.wait(START.plus(RESCUE_DELAY));
-    assert!((0..4).all(|shard| harness.direct_calls_of(shard) == 1), "all of a silent one's, at once");
-    assert!((4..6).all(|shard| harness.direct_calls_of(shard) == 0), "the other hedges by itself");
+    assert!(
+        (0..4).all(|shard| harness.direct_calls_of(shard) == 1),
+        "all shards of the silent gatherer must be called directly"
+    );
+    assert!(
+        (4..6).all(|shard| harness.direct_calls_of(shard) == 0),
+        "a gatherer that reports hedges its own shards"
+    );
     harness.answer_replicas();
     assert!(harness.gathered(1, &[4, 5], &[], true));
     assert_eq!(harness.fanout.outcome(), Some(FanoutOutcome::Answered { missing: 0 }));
@@ -433,11 +471,16 @@
 fn a_merged_part_takes_the_place_of_single_answers_and_never_stands_beside_them() {
     let mut harness = Harness::new(8, 100.0);
     harness.wait(START.plus(RESCUE_DELAY));
-    let rescue = *harness.sent.iter().find(|(_, sent)| **sent == (vec![1], false)).expect("a rescue").0;
-    assert_eq!(harness.answer(rescue), Some(1));
-    assert!(harness.gathered(0, &[0, 1, 2, 3], &[], true), "four shards are worth more than one");
-    assert_eq!(harness.fanout.answered_by(1), Some(CallNumber(0)), "the single answer no longer counts");
-    assert!(!harness.open.contains(&rescue));
+    let direct_call =
+        *harness.sent.iter().find(|(_, sent)| **sent == (vec![1], false)).expect("a direct call").0;
+    assert_eq!(harness.answer(direct_call), Some(1));
+    assert!(harness.gathered(0, &[0, 1, 2, 3], &[], true), "the merged part replaces the single answer");
+    assert_eq!(
+        harness.fanout.answered_by(1),
+        Some(CallNumber(0)),
+        "the single answer must not count any more"
+    );
+    assert!(!harness.open.contains(&direct_call));
 }
 
 #[test]
@@ -446,15 +489,18 @@
     harness.answer_replicas();
     harness.gathered(1, &[], &[], false);
     harness.wait(START.plus(RESCUE_DELAY));
-    assert!((0..8).all(|shard| harness.direct_calls_of(shard) == usize::from(shard >= 6)), "no direct call");
+    assert!(
+        (0..8).all(|shard| harness.direct_calls_of(shard) == usize::from(shard >= 6)),
+        "shards of a silent gatherer must go to its fallback, not to replicas"
+    );
     let (call, asked) = harness.asked.iter().next_back().expect("another gatherer is asked");
     assert_eq!((asked.gatherer.as_str(), asked.shards.as_slice()), ("n3", &[0, 1, 2, 3][..]));
-    assert!(asked.continued, "the first may have sent something");
+    assert!(asked.continued, "the first gatherer may have sent calls");
     let call = *call;
     assert!(harness.gathered(call.0, &[0, 1, 2], &[], false));
-    assert!(!harness.gathered(0, &[0, 1], &[], false), "a shard stands in one part");
-    assert!(harness.gathered(0, &[3], &[], true), "the first was only slow");
-    assert!(!harness.open.contains(&call), "nothing is left that it is needed for");
+    assert!(!harness.gathered(0, &[0, 1], &[], false), "a shard must not be accepted in two parts");
+    assert!(harness.gathered(0, &[3], &[], true), "a late report of the first gatherer is accepted");
+    assert!(!harness.open.contains(&call), "a gatherer without outstanding shards must be canceled");
     assert!(harness.gathered(1, &[4, 5], &[], true));
     assert_eq!(harness.fanout.outcome(), Some(FanoutOutcome::Answered { missing: 0 }));
 }
@@ -476,7 +522,10 @@
     assert_eq!((asked.shards.as_slice(), asked.continued), (&[0, 1, 2, 3][..], false));
     let call = *call;
     harness.step(|fanout, context| fanout.on_gatherer_failure(call, CallFailure::Rejected, context));
-    assert!((0..4).all(|shard| harness.direct_calls_of(shard) == 1), "first calls, with no other owner left");
+    assert!(
+        (0..4).all(|shard| harness.direct_calls_of(shard) == 1),
+        "without a fallback, first calls are sent directly and free of charge"
+    );
 }
 
 #[test]
@@ -487,7 +536,7 @@
     harness.step(|fanout, context| fanout.on_gatherer_failure(call, CallFailure::Rejected, context));
     assert!(
         (0..4).all(|shard| harness.direct_calls_of(shard) == 0),
-        "the calls of the first may have arrived"
+        "calls of the first gatherer may have arrived"
     );
 }
 
@@ -500,7 +549,7 @@
     harness.step(|fanout, context| fanout.on_gatherer_failure(second, CallFailure::Broken, context));
     harness.step(|fanout, context| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Rejected, context));
     let attempts: Vec<u32> = (0..4).map(|shard| harness.fanout.attempts(shard)).collect();
-    assert_eq!(attempts, [2; 4], "one there, and one here");
+    assert_eq!(attempts, [2; 4], "one attempt by the gatherer, one by this node");
 }
 
 #[test]
@@ -509,21 +558,21 @@
     harness.gathered(0, &[], &[], false);
     harness.gathered(1, &[], &[], false);
     harness.wait(START.plus(RESCUE_DELAY));
-    assert_eq!(harness.asked.len(), 2, "both live");
+    assert_eq!(harness.asked.len(), 2, "both gatherers have reported in time");
     harness.gathered(1, &[4], &[], false);
     harness.wait(REPORT_AT.plus(RESCUE_DELAY));
-    assert_eq!(harness.asked.len(), 3, "the one that has said nothing more");
+    assert_eq!(harness.asked.len(), 3, "the gatherer without a second report must be replaced");
     assert_eq!(harness.asked.values().next_back().expect("three").shards, [0, 1, 2, 3]);
 }
 
 #[test]
 fn what_a_gatherer_may_not_say_is_not_taken() {
     let mut harness = Harness::new(8, 100.0);
-    assert!(!harness.gathered(0, &[0, 4], &[], false), "shard 4 is not its own");
-    assert!(!harness.gathered(0, &[1, 1], &[], false), "a shard stands once");
+    assert!(!harness.gathered(0, &[0, 4], &[], false), "shard 4 is not delegated to this gatherer");
+    assert!(!harness.gathered(0, &[1, 1], &[], false), "a shard must not be repeated");
     assert!(!harness.gathered(0, &[99], &[99], false), "there is no such shard");
     assert!(harness.gathered(0, &[0, 1], &[], false));
-    assert!(!harness.gathered(0, &[1, 2], &[], false), "it told of shard 1 before");
+    assert!(!harness.gathered(0, &[1, 2], &[], false), "shard 1 was reported before");
     assert!(!harness.gathered(7, &[7], &[], true), "that call is not a delegation");
 }
 
@@ -569,12 +618,12 @@
         events in proptest::collection::vec(event(), 0..40),
     ) {
         let mut harness = Harness::with_second(minimum, 20.0, second.then_some("n3"));
-        // The shards of each taken part, by call, as a shell keeps them.
+        // The shards of each accepted part, by call, as the gateway keeps them.
         let mut parts: Vec<(CallNumber, Vec<usize>)> = Vec::new();
         for event in events {
             match event {
                 Event::Gathered { first, answered, closed, retried, last } => {
-                    // Of the nodes that were asked for these shards, the last: the one before is given up.
+                    // The most recent gatherer of these shards; an earlier one has been replaced.
                     let offset = if first { 0 } else { 4 };
                     let of_these = |asked: &&DelegatedShards| asked.shards.iter().all(|shard| (*shard < 4) == first);
                     let last_asked = harness.asked.iter().rfind(|(_, asked)| of_these(asked));
@@ -626,37 +675,37 @@
                 .flat_map(|(_, shards)| shards.clone());
             let counted: Vec<usize> = counted.collect();
             let distinct: BTreeSet<usize> = counted.iter().copied().collect();
-            prop_assert_eq!(distinct.len(), counted.len(), "each shard stands in one part");
+            prop_assert_eq!(distinct.len(), counted.len(), "a shard is counted in two parts");
             let answered = (0..8).filter(|shard| harness.fanout.answered_by(*shard).is_some()).count();
-            prop_assert_eq!(answered, counted.len(), "no shard counts whose part does not stand");
+            prop_assert_eq!(answered, counted.len(), "a shard is answered by a part that is not counted");
             if let Some(FanoutOutcome::Answered { missing }) = harness.fanout.outcome() {
-                prop_assert_eq!(missing, 8 - counted.len(), "what the caller is told is true");
+                prop_assert_eq!(missing, 8 - counted.len(), "the reported number of missing shards is wrong");
                 prop_assert!(counted.len() >= minimum);
             }
             for shard in 0..8 {
-                prop_assert!(harness.direct_calls_of(shard) <= 8, "calls are bounded");
-                prop_assert!(harness.fanout.attempts(shard) <= 2, "no more replicas than the route allows");
+                prop_assert!(harness.direct_calls_of(shard) <= 8, "too many direct calls of a shard");
+                prop_assert!(harness.fanout.attempts(shard) <= 2, "more replicas used than the route allows");
             }
         }
         harness.wait(DEADLINE.max(harness.now));
         prop_assert!(harness.fanout.outcome().is_some(), "the deadline ends every request");
-        prop_assert!(harness.open.is_empty(), "and abandons what is open");
+        prop_assert!(harness.open.is_empty(), "the deadline cancels all open calls");
     }
 }
 
-/// One of the two nodes that send the calls of delegated shards, and the replicas that it has used.
+/// A node that sends calls of delegated shards, with the replicas that it has used.
 struct Sender {
     fanout: Fanout,
     budgets: RetryBudgets,
     random: SmallRng,
     used: BTreeSet<(usize, ReplicaId)>,
     open: Vec<CallNumber>,
-    /// What the node asks others for, the newest last, with its spares.
+    /// The delegations of the node with their spares, the newest last.
     delegated: Vec<(CallNumber, DelegatedShards, Vec<Option<ReplicaId>>)>,
 }
 
 impl Sender {
-    /// One that was not started.
+    /// Creates a sender without starting its request.
     fn idle(fanout: Fanout) -> Self {
         Self {
             fanout,
@@ -740,8 +789,8 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(47), cases: 500, ..Config::default() })]
 
-    /// Seen on the grown sites (scores 9af389ad and b3080100): a gatherer that was late with its sign
-    /// of life had sent a shard to two replicas, and the root to a third of two allowed.
+    /// Guards against using too many replicas when a gatherer reports late, so that both nodes send calls
+    /// of the same shard.
     #[test]
     fn a_root_and_its_gatherer_use_no_more_replicas_than_the_route_allows(
         maximum_attempts in 1u32..4,
@@ -795,7 +844,8 @@
             }
         }
     }
-    /// The same of three nodes: another gatherer takes over from the first, which may only be slow.
+
+    /// Like the test above, with a fallback that takes over from a gatherer that may only be slow.
     #[test]
     fn no_more_replicas_are_used_than_the_route_allows_also_when_another_takes_over(
         maximum_attempts in 1u32..4,
@@ -827,7 +877,7 @@
             let (_, delegated, spares) = root.delegated[asked].clone();
             let fanout = Fanout::new(settings, targets(&zones)).with_spares(spares);
             let fanout = if delegated.continued { fanout.continuing() } else { fanout };
-            // Not one of the calls of a gatherer that turns out to refuse was sent.
+            // A gatherer that will refuse sends no calls.
             let runs = delegated.continued || !refuses;
             if runs { Sender::new(fanout, !seed ^ asked as u64) } else { Sender::idle(fanout) }
         };
@@ -853,7 +903,7 @@
                         fanout.on_gatherer_failure(call, CallFailure::Broken, context);
                     });
                 }
-                // One that ran something does not say that it refuses.
+                // A gatherer that has sent calls cannot refuse.
                 Race::GathererRefuses if gatherer.used.is_empty() => {
                     let call = root.delegated[if of_first { 0 } else { last }].0;
                     root.step(now, |fanout, context| {
--- a/crates/sablebay-dispatch/tests/fanout.rs
+++ b/crates/sablebay-dispatch/tests/fanout.rs
@@ -1,4 +1,4 @@
-//! The state machine of one request, under any order of answers, failures and time.
+//! Tests of the request state machine, with answers, failures and timer events in any order.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -56,7 +56,7 @@
     }
 }
 
-/// A request with everything around it, and a record of what was sent.
+/// Runs a request and records the calls that it sends.
 struct Harness {
     fanout: Fanout,
     table: ReplicaTable,
@@ -141,7 +141,7 @@
     assert_ne!(harness.sent[&CallNumber(0)].1, harness.sent[&CallNumber(1)].1);
     assert_eq!(harness.answer(CallNumber(1)), Some(0));
     assert_eq!(harness.fanout.outcome(), Some(FanoutOutcome::Answered { missing: 0 }));
-    assert!(harness.open.is_empty(), "the silent call is abandoned");
+    assert!(harness.open.is_empty(), "the call to the silent replica is still open");
 }
 
 #[test]
@@ -156,7 +156,7 @@
     let mut harness = Harness::new(settings(Repeatability::Repeatable, 2), targets(3, 1), 10.0);
     harness.answer(CallNumber(0));
     harness.wait(PARTIAL_AT);
-    assert_eq!(harness.fanout.outcome(), None, "one of three is too few");
+    assert_eq!(harness.fanout.outcome(), None, "one of three shards is fewer than the minimum");
     harness.answer(CallNumber(1));
     assert_eq!(harness.fanout.outcome(), Some(FanoutOutcome::Answered { missing: 1 }));
 }
@@ -180,7 +180,11 @@
     harness.fail(CallNumber(0), CallFailure::NoConnection);
     assert_eq!(harness.sent.len(), 2);
     harness.fail(CallNumber(1), CallFailure::NoConnection);
-    assert_eq!(harness.fanout.outcome(), None, "a replica may take a connection in a moment");
+    assert_eq!(
+        harness.fanout.outcome(),
+        None,
+        "the shard is rescheduled, since a replica may accept connections later"
+    );
     for call in 2.. {
         if harness.fanout.outcome().is_some() {
             break;
@@ -191,11 +195,11 @@
         harness.fail(CallNumber(call), CallFailure::NoConnection);
     }
     assert_eq!(harness.fanout.outcome(), Some(FanoutOutcome::NotRun));
-    assert!(harness.now < PARTIAL_AT, "it is not held back");
+    assert!(harness.now < PARTIAL_AT, "the request fails before the target latency");
 }
 
-/// Seen on a recorded day (inc-89a1): after all nodes had lost power the replicas refused their
-/// connections for a moment, and requests with 2 s to wait failed after 10 ms.
+/// Guards against failing a request at once when all replicas briefly refuse connections, for example
+/// after a power loss.
 #[test]
 fn a_shard_that_reached_no_replica_is_tried_anew() {
     let mut harness = Harness::new(settings(Repeatability::AtMostOnce, 1), targets(1, 1), 0.0);
@@ -238,11 +242,11 @@
     }
     for calls in by_shard.values() {
         let arrived = calls.iter().filter(|call| harness.ends.get(call) != Some(&Execution::NotSent)).count();
-        assert!(arrived <= 2, "no more replicas than the route allows");
+        assert!(arrived <= 2, "a shard was sent to more replicas than the route allows");
         let possible =
             calls.iter().filter(|call| matches!(harness.ends.get(call), None | Some(Execution::Possible)));
         if repeatability == Repeatability::AtMostOnce {
-            assert!(possible.count() <= 1, "a request that may not be repeated can run once at the most");
+            assert!(possible.count() <= 1, "a request that is not repeatable may run at most once");
         }
     }
     if let Some(FanoutOutcome::NotRun | FanoutOutcome::Expired { may_have_run: false }) =
@@ -252,7 +256,7 @@
             .sent
             .keys()
             .all(|call| matches!(harness.ends.get(call), Some(Execution::NotSent | Execution::NotRun)));
-        assert!(all_known, "it is called not run only when no call can have run");
+        assert!(all_known, "\"not run\" is reported although a call may have run");
     }
 }
 
@@ -293,11 +297,11 @@
         harness.wait(DEADLINE.max(harness.now));
         check(&harness, repeatability);
         prop_assert!(harness.fanout.outcome().is_some(), "the deadline ends every request");
-        prop_assert!(harness.open.is_empty(), "and abandons what is open");
+        prop_assert!(harness.open.is_empty(), "the deadline cancels all open calls");
     }
 }
 
-/// Answers the open calls of all shards from `first_open` on.
+/// Answers all open calls except those of the shards below `first_open`.
 fn answer_all_but(harness: &mut Harness, first_open: usize) {
     for call in harness.open.clone() {
         if harness.sent[&call].0 >= first_open {
@@ -314,7 +318,7 @@
         harness.now = harness.fanout.next_wake();
         harness.step(|fanout, context| fanout.on_wake(context));
     }
-    assert_eq!(harness.sent.len(), 20, "the load is everywhere: a second call finds the same queues");
+    assert_eq!(harness.sent.len(), 20, "general overload must not cause hedged calls");
 }
 
 #[test]
--- a/crates/sablebay-dispatch/tests/gathering_bounds.rs
+++ b/crates/sablebay-dispatch/tests/gathering_bounds.rs
@@ -1,5 +1,5 @@
-//! What gathering for others costs fleets of any size: owners of a shard, frames of a request, and
-//! owners that change when nodes come and go, also while nodes disagree on who is there.
+//! Tests that the cost of gathering is bounded at any fleet size: owners per shard, delegations per
+//! request, and ownership changes when nodes join or leave or disagree on the membership.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,15 +14,15 @@
 
 const SHARDS: usize = 180;
 const ZONES: usize = 6;
-/// Gathered requests a second that callers bring to the whole fleet.
+/// Gathered requests per second that callers send to the whole fleet.
 const FLEET_RATE: f64 = 60.0;
 const SIZES: [usize; 4] = [8, 64, 300, 2_700];
-/// Two owners in each zone and a spare one.
+/// Two owners and one standby in each zone.
 const OWNERS: usize = 3 * ZONES;
 
 type Owned = BTreeSet<(NodeId, usize)>;
 
-/// A sixteenth of the nodes has four times the processor of the others.
+/// Builds a fleet in which every sixteenth node has about four times the CPU quota of the others.
 fn fleet(size: usize) -> Vec<GathererNode> {
     let node = |number: usize| GathererNode {
         node: NodeId::new(format!("n{number}")),
@@ -37,7 +37,8 @@
     (0..SHARDS).map(|shard| ServiceName::new(format!("s{shard}"))).collect()
 }
 
-/// Which node keeps connections to which shard's replicas, as each believes that sees `seen_by` it.
+/// Returns which nodes keep connections to which shards' replicas, each deciding from the nodes that
+/// `seen_by` returns for it.
 fn owned<'a>(nodes: &'a [GathererNode], seen_by: impl Fn(&GathererNode) -> Vec<GathererNode> + 'a) -> Owned {
     let names = shards();
     let rate = FLEET_RATE / nodes.len() as f64;
@@ -93,7 +94,10 @@
             now: Micros::from_secs(1),
         };
         let asked = choose_gatherers(&inputs, &mut SmallRng::seed_from_u64(1)).len();
-        assert!(asked <= 14, "{asked} nodes asked in a fleet of {size}: the square root of the shards");
+        assert!(
+            asked <= 14,
+            "{asked} delegations in a fleet of {size}, more than the square root of the shards"
+        );
     }
 }
 
@@ -108,7 +112,7 @@
             let gone: BTreeSet<&NodeId> = nodes[..leaving].iter().map(|node| &node.node).collect();
             let lost = before.iter().filter(|(node, _)| gone.contains(node)).count();
             let moved = after.difference(&before).count();
-            assert_eq!(moved, lost, "{leaving} of {size}: what they owned is owned by others, and no more");
+            assert_eq!(moved, lost, "{leaving} of {size} nodes left: only their shards may change owner");
         }
     }
 }
@@ -117,7 +121,7 @@
 fn nodes_that_disagree_on_who_is_there_still_ask_those_that_keep_connections() {
     for size in [64, 300] {
         let nodes = fleet(size);
-        // Each node misses a tenth of the others.
+        // Each node is unaware of a tenth of the others.
         let seen_by = |own: &GathererNode| {
             let mut random =
                 SmallRng::seed_from_u64(nodes.iter().position(|node| node == own).unwrap_or(0) as u64);
@@ -127,7 +131,7 @@
         };
         let owned = owned(&nodes, seen_by);
         let most = *owners_of_shards(&owned).values().max().expect("every shard has owners");
-        assert!(most <= 2 * OWNERS, "{most} nodes keep connections to a shard's replicas, of {size}");
+        assert!(most <= 2 * OWNERS, "{most} of {size} nodes keep connections to the replicas of a shard");
         let names = shards();
         let targets: Vec<ShardTargets> = names
             .iter()
@@ -149,6 +153,9 @@
                 kept += delegated.shards.iter().filter(keeps).count();
             }
         }
-        assert!(kept as f64 >= 0.95 * asked as f64, "{kept} of {asked} shards at an owner, of {size}");
+        assert!(
+            kept as f64 >= 0.95 * asked as f64,
+            "only {kept} of {asked} delegated shards went to an owner, fleet of {size}"
+        );
     }
 }
--- a/crates/sablebay-dispatch/tests/records.rs
+++ b/crates/sablebay-dispatch/tests/records.rs
@@ -1,4 +1,4 @@
-//! Merging of records.
+//! Tests that merging keeps the greatest records of all parts.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -8,7 +8,7 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(21), cases: 300, ..Config::default() })]
 
-    /// The merge is the beginning of all records, sorted from the greatest.
+    /// Compares the merge with the first `limit` records of a full descending sort.
     #[test]
     fn the_greatest_of_all_parts_remain(
         parts in proptest::collection::vec(proptest::collection::vec(0u8..4, 0..200), 0..6),
--- a/crates/sablebay-dispatch/tests/retry_fairness.rs
+++ b/crates/sablebay-dispatch/tests/retry_fairness.rs
@@ -1,4 +1,4 @@
-//! How tenants share the budget for extra calls.
+//! Tests that tenants share the retry budget fairly without exceeding it.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -15,15 +15,15 @@
     TenantName::new(format!("tenant-{number}"))
 }
 
-/// What one tenant asked for and got.
+/// Extra calls requested by and granted to a group of tenants.
 #[derive(Clone, Copy, Debug, Default)]
 struct Calls {
     asked: u32,
     granted: u32,
 }
 
-/// One tenant asks for ten extra calls a second, five others for one in two seconds each: more in all than the
-/// budget. A request that was denied asks again for as long as it is open.
+/// Simulates more demand than the budget covers: one hot tenant with about ten extra calls per second, and
+/// five small ones with one every two seconds each. A denied request asks again while it is open.
 fn shortage(mut ask: impl FnMut(&TenantName, Micros) -> bool) -> (Calls, Calls) {
     const OPEN_FOR: Micros = Micros::from_millis(500);
     let (mut hot, mut small) = (Calls::default(), Calls::default());
@@ -56,7 +56,7 @@
     println!("plain: hot {plain_hot:?} small {plain_small:?}; fair: hot {hot:?} small {small:?}");
     assert!(small.granted > plain_small.granted * 3 / 2);
     let (all, all_plain) = (hot.granted + small.granted, plain_hot.granted + plain_small.granted);
-    assert!(all * 20 >= all_plain * 19, "the budget is used: {all} of {all_plain}");
+    assert!(all * 20 >= all_plain * 19, "fair sharing leaves budget unused: {all} granted of {all_plain}");
     assert!(hot.granted > 0);
 }
 
@@ -84,7 +84,7 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(11), ..Config::default() })]
 
-    /// In no window is more granted than the budget says, whoever asks.
+    /// Guards against exceeding the budget in any window, whichever tenants ask.
     #[test]
     fn the_bound_of_all_holds_whoever_asks(events in events()) {
         let allowance = allowance();
@@ -103,7 +103,8 @@
                         granted.push(now);
                         let within = |at: &&Micros| now.since(**at) < allowance.window;
                         let extra = granted.iter().filter(within).count() as f64;
-                        // The window that earns is one slot longer than the one that is bounded.
+                        // Requests count for one slot longer than the window in which extra calls are
+                        // bounded.
                         let longest = Micros(allowance.window.0 * 21 / 20);
                         let earning = requests.iter().filter(|at| now.since(**at) <= longest).count() as f64;
                         prop_assert!(extra <= allowance.ratio * earning + allowance.fixed);
@@ -113,8 +114,7 @@
         }
     }
 
-    /// A tenant that got no more than anybody else who was denied of late is denied only where the whole budget is
-    /// spent.
+    /// Guards against denying a tenant with the fewest granted calls while budget is left.
     #[test]
     fn nobody_gives_way_to_who_got_as_much(asks in proptest::collection::vec((0usize..4, 0u64..100), 1..300)) {
         let allowance = allowance();
@@ -123,7 +123,7 @@
         let mut got = [0u32; 4];
         for (who, gap_ms) in asks {
             now = now.plus(Micros::from_millis(gap_ms));
-            // Within one window, so that nothing is earned back.
+            // Stays within one window, so that no granted call expires.
             if now >= allowance.window {
                 break;
             }
