--- a/crates/sablebay-dispatch/src/fanout/delegation.rs
+++ b/crates/sablebay-dispatch/src/fanout/delegation.rs
@@ -1,5 +1,5 @@
-//! The shards that other nodes gather: asking, taking merged parts, and calling the shards directly
-//! when a gatherer is of no use.
+//! Delegation of shards to gatherers: requests, merged parts, and recovery when a gatherer fails or
+//! times out.
 
 use rand::Rng;
 
@@ -9,87 +9,87 @@
 use sablebay_model::{Micros, ZoneName};
 
 use super::call::{CallFailure, CallNumber, Execution};
-use super::terms::{DelegatedShards, FanoutAction, GatheredShards};
-use super::{Call, CallScope, Delegation, Fanout, FanoutTurn, HEDGE_RECHECK, ShardState};
+use super::types::{DelegatedShards, FanoutAction, GatheredShards};
+use super::{Call, CallScope, Delegation, Fanout, FanoutContext, HEDGE_RECHECK, ShardState};
 
 impl Fanout {
-    /// Asks each gatherer for its shards.
-    pub(super) fn delegate<R: Rng>(&mut self, turn: &mut FanoutTurn<'_, R>) {
+    /// Sends every delegation to its gatherer.
+    pub(super) fn delegate<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
         for number in 0..self.delegations.len() {
             if !self.delegations[number].delegated.shards.is_empty() {
-                self.ask(number, turn);
+                self.send_delegation(number, context);
             }
         }
     }
 
-    /// Asks the gatherer of a delegation for its shards.
-    fn ask<R: Rng>(&mut self, number: usize, turn: &mut FanoutTurn<'_, R>) {
+    fn send_delegation<R: Rng>(&mut self, number: usize, context: &mut FanoutContext<'_, R>) {
         let call = CallNumber(self.calls.len() as u32);
         self.calls.push(Call { scope: CallScope::Delegation(number), open: true });
         let delegation = &mut self.delegations[number];
         delegation.call = Some(call);
-        delegation.due_at = turn.now.plus(self.settings.rescue_delay);
+        delegation.report_due_at = context.now.plus(self.settings.gatherer_timeout);
         let delegated = delegation.delegated.clone();
         let mut spares = Vec::with_capacity(delegated.shards.len());
         for shard in &delegated.shards {
-            // Both nodes that were asked for a shard must know the same spare.
+            // Both gatherers of a shard must reserve the same spare.
             let spare = match delegated.continued {
                 true => self.shards[*shard].spare.clone(),
-                false => self.choose_spare(*shard, &delegated.zone, turn),
+                false => self.choose_spare(*shard, &delegated.zone, context),
             };
             let progress = &mut self.shards[*shard];
             progress.spare = spare.clone();
-            progress.spare_alone = spare.is_some();
-            // The gatherer's first call; its later ones are told.
+            progress.only_spare_left = spare.is_some();
+            // Counts the gatherer's first call; the gatherer reports later ones.
             progress.attempts = progress.attempts.max(1);
             progress.open_calls += 1;
             progress.hedge_at = Micros::MAX;
             spares.push(spare);
         }
-        turn.actions.push(FanoutAction::Delegate { call, delegated, spares });
+        context.actions.push(FanoutAction::Delegate { call, delegated, spares });
     }
 
-    /// Has others do the work of gatherers that are past the time of their next word: the other owner of
-    /// the shards, or where there is none, this node. A gatherer that was only slow may still answer.
-    pub(super) fn replace_silent_gatherers<R: Rng>(&mut self, turn: &mut FanoutTurn<'_, R>) {
+    /// Reassigns the shards of gatherers whose report is overdue to the fallback gatherer, or to this node
+    /// if there is none. A late answer of the slow gatherer is still accepted.
+    pub(super) fn replace_silent_gatherers<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
         for number in 0..self.delegations.len() {
             let delegation = &mut self.delegations[number];
-            if turn.now < delegation.due_at {
+            if context.now < delegation.report_due_at {
                 continue;
             }
-            delegation.due_at = Micros::MAX;
-            if delegation.delegated.second.is_some() {
-                self.ask_second(number, Execution::Possible, turn);
+            delegation.report_due_at = Micros::MAX;
+            if delegation.delegated.fallback.is_some() {
+                self.ask_fallback(number, Execution::Possible, context);
                 continue;
             }
             for shard in delegation.delegated.shards.clone() {
                 if self.waits_for(shard, number) {
-                    self.shards[shard].hedge_at = turn.now;
+                    self.shards[shard].hedge_at = context.now;
                 }
             }
         }
     }
 
-    /// Asks the second owner for what a gatherer still owes. Returns whether there is one.
-    fn ask_second<R: Rng>(
+    /// Delegates the outstanding shards of a gatherer to its fallback. Returns whether there is a fallback.
+    fn ask_fallback<R: Rng>(
         &mut self,
         number: usize,
         execution: Execution,
-        turn: &mut FanoutTurn<'_, R>,
+        context: &mut FanoutContext<'_, R>,
     ) -> bool {
         let delegation = &mut self.delegations[number];
-        let Some(second) = delegation.delegated.second.take() else {
+        let Some(fallback) = delegation.delegated.fallback.take() else {
             return false;
         };
         let zone = delegation.delegated.zone.clone();
         let shards = delegation.delegated.shards.clone();
-        let owed: Vec<usize> = shards.into_iter().filter(|shard| self.waits_for(*shard, number)).collect();
-        if owed.is_empty() {
+        let outstanding: Vec<usize> =
+            shards.into_iter().filter(|shard| self.waits_for(*shard, number)).collect();
+        if outstanding.is_empty() {
             return true;
         }
         let next = self.delegations.len();
         let continued = execution == Execution::Possible || self.delegations[number].delegated.continued;
-        for shard in &owed {
+        for shard in &outstanding {
             let progress = &mut self.shards[*shard];
             if !continued {
                 progress.gatherers.retain(|waited_for| *waited_for != number);
@@ -97,23 +97,23 @@
             }
             progress.gatherers.push(next);
         }
-        let delegated = DelegatedShards { gatherer: second, zone, shards: owed, second: None, continued };
+        let delegated =
+            DelegatedShards { gatherer: fallback, zone, shards: outstanding, fallback: None, continued };
         self.delegations.push(Delegation::new(delegated));
-        self.ask(next, turn);
+        self.send_delegation(next, context);
         true
     }
 
-    /// Forgets that a gatherer was asked that refused; its shards are still owed.
-    fn take_back(&mut self, call: CallNumber, number: usize) {
+    /// Closes a call that its gatherer did not accept; the shards stay outstanding.
+    fn withdraw(&mut self, call: CallNumber, number: usize) {
         self.calls[call.0 as usize].open = false;
         self.delegations[number].call = None;
-        self.delegations[number].due_at = Micros::MAX;
+        self.delegations[number].report_due_at = Micros::MAX;
     }
 
-    /// Nothing that a gatherer says is wanted any more.
-    fn abandon_gatherer<R: Rng>(&mut self, number: usize, turn: &mut FanoutTurn<'_, R>) {
+    fn abandon_gatherer<R: Rng>(&mut self, number: usize, context: &mut FanoutContext<'_, R>) {
         let delegation = &mut self.delegations[number];
-        delegation.due_at = Micros::MAX;
+        delegation.report_due_at = Micros::MAX;
         let Some(call) = delegation.call.take() else {
             return;
         };
@@ -121,29 +121,29 @@
         if known.open {
             known.open = false;
             self.may_have_run = true;
-            turn.actions.push(FanoutAction::Abandon { call });
+            context.actions.push(FanoutAction::Abandon { call });
         }
     }
 
-    /// Gives up the gatherers whose shards have all come from others.
-    fn abandon_needless_gatherers<R: Rng>(&mut self, turn: &mut FanoutTurn<'_, R>) {
+    /// Cancels the calls to gatherers that have no outstanding shards left.
+    fn abandon_unneeded_gatherers<R: Rng>(&mut self, context: &mut FanoutContext<'_, R>) {
         for number in 0..self.delegations.len() {
             let mut shards = self.delegations[number].delegated.shards.iter();
             if self.delegations[number].call.is_some() && !shards.any(|shard| self.waits_for(*shard, number))
             {
-                self.abandon_gatherer(number, turn);
+                self.abandon_gatherer(number, context);
             }
         }
     }
 
-    /// The replica that a shard's last attempt is kept for: outside of the gatherer's zone, whose
-    /// replicas it uses first. None where a shard has no more replicas than attempts, so that any of
-    /// them will do.
+    /// Chooses the replica that the last attempt of a shard is reserved for, preferably outside the
+    /// gatherer's zone, since the gatherer uses replicas of its own zone first. Returns `None` if the shard
+    /// has no more replicas than attempts, because no reservation is needed then.
     fn choose_spare<R: Rng>(
         &self,
         shard: usize,
         zone: &ZoneName,
-        turn: &mut FanoutTurn<'_, R>,
+        context: &mut FanoutContext<'_, R>,
     ) -> Option<ReplicaId> {
         let replicas = &self.targets[shard].replicas;
         let attempts = self.settings.maximum_attempts as usize;
@@ -152,18 +152,18 @@
         }
         let in_zone = replicas.iter().filter(|known| known.replica.zone == *zone);
         let in_zone: SmallVec<[ReplicaId; 3]> = in_zone.map(|known| known.replica.id.clone()).collect();
-        let outside = turn.table.choose(replicas, &in_zone, turn.now, turn.random);
-        let chosen = outside.or_else(|| turn.table.choose(replicas, &[], turn.now, turn.random))?;
+        let outside = context.table.choose(replicas, &in_zone, context.now, context.random);
+        let chosen = outside.or_else(|| context.table.choose(replicas, &[], context.now, context.random))?;
         Some(replicas[chosen].replica.id.clone())
     }
 
-    /// A gatherer told how far it is. Returns whether the part that came with it is taken; the
-    /// answers of single replicas for the same shards then no longer count.
+    /// Handles a gatherer's report. Returns whether its merged part is accepted, in which case the part
+    /// replaces answers of single replicas for the same shards.
     pub fn on_gathered<R: Rng>(
         &mut self,
         call: CallNumber,
         gathered: &GatheredShards,
-        turn: &mut FanoutTurn<'_, R>,
+        context: &mut FanoutContext<'_, R>,
     ) -> bool {
         let Some(number) = self.open_delegation(call) else {
             return false;
@@ -178,30 +178,30 @@
         let taken = !gathered.answered.is_empty() && distinct && gathered.answered.iter().all(ours);
         if taken {
             for shard in &gathered.answered {
-                self.take_gathered(*shard, call, turn);
+                self.take_gathered(*shard, call, context);
             }
         }
         for shard in &gathered.closed {
             if self.waits_for(*shard, number) {
-                self.give_up_waiting(*shard, number, Execution::Possible, turn);
+                self.stop_waiting(*shard, number, Execution::Possible, context);
             }
         }
         if gathered.last {
-            self.end_delegation(call, number, Execution::Possible, turn);
+            self.end_delegation(call, number, Execution::Possible, context);
         } else {
-            self.leave_to_gatherer(number, turn.now);
+            self.note_report(number, context.now);
         }
-        self.abandon_needless_gatherers(turn);
-        self.settle(turn);
+        self.abandon_unneeded_gatherers(context);
+        self.finish_if_decided(context);
         taken
     }
 
-    /// A gatherer refused, broke or was not reached: its shards are called directly.
+    /// Handles a failed call to a gatherer: its shards go to the fallback gatherer, or are called directly.
     pub fn on_gatherer_failure<R: Rng>(
         &mut self,
         call: CallNumber,
         failure: CallFailure,
-        turn: &mut FanoutTurn<'_, R>,
+        context: &mut FanoutContext<'_, R>,
     ) {
         let Some(number) = self.open_delegation(call) else {
             return;
@@ -209,19 +209,19 @@
         let execution = failure.execution();
         self.may_have_run |= execution == Execution::Possible;
         if execution == Execution::Possible {
-            self.ask_second(number, execution, turn);
-            self.end_delegation(call, number, execution, turn);
-        } else if self.delegations[number].delegated.second.is_some() {
-            // Nothing was sent: the other owner begins anew.
-            self.take_back(call, number);
-            self.ask_second(number, execution, turn);
+            self.ask_fallback(number, execution, context);
+            self.end_delegation(call, number, execution, context);
+        } else if self.delegations[number].delegated.fallback.is_some() {
+            // The gatherer sent no calls, so the fallback starts from the beginning.
+            self.withdraw(call, number);
+            self.ask_fallback(number, execution, context);
         } else {
-            self.end_delegation(call, number, execution, turn);
+            self.end_delegation(call, number, execution, context);
         }
-        self.settle(turn);
+        self.finish_if_decided(context);
     }
 
-    /// The delegation of an open call of a request that has not ended.
+    /// Returns the delegation of an open call; `None` once the request has ended.
     fn open_delegation(&self, call: CallNumber) -> Option<usize> {
         let known = self.calls.get(call.0 as usize).filter(|call| call.open && self.outcome.is_none())?;
         match known.scope {
@@ -234,7 +234,7 @@
         self.shards.get(shard).is_some_and(|progress| progress.gatherers.contains(&delegation))
     }
 
-    fn take_gathered<R: Rng>(&mut self, shard: usize, call: CallNumber, turn: &mut FanoutTurn<'_, R>) {
+    fn take_gathered<R: Rng>(&mut self, shard: usize, call: CallNumber, context: &mut FanoutContext<'_, R>) {
         self.may_have_run = true;
         let progress = &mut self.shards[shard];
         progress.open_calls -= progress.gatherers.len() as u32;
@@ -249,16 +249,16 @@
             ShardState::Answered => {}
         }
         self.shards[shard].state = ShardState::Answered;
-        self.abandon(turn, |open| open.scope == CallScope::Shard(shard));
+        self.abandon(context, |open| open.scope == CallScope::Shard(shard));
     }
 
-    /// The gatherer lives: it hedges by itself what it still waits for. Its first word says that it has
-    /// asked the replicas; the second tells what is in.
-    fn leave_to_gatherer(&mut self, number: usize, now: Micros) {
+    /// Records a report, and cancels direct calls planned for the gatherer's shards, which it hedges itself.
+    /// The first report confirms that the replicas were called; the second carries the first answers.
+    fn note_report(&mut self, number: usize, now: Micros) {
         let delegation = &mut self.delegations[number];
-        delegation.words += 1;
-        let next_word = self.settings.report_at.max(now).plus(self.settings.rescue_delay);
-        delegation.due_at = if delegation.words == 1 { next_word } else { Micros::MAX };
+        delegation.reports += 1;
+        let next_report = self.settings.report_at.max(now).plus(self.settings.gatherer_timeout);
+        delegation.report_due_at = if delegation.reports == 1 { next_report } else { Micros::MAX };
         for shard in &self.delegations[number].delegated.shards {
             let progress = &mut self.shards[*shard];
             let direct_calls = progress.open_calls - progress.gatherers.len() as u32;
@@ -273,25 +273,25 @@
         call: CallNumber,
         number: usize,
         execution: Execution,
-        turn: &mut FanoutTurn<'_, R>,
+        context: &mut FanoutContext<'_, R>,
     ) {
         self.calls[call.0 as usize].open = false;
         self.delegations[number].call = None;
-        self.delegations[number].due_at = Micros::MAX;
+        self.delegations[number].report_due_at = Micros::MAX;
         for shard in self.delegations[number].delegated.shards.clone() {
             if self.waits_for(shard, number) {
-                self.give_up_waiting(shard, number, execution, turn);
+                self.stop_waiting(shard, number, execution, context);
             }
         }
     }
 
-    /// Nothing more comes for a shard from one of its gatherers.
-    fn give_up_waiting<R: Rng>(
+    /// Stops waiting for a gatherer's answer for a shard; retries the shard if no other gatherer is pending.
+    fn stop_waiting<R: Rng>(
         &mut self,
         shard: usize,
         number: usize,
         execution: Execution,
-        turn: &mut FanoutTurn<'_, R>,
+        context: &mut FanoutContext<'_, R>,
     ) {
         let continues = |known: &Delegation| {
             known.delegated.continued && known.delegated.shards.binary_search(&shard).is_ok()
@@ -304,31 +304,31 @@
             return;
         }
         if execution != Execution::Possible && !continued {
-            // No gatherer sent anything: every attempt is this node's own.
+            // No gatherer sent a call, so all attempts are available to this node.
             progress.attempts -= 1;
             progress.spare = None;
-            progress.spare_alone = false;
+            progress.only_spare_left = false;
         }
         if progress.state != ShardState::Open {
             return;
         }
         if progress.attempts == 0 {
-            self.send_first(shard, turn);
+            self.send_first(shard, context);
         } else {
-            self.replace(shard, execution, turn);
+            self.retry(shard, execution, context);
         }
     }
 
-    /// The gatherer gave no sign of life: the shard is called directly as well.
-    pub(super) fn rescue<R: Rng>(&mut self, shard: usize, turn: &mut FanoutTurn<'_, R>) {
+    /// Calls a shard directly because its gatherer timed out.
+    pub(super) fn call_directly<R: Rng>(&mut self, shard: usize, context: &mut FanoutContext<'_, R>) {
         let allowed = self.shards[shard].attempts < self.settings.maximum_attempts;
         if !allowed {
             self.shards[shard].hedge_at = Micros::MAX;
             return;
         }
-        let paid = self.pay(shard, turn);
-        if !paid || !self.send(shard, turn) {
-            self.shards[shard].hedge_at = turn.now.plus(HEDGE_RECHECK);
+        let paid = self.spend_budget(shard, context);
+        if !paid || !self.send(shard, context) {
+            self.shards[shard].hedge_at = context.now.plus(HEDGE_RECHECK);
         }
     }
 }
--- a/crates/sablebay-dispatch/src/fanout/replies.rs
+++ b/crates/sablebay-dispatch/src/fanout/replies.rs
@@ -1,4 +1,4 @@
-//! What follows from answers and failures of calls to replicas.
+//! Answers and failures of calls to replicas.
 
 use rand::Rng;
 
@@ -6,17 +6,17 @@
 use sablebay_model::Micros;
 
 use super::call::{CallFailure, CallNumber, Execution};
-use super::{CallScope, Fanout, FanoutTurn, ShardState};
+use super::{CallScope, Fanout, FanoutContext, ShardState};
 
-/// Replicas without a connection that one shard is tried at.
+/// Number of unreachable replicas after which a shard is not sent to further ones.
 const MAXIMUM_UNREACHABLE: usize = 3;
-/// Times that a shard is tried anew after none of its replicas could be reached.
-const MAXIMUM_ROUNDS: u32 = 3;
-/// The pause before the first of these; doubles with each.
-const ROUND_PAUSE: Micros = Micros::from_millis(30);
+/// Maximum number of times a shard is rescheduled because no replica could be reached.
+const MAXIMUM_UNREACHABLE_ROUNDS: u32 = 3;
+/// Delay before the first of these rounds; doubles with each.
+const ROUND_BACKOFF: Micros = Micros::from_millis(30);
 
 impl Fanout {
-    /// The shard of a call to a replica, if the call is open. Anything else is late or repeated.
+    /// Closes an open call to a replica and returns its shard; `None` for late or duplicate answers.
     fn take_open(&mut self, call: CallNumber) -> Option<usize> {
         let call = self.calls.get_mut(call.0 as usize).filter(|call| call.open)?;
         let CallScope::Shard(shard) = call.scope else {
@@ -27,8 +27,12 @@
         Some(shard)
     }
 
-    /// A call was answered with success. Returns the shard that the answer is taken for.
-    pub fn on_answer<R: Rng>(&mut self, call: CallNumber, turn: &mut FanoutTurn<'_, R>) -> Option<usize> {
+    /// Handles a successful answer. Returns the shard if the answer is accepted.
+    pub fn on_answer<R: Rng>(
+        &mut self,
+        call: CallNumber,
+        context: &mut FanoutContext<'_, R>,
+    ) -> Option<usize> {
         if self.outcome.is_some() {
             return None;
         }
@@ -41,17 +45,17 @@
         self.shards[shard].answered_by = Some(call);
         self.answered += 1;
         self.open -= 1;
-        self.abandon(turn, |open| open.scope == CallScope::Shard(shard));
-        self.settle(turn);
+        self.abandon(context, |open| open.scope == CallScope::Shard(shard));
+        self.finish_if_decided(context);
         Some(shard)
     }
 
-    /// A call to a replica failed.
+    /// Handles a failed call to a replica.
     pub fn on_failure<R: Rng>(
         &mut self,
         call: CallNumber,
         failure: CallFailure,
-        turn: &mut FanoutTurn<'_, R>,
+        context: &mut FanoutContext<'_, R>,
     ) {
         if self.outcome.is_some() {
             return;
@@ -67,40 +71,40 @@
         if failure == CallFailure::HeldBack && self.shards[shard].open_calls == 0 {
             self.close(shard);
         } else if self.shards[shard].state == ShardState::Open {
-            self.replace(shard, execution, turn);
+            self.retry(shard, execution, context);
         }
-        self.settle(turn);
+        self.finish_if_decided(context);
     }
 
-    /// Sends a failed call's work to another replica, or closes the shard.
-    pub(super) fn replace<R: Rng>(
+    /// Sends a shard whose call failed to another replica, or closes it.
+    pub(super) fn retry<R: Rng>(
         &mut self,
         shard: usize,
         execution: Execution,
-        turn: &mut FanoutTurn<'_, R>,
+        context: &mut FanoutContext<'_, R>,
     ) {
         if self.shards[shard].open_calls > 0 {
             return;
         }
-        if self.may_send_again(shard, execution, turn) && self.send(shard, turn) {
+        if self.may_send_again(shard, execution, context) && self.send(shard, context) {
             return;
         }
-        if !self.plan_round(shard, execution, turn.now) {
+        if !self.schedule_round(shard, execution, context.now) {
             self.close(shard);
         }
     }
 
-    /// Puts a shard off that reached no replica at all: nothing was sent, and connections that are
-    /// refused now may be taken in a moment. Not past the target latency: then the answer is due.
-    fn plan_round(&mut self, shard: usize, execution: Execution, now: Micros) -> bool {
+    /// Schedules another round for a shard that reached no replica, since refused connections may succeed
+    /// shortly after. No round starts after the target latency, when the answer is due.
+    fn schedule_round(&mut self, shard: usize, execution: Execution, now: Micros) -> bool {
         let progress = &mut self.shards[shard];
-        let again_at = now.plus(Micros(ROUND_PAUSE.0 << progress.rounds));
+        let again_at = now.plus(Micros(ROUND_BACKOFF.0 << progress.unreachable_rounds));
         let unreached = execution == Execution::NotSent && progress.attempts == 0;
         let in_time = again_at < self.settings.partial_at.min(self.settings.deadline);
-        if !unreached || !in_time || progress.rounds >= MAXIMUM_ROUNDS {
+        if !unreached || !in_time || progress.unreachable_rounds >= MAXIMUM_UNREACHABLE_ROUNDS {
             return false;
         }
-        progress.rounds += 1;
+        progress.unreachable_rounds += 1;
         progress.tried.clear();
         progress.hedge_at = again_at;
         true
@@ -110,16 +114,16 @@
         &self,
         shard: usize,
         execution: Execution,
-        turn: &mut FanoutTurn<'_, R>,
+        context: &mut FanoutContext<'_, R>,
     ) -> bool {
         let progress = &self.shards[shard];
         let unreachable = progress.tried.len().saturating_sub(progress.attempts as usize);
-        let allowed = turn.now < self.settings.deadline
+        let allowed = context.now < self.settings.deadline
             && progress.attempts < self.settings.maximum_attempts
             && unreachable < MAXIMUM_UNREACHABLE
             && (self.settings.repeatability == Repeatability::Repeatable || execution != Execution::Possible);
-        // A call that was never sent is no arrival at the service; its replacement is the first.
+        // A call that was never sent does not count as load, so its replacement is free of charge.
         let free = execution == Execution::NotSent && progress.attempts == 0;
-        allowed && (free || self.pay(shard, turn))
+        allowed && (free || self.spend_budget(shard, context))
     }
 }
--- a/crates/sablebay-dispatch/tests/delegation.rs
+++ b/crates/sablebay-dispatch/tests/delegation.rs
@@ -1,5 +1,5 @@
-//! Shards that other nodes gather: who is asked, and the request's state machine under any order of
-//! parts, failures and time.
+//! Tests of delegated shards: the choice of gatherers, and the request state machine with merged parts,
+//! failures and timer events in any order.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,9 +11,9 @@
 
 use sablebay_catalogue::{Repeatability, Replica, ReplicaId, ReplicaPhase, RoutableReplica, ServiceName};
 use sablebay_dispatch::{
-    CallFailure, CallKey, CallNumber, DelegatedShards, Fanout, FanoutAction, FanoutOutcome, FanoutSettings,
-    FanoutTurn, GatheredShards, GathererInputs, GathererNode, GathererTable, ReplicaTable, RetryAllowance,
-    RetryBudgets, ShardTargets, choose_gatherers, gathering_nodes, owned_shards,
+    CallFailure, CallKey, CallNumber, DelegatedShards, Fanout, FanoutAction, FanoutContext, FanoutOutcome,
+    FanoutSettings, GatheredShards, GathererInputs, GathererNode, GathererTable, ReplicaTable,
+    RetryAllowance, RetryBudgets, ShardTargets, choose_gatherers, gatherer_count, owned_shards,
 };
 use sablebay_model::{Micros, NodeId, ZoneName};
 
@@ -23,7 +23,7 @@
 const REPORT_AT: Micros = Micros::from_millis(10_400);
 const RESCUE_DELAY: Micros = Micros::from_millis(100);
 
-/// Shards with one replica in each of the zones named for them.
+/// Builds shards with one replica in each of the given zones.
 fn targets(zones_of: &[&[&str]]) -> Vec<ShardTargets> {
     let replica = |shard: usize, zone: &str| RoutableReplica {
         replica: Arc::new(Replica {
@@ -78,7 +78,7 @@
     let others = [node("n2", "a"), node("n3", "b")];
     let shards = targets(&[&["a", "b"], &["c", "a"], &["b", "a"], &["a", "b"], &["c"]]);
     let chosen = choose(&own, &others, &shards, 30.0, 1);
-    assert_eq!(chosen.len(), 1, "one node of one zone is asked");
+    assert_eq!(chosen.len(), 1, "shards must go to one node of one zone");
     assert_eq!(chosen[0].shards, [0, 2, 3]);
 }
 
@@ -103,20 +103,29 @@
     };
     let now = START.plus(RESCUE_DELAY);
     let mut table = GathererTable::default();
-    table.asked(&others[0].node, CallKey(1), RESCUE_DELAY, START);
+    table.sent(&others[0].node, CallKey(1), RESCUE_DELAY, START);
     for seed in 0..20 {
         let chosen = chosen_by(&table, seed);
-        assert_eq!(chosen.as_ref(), Some(&others[1].node), "the other was silent for the rescue delay");
+        assert_eq!(
+            chosen.as_ref(),
+            Some(&others[1].node),
+            "the other node has exceeded the gatherer timeout"
+        );
     }
     for key in [1, 2] {
         table.failed(&others[1].node, CallKey(key), now);
     }
-    assert_eq!(chosen_by(&table, 1), None, "nobody is left to ask");
-    table.heard(&others[0].node, CallKey(1), 0.0, now);
-    assert_eq!(chosen_by(&table, 1).as_ref(), Some(&others[0].node), "a word takes its silence back");
+    assert_eq!(chosen_by(&table, 1), None, "no healthy gatherer is left");
+    table.reported(&others[0].node, CallKey(1), 0.0, now);
+    assert_eq!(
+        chosen_by(&table, 1).as_ref(),
+        Some(&others[0].node),
+        "a report makes the silent node eligible again"
+    );
 }
 
-/// The owners of each shard in a zone of many nodes that take few requests: whom any node asks.
+/// Returns the owners of each shard in a zone with many nodes and few requests, from the delegations of all
+/// nodes.
 fn owners(nodes: &[GathererNode], shards: &[ShardTargets]) -> Vec<BTreeSet<NodeId>> {
     let mut owners = vec![BTreeSet::new(); shards.len()];
     for own in nodes {
@@ -142,13 +151,16 @@
     let nodes: Vec<_> = (0..20).map(|number| node(&format!("n{number}"), "a")).collect();
     let shards = targets(&[&["a", "b"][..]; 90]);
     let before = owners(&nodes, &shards);
-    assert!(before.iter().all(|owners| owners.len() == 2), "16 calls a second want two owners");
+    assert!(before.iter().all(|owners| owners.len() == 2), "16 calls per second need two owners");
     let gone = nodes[7].node.clone();
     let left: Vec<_> = nodes.iter().filter(|known| known.node != gone).cloned().collect();
     for (owners, before) in owners(&left, &shards).iter().zip(&before) {
         assert!(!owners.contains(&gone));
         let stayed = before.iter().filter(|owner| owners.contains(*owner)).count();
-        assert!(stayed >= 1 && (stayed == 2 || before.contains(&gone)), "only its own shards move");
+        assert!(
+            stayed >= 1 && (stayed == 2 || before.contains(&gone)),
+            "only shards of the node that left may change owner"
+        );
     }
 }
 
@@ -165,8 +177,11 @@
             let mut seen = BTreeSet::new();
             for delegated in &chosen {
                 assert!(delegated.shards.is_sorted_by(|one, next| one < next));
-                assert!(delegated.shards.len() >= 3, "so few are smaller apart than merged");
-                assert!(delegated.shards.iter().all(|shard| seen.insert(*shard)), "in one part alone");
+                assert!(delegated.shards.len() >= 3, "fewer than three shards must be called directly");
+                assert!(
+                    delegated.shards.iter().all(|shard| seen.insert(*shard)),
+                    "a shard is in two delegations"
+                );
             }
         }
     }
@@ -192,20 +207,24 @@
     }
     for shard in 0..90 {
         let owners = kept.values().filter(|kept| kept[shard]).count();
-        assert_eq!(owners, 6, "two and a spare one in each zone");
-        assert_eq!(owners, gathering_nodes(&nodes[0], &nodes[1..], 0.8));
+        assert_eq!(owners, 6, "two owners and one standby in each of two zones");
+        assert_eq!(owners, gatherer_count(&nodes[0], &nodes[1..], 0.8));
     }
-    assert_eq!(owned_shards(&nodes[0], &nodes[1..], &names, 30.0), None, "here every node owns all");
+    assert_eq!(
+        owned_shards(&nodes[0], &nodes[1..], &names, 30.0),
+        None,
+        "every node owns all shards at a high request rate"
+    );
 }
 
 #[test]
 fn a_chunk_stays_whole_at_an_owner_of_the_own_zone_wherever_its_replicas_are() {
     let zones = ["a", "b", "c", "d", "e", "f"];
     let nodes: Vec<_> = (0..48).map(|number| node(&format!("n{number}"), zones[number % 6])).collect();
-    let standing: Vec<[&str; 3]> = (0..180)
+    let placements: Vec<[&str; 3]> = (0..180)
         .map(|shard| [shard % 6, (shard / 6 + 1) % 6, (shard / 36 + 3) % 6].map(|at| zones[at]))
         .collect();
-    let shards = targets(&standing.iter().map(|zones| &zones[..]).collect::<Vec<_>>());
+    let shards = targets(&placements.iter().map(|zones| &zones[..]).collect::<Vec<_>>());
     let names: Vec<_> = shards.iter().map(|shard| shard.service.clone()).collect();
     for own in &nodes {
         let others: Vec<_> = nodes.iter().filter(|other| *other != own).cloned().collect();
@@ -213,11 +232,14 @@
         let kept = owned_shards(own, &others, &names, 0.2).expect("few nodes own a shard");
         let mut direct: BTreeSet<usize> = (0..180).collect();
         direct.retain(|shard| !chosen.iter().any(|delegated| delegated.shards.contains(shard)));
-        assert!(direct.iter().all(|shard| kept[*shard]), "only what this node owns is called directly");
+        assert!(
+            direct.iter().all(|shard| kept[*shard]),
+            "only shards owned by this node may be called directly"
+        );
         for delegated in &chosen {
             assert_eq!(delegated.zone, own.zone);
-            assert!(delegated.shards.len() >= 12, "whole chunks");
-            assert!(delegated.second.as_ref().is_some_and(|second| *second != delegated.gatherer));
+            assert!(delegated.shards.len() >= 12, "a chunk was split");
+            assert!(delegated.fallback.as_ref().is_some_and(|second| *second != delegated.gatherer));
         }
     }
 }
@@ -232,7 +254,10 @@
         for delegated in choose(own, &others, &shards, 0.2, 1) {
             *given.entry(delegated.gatherer).or_default() += delegated.shards.len();
         }
-        assert!(given.values().all(|shards| *shards <= 2 * 14), "at most two chunks at one node: {given:?}");
+        assert!(
+            given.values().all(|shards| *shards <= 2 * 14),
+            "more than two chunks at one node: {given:?}"
+        );
     }
 }
 
@@ -250,12 +275,16 @@
     };
     let large: usize = nodes[..5].iter().map(owned).sum();
     let small: usize = nodes[5..].iter().map(owned).sum();
-    assert_eq!(large + small, 3 * 400, "two owners of each and a spare one");
-    // Five of 50 nodes have a third of the cores; draws without repetition even that out a little.
-    assert!((2.0..6.0).contains(&(9.0 * large as f64 / small as f64)), "{large} and {small}");
+    assert_eq!(large + small, 3 * 400, "two owners and one standby per shard");
+    // Five of 50 nodes have about a third of the CPU. A node owns a chunk only once, which reduces their
+    // share.
+    assert!(
+        (2.0..6.0).contains(&(9.0 * large as f64 / small as f64)),
+        "{large} shards at large nodes, {small} at small ones"
+    );
 }
 
-/// A request with everything around it, and a record of what was sent.
+/// Runs a request and records the calls that it sends.
 struct Harness {
     fanout: Fanout,
     table: ReplicaTable,
@@ -263,20 +292,20 @@
     allowance: RetryAllowance,
     random: SmallRng,
     now: Micros,
-    /// The shards of each call, and whether it went to a gatherer.
+    /// The shards of each call, and whether the call went to a gatherer.
     sent: BTreeMap<CallNumber, (Vec<usize>, bool)>,
-    /// What the gatherers were asked for, by call.
+    /// The delegations sent, by call.
     asked: BTreeMap<CallNumber, DelegatedShards>,
     open: Vec<CallNumber>,
 }
 
 impl Harness {
-    /// Eight shards; the first four are gathered by one node, the next two by another.
+    /// Starts a request over eight shards; one node gathers the first four, another the next two.
     fn new(minimum_shards: usize, fixed: f64) -> Self {
         Self::with_second(minimum_shards, fixed, None)
     }
 
-    /// The same; another node may take over from either gatherer.
+    /// Like `new`, with an optional fallback for both gatherers.
     fn with_second(minimum_shards: usize, fixed: f64, second: Option<&str>) -> Self {
         let settings = FanoutSettings {
             repeatability: Repeatability::Repeatable,
@@ -286,18 +315,18 @@
             partial_at: PARTIAL_AT,
             report_at: REPORT_AT,
             hedge_delay: Micros::from_millis(50),
-            rescue_delay: RESCUE_DELAY,
+            gatherer_timeout: RESCUE_DELAY,
         };
         let delegated = |name: &str, shards: std::ops::Range<usize>| DelegatedShards {
             gatherer: NodeId::new(name),
             zone: ZoneName::new("a"),
             shards: shards.collect(),
-            second: second.map(NodeId::new),
+            fallback: second.map(NodeId::new),
             continued: false,
         };
         let delegations = vec![delegated("n1", 0..4), delegated("n2", 4..6)];
         let mut harness = Self {
-            fanout: Fanout::new(settings, targets(&[&["a", "b", "c"][..]; 8])).delegating(delegations),
+            fanout: Fanout::new(settings, targets(&[&["a", "b", "c"][..]; 8])).with_delegations(delegations),
             table: ReplicaTable::new(ZoneName::new("c")),
             budgets: RetryBudgets::default(),
             allowance: RetryAllowance { ratio: 0.2, fixed, window: Micros::from_secs(10), nodes: 1 },
@@ -307,15 +336,15 @@
             asked: BTreeMap::new(),
             open: Vec::new(),
         };
-        harness.step(|fanout, turn| fanout.start(turn));
+        harness.step(|fanout, context| fanout.start(context));
         harness
     }
 
-    fn step<T>(&mut self, step: impl FnOnce(&mut Fanout, &mut FanoutTurn<'_, SmallRng>) -> T) -> T {
+    fn step<T>(&mut self, step: impl FnOnce(&mut Fanout, &mut FanoutContext<'_, SmallRng>) -> T) -> T {
         let mut actions = Vec::new();
         let result = step(
             &mut self.fanout,
-            &mut FanoutTurn {
+            &mut FanoutContext {
                 table: &self.table,
                 budgets: &mut self.budgets,
                 allowance: &self.allowance,
@@ -353,20 +382,20 @@
         if last {
             self.open.retain(|open| open.0 != call);
         }
-        self.step(|fanout, turn| fanout.on_gathered(CallNumber(call), &gathered, turn))
+        self.step(|fanout, context| fanout.on_gathered(CallNumber(call), &gathered, context))
     }
 
     fn answer(&mut self, call: CallNumber) -> Option<usize> {
         self.open.retain(|open| *open != call);
-        self.step(|fanout, turn| fanout.on_answer(call, turn))
+        self.step(|fanout, context| fanout.on_answer(call, context))
     }
 
     fn wait(&mut self, until: Micros) {
         self.now = until;
-        self.step(|fanout, turn| fanout.on_wake(turn));
+        self.step(|fanout, context| fanout.on_wake(context));
     }
 
-    /// Answers every open call to a replica.
+    /// Answers all open calls to replicas.
     fn answer_replicas(&mut self) {
         for call in self.open.clone() {
             if !self.sent[&call].1 {
@@ -391,7 +420,7 @@
 #[test]
 fn merged_parts_and_single_answers_make_a_whole() {
     let mut harness = Harness::new(8, 100.0);
-    assert!(harness.gathered(0, &[0, 1, 3], &[], false), "what is in comes before the rest");
+    assert!(harness.gathered(0, &[0, 1, 3], &[], false), "a partial report is accepted");
     assert!(harness.gathered(1, &[4, 5], &[], true));
     harness.answer_replicas();
     assert_eq!(harness.fanout.outcome(), None, "shard 2 is still being gathered");
@@ -402,17 +431,20 @@
 #[test]
 fn the_shards_of_a_refused_delegation_are_first_calls_without_a_budget() {
     let mut harness = Harness::new(8, 0.0);
-    harness.step(|fanout, turn| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Rejected, turn));
+    harness.step(|fanout, context| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Rejected, context));
     assert!((0..4).all(|shard| harness.direct_calls_of(shard) == 1));
 }
 
 #[test]
 fn the_shards_of_a_gatherer_that_broke_are_paid_for() {
     let mut harness = Harness::new(4, 0.0);
-    harness.step(|fanout, turn| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, turn));
-    assert!((0..4).all(|shard| harness.direct_calls_of(shard) == 0), "its calls may have arrived");
+    harness.step(|fanout, context| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, context));
+    assert!(
+        (0..4).all(|shard| harness.direct_calls_of(shard) == 0),
+        "the gatherer's calls may have arrived, and no budget is left"
+    );
     let mut harness = Harness::new(8, 100.0);
-    harness.step(|fanout, turn| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, turn));
+    harness.step(|fanout, context| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, context));
     assert!((0..4).all(|shard| harness.direct_calls_of(shard) == 1));
 }
 
@@ -422,8 +454,14 @@
     harness.answer_replicas();
     harness.gathered(1, &[], &[], false);
     harness.wait(START.plus(RESCUE_DELAY));
-    assert!((0..4).all(|shard| harness.direct_calls_of(shard) == 1), "all of a silent one's, at once");
-    assert!((4..6).all(|shard| harness.direct_calls_of(shard) == 0), "the other hedges by itself");
+    assert!(
+        (0..4).all(|shard| harness.direct_calls_of(shard) == 1),
+        "all shards of the silent gatherer must be called directly"
+    );
+    assert!(
+        (4..6).all(|shard| harness.direct_calls_of(shard) == 0),
+        "a gatherer that reports hedges its own shards"
+    );
     harness.answer_replicas();
     assert!(harness.gathered(1, &[4, 5], &[], true));
     assert_eq!(harness.fanout.outcome(), Some(FanoutOutcome::Answered { missing: 0 }));
@@ -433,11 +471,16 @@
 fn a_merged_part_takes_the_place_of_single_answers_and_never_stands_beside_them() {
     let mut harness = Harness::new(8, 100.0);
     harness.wait(START.plus(RESCUE_DELAY));
-    let rescue = *harness.sent.iter().find(|(_, sent)| **sent == (vec![1], false)).expect("a rescue").0;
-    assert_eq!(harness.answer(rescue), Some(1));
-    assert!(harness.gathered(0, &[0, 1, 2, 3], &[], true), "four shards are worth more than one");
-    assert_eq!(harness.fanout.answered_by(1), Some(CallNumber(0)), "the single answer no longer counts");
-    assert!(!harness.open.contains(&rescue));
+    let direct_call =
+        *harness.sent.iter().find(|(_, sent)| **sent == (vec![1], false)).expect("a direct call").0;
+    assert_eq!(harness.answer(direct_call), Some(1));
+    assert!(harness.gathered(0, &[0, 1, 2, 3], &[], true), "the merged part replaces the single answer");
+    assert_eq!(
+        harness.fanout.answered_by(1),
+        Some(CallNumber(0)),
+        "the single answer must not count any more"
+    );
+    assert!(!harness.open.contains(&direct_call));
 }
 
 #[test]
@@ -446,15 +489,18 @@
     harness.answer_replicas();
     harness.gathered(1, &[], &[], false);
     harness.wait(START.plus(RESCUE_DELAY));
-    assert!((0..8).all(|shard| harness.direct_calls_of(shard) == usize::from(shard >= 6)), "no direct call");
+    assert!(
+        (0..8).all(|shard| harness.direct_calls_of(shard) == usize::from(shard >= 6)),
+        "shards of a silent gatherer must go to its fallback, not to replicas"
+    );
     let (call, asked) = harness.asked.iter().next_back().expect("another gatherer is asked");
     assert_eq!((asked.gatherer.as_str(), asked.shards.as_slice()), ("n3", &[0, 1, 2, 3][..]));
-    assert!(asked.continued, "the first may have sent something");
+    assert!(asked.continued, "the first gatherer may have sent calls");
     let call = *call;
     assert!(harness.gathered(call.0, &[0, 1, 2], &[], false));
-    assert!(!harness.gathered(0, &[0, 1], &[], false), "a shard stands in one part");
-    assert!(harness.gathered(0, &[3], &[], true), "the first was only slow");
-    assert!(!harness.open.contains(&call), "nothing is left that it is needed for");
+    assert!(!harness.gathered(0, &[0, 1], &[], false), "a shard must not be accepted in two parts");
+    assert!(harness.gathered(0, &[3], &[], true), "a late report of the first gatherer is accepted");
+    assert!(!harness.open.contains(&call), "a gatherer without outstanding shards must be canceled");
     assert!(harness.gathered(1, &[4, 5], &[], true));
     assert_eq!(harness.fanout.outcome(), Some(FanoutOutcome::Answered { missing: 0 }));
 }
@@ -463,7 +509,7 @@
 fn the_other_owner_takes_over_what_a_broken_gatherer_still_owes() {
     let mut harness = Harness::with_second(8, 100.0, Some("n3"));
     assert!(harness.gathered(0, &[0, 2], &[], false));
-    harness.step(|fanout, turn| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, turn));
+    harness.step(|fanout, context| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, context));
     let asked = harness.asked.values().next_back().expect("another gatherer is asked");
     assert_eq!((asked.shards.as_slice(), asked.continued), (&[1, 3][..], true));
 }
@@ -471,23 +517,26 @@
 #[test]
 fn the_other_owner_begins_anew_where_the_first_refused() {
     let mut harness = Harness::with_second(8, 0.0, Some("n3"));
-    harness.step(|fanout, turn| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Rejected, turn));
+    harness.step(|fanout, context| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Rejected, context));
     let (call, asked) = harness.asked.iter().next_back().expect("another gatherer is asked");
     assert_eq!((asked.shards.as_slice(), asked.continued), (&[0, 1, 2, 3][..], false));
     let call = *call;
-    harness.step(|fanout, turn| fanout.on_gatherer_failure(call, CallFailure::Rejected, turn));
-    assert!((0..4).all(|shard| harness.direct_calls_of(shard) == 1), "first calls, with no other owner left");
+    harness.step(|fanout, context| fanout.on_gatherer_failure(call, CallFailure::Rejected, context));
+    assert!(
+        (0..4).all(|shard| harness.direct_calls_of(shard) == 1),
+        "without a fallback, first calls are sent directly and free of charge"
+    );
 }
 
 #[test]
 fn what_was_begun_elsewhere_is_paid_for_also_when_the_other_owner_refuses() {
     let mut harness = Harness::with_second(4, 0.0, Some("n3"));
-    harness.step(|fanout, turn| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, turn));
+    harness.step(|fanout, context| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, context));
     let call = *harness.asked.keys().next_back().expect("another gatherer is asked");
-    harness.step(|fanout, turn| fanout.on_gatherer_failure(call, CallFailure::Rejected, turn));
+    harness.step(|fanout, context| fanout.on_gatherer_failure(call, CallFailure::Rejected, context));
     assert!(
         (0..4).all(|shard| harness.direct_calls_of(shard) == 0),
-        "the calls of the first may have arrived"
+        "calls of the first gatherer may have arrived"
     );
 }
 
@@ -497,10 +546,10 @@
     harness.wait(START.plus(RESCUE_DELAY));
     let mut asked = harness.asked.iter().skip(2);
     let second = *asked.find(|(_, asked)| asked.shards == [0, 1, 2, 3]).expect("another gatherer is asked").0;
-    harness.step(|fanout, turn| fanout.on_gatherer_failure(second, CallFailure::Broken, turn));
-    harness.step(|fanout, turn| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Rejected, turn));
+    harness.step(|fanout, context| fanout.on_gatherer_failure(second, CallFailure::Broken, context));
+    harness.step(|fanout, context| fanout.on_gatherer_failure(CallNumber(0), CallFailure::Rejected, context));
     let attempts: Vec<u32> = (0..4).map(|shard| harness.fanout.attempts(shard)).collect();
-    assert_eq!(attempts, [2; 4], "one there, and one here");
+    assert_eq!(attempts, [2; 4], "one attempt by the gatherer, one by this node");
 }
 
 #[test]
@@ -509,21 +558,21 @@
     harness.gathered(0, &[], &[], false);
     harness.gathered(1, &[], &[], false);
     harness.wait(START.plus(RESCUE_DELAY));
-    assert_eq!(harness.asked.len(), 2, "both live");
+    assert_eq!(harness.asked.len(), 2, "both gatherers have reported in time");
     harness.gathered(1, &[4], &[], false);
     harness.wait(REPORT_AT.plus(RESCUE_DELAY));
-    assert_eq!(harness.asked.len(), 3, "the one that has said nothing more");
+    assert_eq!(harness.asked.len(), 3, "the gatherer without a second report must be replaced");
     assert_eq!(harness.asked.values().next_back().expect("three").shards, [0, 1, 2, 3]);
 }
 
 #[test]
 fn what_a_gatherer_may_not_say_is_not_taken() {
     let mut harness = Harness::new(8, 100.0);
-    assert!(!harness.gathered(0, &[0, 4], &[], false), "shard 4 is not its own");
-    assert!(!harness.gathered(0, &[1, 1], &[], false), "a shard stands once");
+    assert!(!harness.gathered(0, &[0, 4], &[], false), "shard 4 is not delegated to this gatherer");
+    assert!(!harness.gathered(0, &[1, 1], &[], false), "a shard must not be repeated");
     assert!(!harness.gathered(0, &[99], &[99], false), "there is no such shard");
     assert!(harness.gathered(0, &[0, 1], &[], false));
-    assert!(!harness.gathered(0, &[1, 2], &[], false), "it told of shard 1 before");
+    assert!(!harness.gathered(0, &[1, 2], &[], false), "shard 1 was reported before");
     assert!(!harness.gathered(7, &[7], &[], true), "that call is not a delegation");
 }
 
@@ -569,12 +618,12 @@
         events in proptest::collection::vec(event(), 0..40),
     ) {
         let mut harness = Harness::with_second(minimum, 20.0, second.then_some("n3"));
-        // The shards of each taken part, by call, as a shell keeps them.
+        // The shards of each accepted part, by call, as the gateway keeps them.
         let mut parts: Vec<(CallNumber, Vec<usize>)> = Vec::new();
         for event in events {
             match event {
                 Event::Gathered { first, answered, closed, retried, last } => {
-                    // Of the nodes that were asked for these shards, the last: the one before is given up.
+                    // The most recent gatherer of these shards; an earlier one has been replaced.
                     let offset = if first { 0 } else { 4 };
                     let of_these = |asked: &&DelegatedShards| asked.shards.iter().all(|shard| (*shard < 4) == first);
                     let last_asked = harness.asked.iter().rfind(|(_, asked)| of_these(asked));
@@ -588,7 +637,7 @@
                         retried: named(retried),
                         last,
                     };
-                    if harness.step(|fanout, turn| fanout.on_gathered(call, &gathered, turn)) {
+                    if harness.step(|fanout, context| fanout.on_gathered(call, &gathered, context)) {
                         parts.push((call, gathered.answered));
                     }
                     if last {
@@ -600,7 +649,7 @@
                     let last_asked = harness.asked.iter().rfind(|(_, asked)| of_these(asked));
                     let call = *last_asked.expect("each was asked once").0;
                     harness.open.retain(|open| *open != call);
-                    harness.step(|fanout, turn| fanout.on_gatherer_failure(call, failure, turn));
+                    harness.step(|fanout, context| fanout.on_gatherer_failure(call, failure, context));
                 }
                 Event::Answer(index) if !harness.open.is_empty() => {
                     let call = harness.open[index.index(harness.open.len())];
@@ -612,51 +661,51 @@
                     let call = harness.open[index.index(harness.open.len())];
                     if !harness.sent[&call].1 {
                         harness.open.retain(|open| *open != call);
-                        harness.step(|fanout, turn| fanout.on_failure(call, failure, turn));
+                        harness.step(|fanout, context| fanout.on_failure(call, failure, context));
                     }
                 }
                 Event::Wait(milliseconds) => harness.wait(harness.now.plus(Micros::from_millis(milliseconds))),
                 Event::Answer(_) | Event::Fail(..) => {}
             }
-            let standing = parts
+            let counted = parts
                 .iter()
                 .filter(|(call, shards)| {
                     shards.iter().all(|shard| harness.fanout.answered_by(*shard) == Some(*call))
                 })
                 .flat_map(|(_, shards)| shards.clone());
-            let standing: Vec<usize> = standing.collect();
-            let distinct: BTreeSet<usize> = standing.iter().copied().collect();
-            prop_assert_eq!(distinct.len(), standing.len(), "each shard stands in one part");
+            let counted: Vec<usize> = counted.collect();
+            let distinct: BTreeSet<usize> = counted.iter().copied().collect();
+            prop_assert_eq!(distinct.len(), counted.len(), "a shard is counted in two parts");
             let answered = (0..8).filter(|shard| harness.fanout.answered_by(*shard).is_some()).count();
-            prop_assert_eq!(answered, standing.len(), "no shard counts whose part does not stand");
+            prop_assert_eq!(answered, counted.len(), "a shard is answered by a part that is not counted");
             if let Some(FanoutOutcome::Answered { missing }) = harness.fanout.outcome() {
-                prop_assert_eq!(missing, 8 - standing.len(), "what the caller is told is true");
-                prop_assert!(standing.len() >= minimum);
+                prop_assert_eq!(missing, 8 - counted.len(), "the reported number of missing shards is wrong");
+                prop_assert!(counted.len() >= minimum);
             }
             for shard in 0..8 {
-                prop_assert!(harness.direct_calls_of(shard) <= 8, "calls are bounded");
-                prop_assert!(harness.fanout.attempts(shard) <= 2, "no more replicas than the route allows");
+                prop_assert!(harness.direct_calls_of(shard) <= 8, "too many direct calls of a shard");
+                prop_assert!(harness.fanout.attempts(shard) <= 2, "more replicas used than the route allows");
             }
         }
         harness.wait(DEADLINE.max(harness.now));
         prop_assert!(harness.fanout.outcome().is_some(), "the deadline ends every request");
-        prop_assert!(harness.open.is_empty(), "and abandons what is open");
+        prop_assert!(harness.open.is_empty(), "the deadline cancels all open calls");
     }
 }
 
-/// One of the two nodes that send the calls of delegated shards, and the replicas that it has used.
+/// A node that sends calls of delegated shards, with the replicas that it has used.
 struct Sender {
     fanout: Fanout,
     budgets: RetryBudgets,
     random: SmallRng,
     used: BTreeSet<(usize, ReplicaId)>,
     open: Vec<CallNumber>,
-    /// What the node asks others for, the newest last, with its spares.
+    /// The delegations of the node with their spares, the newest last.
     delegated: Vec<(CallNumber, DelegatedShards, Vec<Option<ReplicaId>>)>,
 }
 
 impl Sender {
-    /// One that was not started.
+    /// Creates a sender without starting its request.
     fn idle(fanout: Fanout) -> Self {
         Self {
             fanout,
@@ -670,21 +719,21 @@
 
     fn new(fanout: Fanout, seed: u64) -> Self {
         let mut sender = Self { random: SmallRng::seed_from_u64(seed), ..Self::idle(fanout) };
-        sender.step(START, |fanout, turn| fanout.start(turn));
+        sender.step(START, |fanout, context| fanout.start(context));
         sender
     }
 
     fn step<T>(
         &mut self,
         now: Micros,
-        step: impl FnOnce(&mut Fanout, &mut FanoutTurn<'_, SmallRng>) -> T,
+        step: impl FnOnce(&mut Fanout, &mut FanoutContext<'_, SmallRng>) -> T,
     ) -> T {
         let mut actions = Vec::new();
         let allowance =
             RetryAllowance { ratio: 0.2, fixed: 1_000.0, window: Micros::from_secs(10), nodes: 1 };
         let result = step(
             &mut self.fanout,
-            &mut FanoutTurn {
+            &mut FanoutContext {
                 table: &ReplicaTable::new(ZoneName::new("a")),
                 budgets: &mut self.budgets,
                 allowance: &allowance,
@@ -711,7 +760,7 @@
     fn fail_one(&mut self, now: Micros, index: prop::sample::Index) {
         if !self.open.is_empty() {
             let call = self.open.swap_remove(index.index(self.open.len()));
-            self.step(now, |fanout, turn| fanout.on_failure(call, CallFailure::Broken, turn));
+            self.step(now, |fanout, context| fanout.on_failure(call, CallFailure::Broken, context));
         }
     }
 }
@@ -740,8 +789,8 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(47), cases: 500, ..Config::default() })]
 
-    /// Seen on the grown sites (scores 9af389ad and b3080100): a gatherer that was late with its sign
-    /// of life had sent a shard to two replicas, and the root to a third of two allowed.
+    /// Guards against using too many replicas when a gatherer reports late, so that both nodes send calls
+    /// of the same shard.
     #[test]
     fn a_root_and_its_gatherer_use_no_more_replicas_than_the_route_allows(
         maximum_attempts in 1u32..4,
@@ -756,36 +805,36 @@
             partial_at: DEADLINE,
             report_at: DEADLINE,
             hedge_delay: Micros::from_millis(50),
-            rescue_delay: RESCUE_DELAY,
+            gatherer_timeout: RESCUE_DELAY,
         };
         let zones: [&[&str]; 3] = [&["a", "b", "c", "d"][..]; 3];
         let delegated = DelegatedShards {
             gatherer: NodeId::new("n1"),
             zone: ZoneName::new("a"),
             shards: vec![0, 1, 2],
-            second: None,
+            fallback: None,
             continued: false,
         };
-        let root = Fanout::new(settings, targets(&zones)).delegating(vec![delegated]);
+        let root = Fanout::new(settings, targets(&zones)).with_delegations(vec![delegated]);
         let mut root = Sender::new(root, seed);
         let (_, _, spares) = root.delegated[0].clone();
-        let gatherer = Fanout::new(settings, targets(&zones)).keeping_spares(spares);
+        let gatherer = Fanout::new(settings, targets(&zones)).with_spares(spares);
         let mut gatherer = Sender::new(gatherer, !seed);
         let (mut root_now, mut gatherer_now) = (START, START);
         for event in events {
             match event {
                 Race::RootWaits(wait) => {
                     root_now = root_now.plus(Micros::from_millis(wait));
-                    root.step(root_now, |fanout, turn| fanout.on_wake(turn));
+                    root.step(root_now, |fanout, context| fanout.on_wake(context));
                 }
                 Race::GathererWaits(wait) => {
                     gatherer_now = gatherer_now.plus(Micros::from_millis(wait));
-                    gatherer.step(gatherer_now, |fanout, turn| fanout.on_wake(turn));
+                    gatherer.step(gatherer_now, |fanout, context| fanout.on_wake(context));
                 }
                 Race::RootCallFails(index) => root.fail_one(root_now, index),
                 Race::GathererCallFails(index) => gatherer.fail_one(gatherer_now, index),
-                Race::GathererBreaks => root.step(root_now, |fanout, turn| {
-                    fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, turn);
+                Race::GathererBreaks => root.step(root_now, |fanout, context| {
+                    fanout.on_gatherer_failure(CallNumber(0), CallFailure::Broken, context);
                 }),
                 Race::GathererRefuses => {}
             }
@@ -795,7 +844,8 @@
             }
         }
     }
-    /// The same of three nodes: another gatherer takes over from the first, which may only be slow.
+
+    /// Like the test above, with a fallback that takes over from a gatherer that may only be slow.
     #[test]
     fn no_more_replicas_are_used_than_the_route_allows_also_when_another_takes_over(
         maximum_attempts in 1u32..4,
@@ -811,23 +861,23 @@
             partial_at: DEADLINE,
             report_at: DEADLINE,
             hedge_delay: Micros::from_millis(50),
-            rescue_delay: RESCUE_DELAY,
+            gatherer_timeout: RESCUE_DELAY,
         };
         let zones: [&[&str]; 3] = [&["a", "b", "c", "d"][..]; 3];
         let delegated = DelegatedShards {
             gatherer: NodeId::new("n1"),
             zone: ZoneName::new("a"),
             shards: vec![0, 1, 2],
-            second: Some(NodeId::new("n2")),
+            fallback: Some(NodeId::new("n2")),
             continued: false,
         };
-        let root = Fanout::new(settings, targets(&zones)).delegating(vec![delegated]);
+        let root = Fanout::new(settings, targets(&zones)).with_delegations(vec![delegated]);
         let mut root = Sender::new(root, seed);
         let gatherer_of = |root: &Sender, asked: usize| {
             let (_, delegated, spares) = root.delegated[asked].clone();
-            let fanout = Fanout::new(settings, targets(&zones)).keeping_spares(spares);
+            let fanout = Fanout::new(settings, targets(&zones)).with_spares(spares);
             let fanout = if delegated.continued { fanout.continuing() } else { fanout };
-            // Not one of the calls of a gatherer that turns out to refuse was sent.
+            // A gatherer that will refuse sends no calls.
             let runs = delegated.continued || !refuses;
             if runs { Sender::new(fanout, !seed ^ asked as u64) } else { Sender::idle(fanout) }
         };
@@ -839,25 +889,25 @@
             match event {
                 Race::RootWaits(wait) => {
                     now = now.plus(Micros::from_millis(wait));
-                    root.step(now, |fanout, turn| fanout.on_wake(turn));
+                    root.step(now, |fanout, context| fanout.on_wake(context));
                 }
                 Race::GathererWaits(wait) => {
                     now = now.plus(Micros::from_millis(wait));
-                    gatherer.step(now, |fanout, turn| fanout.on_wake(turn));
+                    gatherer.step(now, |fanout, context| fanout.on_wake(context));
                 }
                 Race::RootCallFails(index) => root.fail_one(now, index),
                 Race::GathererCallFails(index) => gatherer.fail_one(now, index),
                 Race::GathererBreaks => {
                     let call = root.delegated[if of_first { 0 } else { last }].0;
-                    root.step(now, |fanout, turn| {
-                        fanout.on_gatherer_failure(call, CallFailure::Broken, turn);
+                    root.step(now, |fanout, context| {
+                        fanout.on_gatherer_failure(call, CallFailure::Broken, context);
                     });
                 }
-                // One that ran something does not say that it refuses.
+                // A gatherer that has sent calls cannot refuse.
                 Race::GathererRefuses if gatherer.used.is_empty() => {
                     let call = root.delegated[if of_first { 0 } else { last }].0;
-                    root.step(now, |fanout, turn| {
-                        fanout.on_gatherer_failure(call, CallFailure::Rejected, turn);
+                    root.step(now, |fanout, context| {
+                        fanout.on_gatherer_failure(call, CallFailure::Rejected, context);
                     });
                 }
                 Race::GathererRefuses => {}
