--- a/crates/sablebay-dispatch/src/admission.rs
+++ b/crates/sablebay-dispatch/src/admission.rs
@@ -26,7 +26,7 @@
 const FULL_REFUSAL_RISE: f64 = 0.6;
 /// The part that is refused at the most: without any requests nothing is learnt of the queues.
 const MOST_REFUSED: f64 = 0.8;
-/// The part of a caller's patience after which it is asked to come back, at the least and at the
+/// The part of a caller's timeout after which it is asked to come back, at the least and at the
 /// most.
 const RETURN_AFTER: (f64, f64) = (0.15, 0.3);
 /// The longest time after which a caller is asked to come back.
@@ -42,9 +42,9 @@
     /// How much less urgent it is than the most urgent requests for the same services; 0 for these.
     pub rank: u32,
     /// Whether its caller was probably refused before.
-    pub returning: bool,
+    pub is_retry: bool,
     /// How long its caller will wait.
-    pub patience: Micros,
+    pub timeout: Micros,
 }
 
 /// What becomes of a request.
@@ -69,7 +69,7 @@
     }
     let crowded_share = inputs.crowded as f64 / inputs.shards as f64;
     let lowered = RANK_STEP * f64::from(inputs.rank.min(LOWEST_RANK));
-    let raised = if inputs.returning { RETURN_ALLOWANCE } else { 0.0 };
+    let raised = if inputs.is_retry { RETURN_ALLOWANCE } else { 0.0 };
     let excess = crowded_share - (ADMITTED_UP_TO - lowered + raised);
     (excess / FULL_REFUSAL_RISE).clamp(0.0, MOST_REFUSED)
 }
@@ -81,53 +81,53 @@
 /// it goes before the queues are such that everybody loses something, and where one tenant sends far more than the
 /// others, they mostly lose nothing.
 pub fn fair_refusal_probability(inputs: &AdmissionInputs, demand: &TenantDemand) -> f64 {
-    let least_urgent = AdmissionInputs { rank: LOWEST_RANK, returning: false, ..*inputs };
-    let excess = demand.beyond_equal_part(refusal_probability(&least_urgent));
-    let shared = demand.beyond_level(refusal_probability(inputs));
+    let least_urgent = AdmissionInputs { rank: LOWEST_RANK, is_retry: false, ..*inputs };
+    let excess = demand.excess_refusal_fraction(refusal_probability(&least_urgent));
+    let shared = demand.refusal_fraction(refusal_probability(inputs));
     shared.max(excess).min(MOST_REFUSED)
 }
 
 /// Decides about a request; `draw` and `spread` are random numbers from 0 to 1.
 pub fn admit(inputs: &AdmissionInputs, draw: f64, spread: f64) -> Admission {
-    decide(refusal_probability(inputs), inputs.patience, draw, spread)
+    decide(refusal_probability(inputs), inputs.timeout, draw, spread)
 }
 
 /// Decides about a request of a tenant, whose demand counts it already.
 pub fn admit_fairly(inputs: &AdmissionInputs, demand: &TenantDemand, draw: f64, spread: f64) -> Admission {
-    decide(fair_refusal_probability(inputs, demand), inputs.patience, draw, spread)
+    decide(fair_refusal_probability(inputs, demand), inputs.timeout, draw, spread)
 }
 
-fn decide(refusal_probability: f64, patience: Micros, draw: f64, spread: f64) -> Admission {
+fn decide(refusal_probability: f64, timeout: Micros, draw: f64, spread: f64) -> Admission {
     if draw >= refusal_probability {
         return Admission::Admitted;
     }
     let (shortest, longest) = RETURN_AFTER;
     let part = shortest + (longest - shortest) * spread;
-    let retry_after = Micros((patience.0 as f64 * part) as u64).min(LONGEST_RETURN);
+    let retry_after = Micros((timeout.0 as f64 * part) as u64).min(LONGEST_RETURN);
     Admission::Refused { retry_after }
 }
 
-/// Requests of a route that its usual patience is taken from.
+/// Requests of a route that its usual timeout is taken from.
 const REMEMBERED_REQUESTS: usize = 32;
-/// A caller with less than this part of the usual patience has probably spent some of it.
+/// A caller with less than this part of the usual timeout has probably spent some of it.
 const RETURNING_PART: f64 = 0.95;
 
 /// How long the callers of one route usually wait: tells those who come back, whose time has partly
 /// gone by, from those who come for the first time.
 #[derive(Clone, Debug, Default)]
-pub struct UsualPatience {
+pub struct TypicalTimeout {
     recent: VecDeque<Micros>,
 }
 
-impl UsualPatience {
+impl TypicalTimeout {
     /// Notes how long a caller will wait. Returns whether it probably comes back after a refusal.
-    pub fn note(&mut self, patience: Micros) -> bool {
+    pub fn note(&mut self, timeout: Micros) -> bool {
         let usual = self.upper_quartile();
         if self.recent.len() == REMEMBERED_REQUESTS {
             self.recent.pop_front();
         }
-        self.recent.push_back(patience);
-        usual.is_some_and(|usual| (patience.0 as f64) < usual.0 as f64 * RETURNING_PART)
+        self.recent.push_back(timeout);
+        usual.is_some_and(|usual| (timeout.0 as f64) < usual.0 as f64 * RETURNING_PART)
     }
 
     /// Most callers wait alike; a few wait much longer, and those that come back wait less.
--- a/crates/sablebay-dispatch/src/cold_rate.rs
+++ b/crates/sablebay-dispatch/src/cold_rate.rs
@@ -22,7 +22,7 @@
 
 /// What a cold replica bears in any second, from what its service is configured with.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdBearing {
+pub struct ColdCapacity {
     /// Requests a second that its service names.
     pub requests_per_s: f64,
     /// How many times that it bears for a moment.
@@ -31,7 +31,7 @@
     pub slack: f64,
 }
 
-impl ColdBearing {
+impl ColdCapacity {
     /// Requests in any second, from all callers together.
     pub fn bound(&self) -> f64 {
         self.requests_per_s * self.overage + self.slack
@@ -50,7 +50,7 @@
 }
 
 /// Requests that a node may send to a cold replica in any second.
-pub fn cold_share(replica: &ReplicaId, bearing: &ColdBearing, callers: &Callers<'_>) -> u32 {
+pub fn cold_share(replica: &ReplicaId, capacity: &ColdCapacity, callers: &Callers<'_>) -> u32 {
     let seed = xxh3_64(replica.as_str().as_bytes());
     let weight = |node: &NodeId| xxh3_64_with_seed(node.as_str().as_bytes(), seed);
     let own_weight = weight(callers.own);
@@ -61,7 +61,7 @@
     let unknown = callers.at_least.saturating_sub(known);
     let before = before + (own_weight as f64 / u64::MAX as f64 * unknown as f64) as usize;
     let part = if unknown > known { GIVEN_OUT_BY_LOT } else { GIVEN_OUT };
-    let given_out = (bearing.bound() * part) as usize;
+    let given_out = (capacity.bound() * part) as usize;
     let (whole, rest) = (given_out / (known + unknown), given_out % (known + unknown));
     (whole + usize::from(before < rest)) as u32
 }
--- a/crates/sablebay-dispatch/src/connection_share.rs
+++ b/crates/sablebay-dispatch/src/connection_share.rs
@@ -12,9 +12,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
     /// Nodes that it has met in this life, itself among them.
-    pub met: usize,
+    pub discovered: usize,
     /// The number that a peer told which has run for longer than [`SETTLING_TIME`].
-    pub told: Option<usize>,
+    pub reported: Option<usize>,
     /// How long it has run.
     pub running_for: Micros,
 }
@@ -24,13 +24,13 @@
     /// `assumed`: it may be one of many that all start anew, while the connections of their former
     /// lives are still open at the replicas.
     pub fn sharing(&self, assumed: usize) -> usize {
-        let known = self.met.max(self.told.unwrap_or(0));
+        let known = self.discovered.max(self.reported.unwrap_or(0));
         if self.is_settled() && known > 1 { known } else { known.max(assumed) }
     }
 
     /// Whether the node knows the fleet: its shares change little from now on.
     pub fn is_settled(&self) -> bool {
-        let all_met = self.told.is_some_and(|told| self.met >= told);
+        let all_met = self.reported.is_some_and(|reported| self.discovered >= reported);
         all_met || self.running_for >= SETTLING_TIME
     }
 }
--- a/crates/sablebay-dispatch/src/lib.rs
+++ b/crates/sablebay-dispatch/src/lib.rs
@@ -25,12 +25,12 @@
 mod weighted_choice;
 
 pub use admission::{
-    Admission, AdmissionInputs, LOWEST_RANK, UsualPatience, admit, admit_fairly, fair_refusal_probability,
+    Admission, AdmissionInputs, LOWEST_RANK, TypicalTimeout, admit, admit_fairly, fair_refusal_probability,
     refusal_probability,
 };
 pub use answer_lag::AnswerLag;
 pub use arrival_rate::ArrivalRate;
-pub use cold_rate::{COLD_WINDOW, Callers, ColdBearing, cold_share};
+pub use cold_rate::{COLD_WINDOW, Callers, ColdCapacity, cold_share};
 pub use connection_share::{
     FleetSize, ReplicaShareInputs, ZoneNodes, connection_share, has_room_for_all, own_replicas,
 };
@@ -43,9 +43,9 @@
     GathererInputs, GathererNode, choose_gatherers, gathering_nodes, owned_shards, shard_owners,
 };
 pub use quarantine::{
-    Audience, CrashNotice, CrashedRun, Evidence, FIRST_HOLD, KEPT_CRASHES, LONGEST_HOLD, LeaseRequest,
-    MAXIMUM_REQUESTS, NOTICES_PER_MESSAGE, ObserverId, Quarantine, QuarantineNotice, RunId, RunPermit,
-    STRIKES, Standing, Suspect, alone_limit,
+    Audience, CrashHistory, CrashNotice, CrashedRun, FIRST_HOLD, KEPT_CRASHES, LONGEST_HOLD, LeaseRequest,
+    MAXIMUM_REQUESTS, NOTICES_PER_MESSAGE, ObserverId, QUARANTINE_STRIKES, Quarantine, QuarantineNotice,
+    QuarantineStatus, RunId, RunPermit, Suspect, lease_duration,
 };
 pub use records::{RECORD_BYTES, TopRecords};
 pub use replica_health::{LoadHint, ReplicaHealth};
--- a/crates/sablebay-dispatch/src/quarantine.rs
+++ b/crates/sablebay-dispatch/src/quarantine.rs
@@ -2,13 +2,13 @@
 //!
 //! Invariants kept here:
 //! - a request is held back only after several back ends in a row ended under it, each begun after the one before had
-//!   ended ([`evidence`]), without a good run in between;
+//!   ended ([`crash_history`]), without a good run in between;
 //! - a request that one back end ended under is sent to one back end at a time until a run of it ends well: by all
 //!   nodes together, which ask the one of them that keeps account of it first;
 //! - a request whose quarantine is over is tried in the same way, with one call;
 //! - what is kept is bounded, whatever callers send.
 
-mod evidence;
+mod crash_history;
 mod notice;
 
 use std::collections::HashMap;
@@ -19,12 +19,12 @@
 use sablebay_catalogue::{ReplicaId, ServiceName};
 use sablebay_model::{Micros, RequestDigest};
 
-pub use evidence::{CrashedRun, Evidence, KEPT_CRASHES, ObserverId};
+pub use crash_history::{CrashHistory, CrashedRun, KEPT_CRASHES, ObserverId};
 pub use notice::{CrashNotice, QuarantineNotice};
 
 /// Back ends that end one after the other under a request before it is held back. Two in a row happen to requests
 /// that merely stood where others struck twice; with three no innocent request was held back in the property tests.
-pub const STRIKES: u32 = 3;
+pub const QUARANTINE_STRIKES: u32 = 3;
 /// How long a request is held back after the last strike that it needs for that. One attempt costs a back end
 /// that is gone for seconds, so that a minute keeps the loss below a tenth of one back end.
 pub const FIRST_HOLD: Micros = Micros::from_secs(60);
@@ -54,7 +54,7 @@
 pub const NOTICES_PER_MESSAGE: usize = 256;
 
 /// How long one run of a suspect request keeps the others waiting, of a route whose calls usually take `usual`.
-pub fn alone_limit(usual: Micros) -> Micros {
+pub fn lease_duration(usual: Micros) -> Micros {
     let [least, most] = ALONE_LIMITS;
     Micros(usual.0.saturating_mul(ALONE_CALLS)).clamp(least, most)
 }
@@ -73,13 +73,13 @@
 pub struct LeaseRequest {
     /// The run.
     pub run: RunId,
-    /// How long it keeps others waiting at the most; see [`alone_limit`].
-    pub lasts: Micros,
+    /// How long it keeps others waiting at the most; see [`lease_duration`].
+    pub duration: Micros,
 }
 
 /// What may be done with a request now.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineStatus {
     /// Nothing speaks against it.
     #[display("clear")]
     Clear,
@@ -88,13 +88,13 @@
     Suspect,
     /// Nothing of it is sent until then.
     #[display("held back")]
-    Held {
+    Quarantined {
         /// When its quarantine is over.
         until: Micros,
     },
     /// Its quarantine is over: it goes to one back end, and is held back for longer when that ends too.
     #[display("on trial")]
-    OnTrial,
+    Probation,
 }
 
 /// Whether a run of a request may begin.
@@ -103,7 +103,7 @@
     /// It may.
     Free,
     /// It may once it has the request's lease; see [`Quarantine::grant`].
-    Alone,
+    NeedsLease,
     /// Not before this time has passed.
     Refused {
         /// The time until it may be tried again.
@@ -117,7 +117,7 @@
     /// The few nodes that keep account of the request.
     Keepers,
     /// Every node.
-    Everyone,
+    AllNodes,
 }
 
 /// The run that has the lease of a request.
@@ -138,7 +138,7 @@
 #[derive(Clone, Debug, Default)]
 struct Entry {
     route: String,
-    evidence: Evidence,
+    history: CrashHistory,
     /// The run that has the lease. Kept by the node that is asked for it.
     lease: Option<HeldLease>,
     /// The strikes that every node was told of.
@@ -162,19 +162,23 @@
     /// Its route.
     pub route: &'a str,
     /// What is known of it.
-    pub evidence: &'a Evidence,
+    pub history: &'a CrashHistory,
     /// What may be done with it.
-    pub standing: Standing,
+    pub status: QuarantineStatus,
 }
 
 impl Entry {
-    fn standing(&self, now: Micros) -> Standing {
-        match self.evidence.strikes() {
-            0 => Standing::Clear,
-            strikes if strikes < STRIKES => Standing::Suspect,
+    fn status(&self, now: Micros) -> QuarantineStatus {
+        match self.history.strikes() {
+            0 => QuarantineStatus::Clear,
+            strikes if strikes < QUARANTINE_STRIKES => QuarantineStatus::Suspect,
             strikes => {
-                let until = self.evidence.last_end().plus(hold(strikes));
-                if now < until { Standing::Held { until } } else { Standing::OnTrial }
+                let until = self.history.last_crash_at().plus(hold(strikes));
+                if now < until {
+                    QuarantineStatus::Quarantined { until }
+                } else {
+                    QuarantineStatus::Probation
+                }
             }
         }
     }
@@ -182,29 +186,29 @@
     /// Whether a run at a service may go beside others: one has ended well since the last strike, and, from the
     /// second strike on, nothing speaks against the request at that service.
     fn may_run_beside_others(&self, service: &ServiceName) -> bool {
-        let strikes = self.evidence.strikes();
-        self.evidence.survived_since() && (strikes <= 1 || !self.evidence.is_held_against(service))
+        let strikes = self.history.strikes();
+        self.history.succeeded_since_last_crash() && (strikes <= 1 || !self.history.has_crash_at(service))
     }
 
     /// Whether nothing of it matters any more.
     fn is_outdated(&self, now: Micros) -> bool {
-        let strikes = self.evidence.strikes();
-        let held = if strikes >= STRIKES { hold(strikes) } else { Micros(0) };
+        let strikes = self.history.strikes();
+        let held = if strikes >= QUARANTINE_STRIKES { hold(strikes) } else { Micros(0) };
         let memory = if strikes == 0 { CLEARED_MEMORY } else { MEMORY };
-        now > self.evidence.last_event().plus(held).plus(memory)
+        now > self.history.last_event().plus(held).plus(memory)
     }
 }
 
 /// How long a request with so many strikes is held back.
 fn hold(strikes: u32) -> Micros {
-    let growth = HOLD_GROWTH.saturating_pow(strikes.saturating_sub(STRIKES));
+    let growth = HOLD_GROWTH.saturating_pow(strikes.saturating_sub(QUARANTINE_STRIKES));
     Micros(FIRST_HOLD.0.saturating_mul(growth)).min(LONGEST_HOLD)
 }
 
 impl Quarantine {
     /// What may be done with a request.
-    pub fn standing(&self, digest: &RequestDigest, now: Micros) -> Standing {
-        self.requests.get(digest).map_or(Standing::Clear, |entry| entry.standing(now))
+    pub fn status(&self, digest: &RequestDigest, now: Micros) -> QuarantineStatus {
+        self.requests.get(digest).map_or(QuarantineStatus::Clear, |entry| entry.status(now))
     }
 
     /// Whether anything is known of any request.
@@ -217,11 +221,15 @@
         let Some(entry) = self.requests.get(digest) else {
             return RunPermit::Free;
         };
-        match entry.standing(now) {
-            Standing::Clear => RunPermit::Free,
-            Standing::Held { until } => RunPermit::Refused { retry_after: until.since(now) },
-            Standing::Suspect | Standing::OnTrial if entry.may_run_beside_others(service) => RunPermit::Free,
-            Standing::Suspect | Standing::OnTrial => RunPermit::Alone,
+        match entry.status(now) {
+            QuarantineStatus::Clear => RunPermit::Free,
+            QuarantineStatus::Quarantined { until } => RunPermit::Refused { retry_after: until.since(now) },
+            QuarantineStatus::Suspect | QuarantineStatus::Probation
+                if entry.may_run_beside_others(service) =>
+            {
+                RunPermit::Free
+            }
+            QuarantineStatus::Suspect | QuarantineStatus::Probation => RunPermit::NeedsLease,
         }
     }
 
@@ -234,13 +242,13 @@
         };
         let taken = entry.lease.is_some_and(|lease| lease.run != wanted.run && now < lease.until);
         if !taken {
-            entry.lease = Some(HeldLease { run: wanted.run, until: now.plus(wanted.lasts) });
+            entry.lease = Some(HeldLease { run: wanted.run, until: now.plus(wanted.duration) });
         }
         !taken
     }
 
     /// A run is over: another may begin. Returns whether it had the lease.
-    pub fn over(&mut self, digest: &RequestDigest, run: RunId) -> bool {
+    pub fn release_lease(&mut self, digest: &RequestDigest, run: RunId) -> bool {
         let Some(entry) = self.requests.get_mut(digest) else {
             return false;
         };
@@ -251,9 +259,15 @@
         had
     }
 
-    /// A back end ended under a run. Returns what the request's standing was before.
-    pub fn crashed(&mut self, digest: RequestDigest, route: &str, run: CrashedRun, now: Micros) -> Standing {
-        let before = self.standing(&digest, now);
+    /// A back end ended under a run. Returns what the request's status was before.
+    pub fn record_crash(
+        &mut self,
+        digest: RequestDigest,
+        route: &str,
+        run: CrashedRun,
+        now: Micros,
+    ) -> QuarantineStatus {
+        let before = self.status(&digest, now);
         if !self.requests.contains_key(&digest) {
             self.make_room(now);
         }
@@ -261,16 +275,21 @@
         if entry.route.is_empty() {
             entry.route = route.to_string();
         }
-        entry.untold |= entry.evidence.crashed(run);
+        entry.untold |= entry.history.record_crash(run);
         before
     }
 
     /// A run ended well. Returns whether that takes something back.
-    pub fn survived(&mut self, digest: &RequestDigest, service: &ServiceName, started_at: Micros) -> bool {
+    pub fn record_success(
+        &mut self,
+        digest: &RequestDigest,
+        service: &ServiceName,
+        started_at: Micros,
+    ) -> bool {
         let Some(entry) = self.requests.get_mut(digest) else {
             return false;
         };
-        let news = entry.evidence.survived(service, started_at);
+        let news = entry.history.record_success(service, started_at);
         entry.untold |= news;
         news
     }
@@ -280,7 +299,7 @@
         let Some(entry) = self.requests.get_mut(digest) else {
             return false;
         };
-        entry.evidence.released(now);
+        entry.history.record_release(now);
         entry.untold = true;
         // Also nodes that heard of it on other ways.
         entry.told_everyone = entry.told_everyone.max(1);
@@ -289,7 +308,7 @@
 
     /// Another node told of a request; `to_everyone` says that it told every node. Returns whether anything
     /// was news.
-    pub fn heard(&mut self, notice: &QuarantineNotice, to_everyone: bool, now: Micros) -> bool {
+    pub fn merge_notice(&mut self, notice: &QuarantineNotice, to_everyone: bool, now: Micros) -> bool {
         if !self.requests.contains_key(&notice.digest) {
             if notice.crashes.is_empty() {
                 return false;
@@ -300,23 +319,23 @@
         if entry.route.is_empty() {
             entry.route = notice.route.clone();
         }
-        let news = notice.merge_into(&mut entry.evidence, now);
+        let news = notice.merge_into(&mut entry.history, now);
         if to_everyone {
-            entry.told_everyone = entry.evidence.strikes();
+            entry.told_everyone = entry.history.strikes();
         }
         news
     }
 
     /// What became known here and is still to be told, and to whom. Each is given out once: nodes that do not get it
     /// hear of it when they compare what they know with another.
-    pub fn take_news(&mut self, now: Micros) -> Vec<(QuarantineNotice, Audience)> {
+    pub fn take_updates(&mut self, now: Micros) -> Vec<(QuarantineNotice, Audience)> {
         let mut news = Vec::new();
         let second = now.0 / 1_000_000;
         if self.told.second != second {
             self.told = ToldStrikes { second, count: 0 };
         }
         for (digest, entry) in &mut self.requests {
-            let strikes = entry.evidence.strikes();
+            let strikes = entry.history.strikes();
             // What everyone was told is taken back before everyone.
             let mut everyone = (strikes >= 2 && strikes > entry.told_everyone)
                 || (strikes < entry.told_everyone && entry.untold);
@@ -329,11 +348,11 @@
                 continue;
             }
             entry.untold = false;
-            let audience = if everyone { Audience::Everyone } else { Audience::Keepers };
+            let audience = if everyone { Audience::AllNodes } else { Audience::Keepers };
             if everyone {
                 entry.told_everyone = strikes;
             }
-            news.push((QuarantineNotice::of(*digest, &entry.route, &entry.evidence, now), audience));
+            news.push((QuarantineNotice::of(*digest, &entry.route, &entry.history, now), audience));
         }
         news
     }
@@ -341,15 +360,15 @@
     /// What is known of one request, as it is told to a node that is handed a part of it.
     pub fn notice(&self, digest: &RequestDigest, now: Micros) -> Option<QuarantineNotice> {
         let entry = self.requests.get(digest)?;
-        Some(QuarantineNotice::of(*digest, &entry.route, &entry.evidence, now))
+        Some(QuarantineNotice::of(*digest, &entry.route, &entry.history, now))
     }
 
     /// What is known, for another node to compare with; of many, those with the most strikes.
     pub fn notices(&self, now: Micros) -> Vec<QuarantineNotice> {
         let mut known: Vec<(&RequestDigest, &Entry)> = self.requests.iter().collect();
-        known.sort_by_key(|(digest, entry)| (std::cmp::Reverse(entry.evidence.strikes()), **digest));
+        known.sort_by_key(|(digest, entry)| (std::cmp::Reverse(entry.history.strikes()), **digest));
         let notice = |(digest, entry): &(&RequestDigest, &Entry)| {
-            QuarantineNotice::of(**digest, &entry.route, &entry.evidence, now)
+            QuarantineNotice::of(**digest, &entry.route, &entry.history, now)
         };
         known.iter().take(NOTICES_PER_MESSAGE).map(notice).collect()
     }
@@ -359,18 +378,18 @@
         let suspect = |(digest, entry): (&RequestDigest, &'a Entry)| Suspect {
             digest: *digest,
             route: &entry.route,
-            evidence: &entry.evidence,
-            standing: entry.standing(now),
+            history: &entry.history,
+            status: entry.status(now),
         };
         let mut suspects: Vec<Suspect<'a>> = self.requests.iter().map(suspect).collect();
-        suspects.retain(|suspect| suspect.standing != Standing::Clear);
-        suspects.sort_by_key(|suspect| (std::cmp::Reverse(suspect.evidence.strikes()), suspect.digest));
+        suspects.retain(|suspect| suspect.status != QuarantineStatus::Clear);
+        suspects.sort_by_key(|suspect| (std::cmp::Reverse(suspect.history.strikes()), suspect.digest));
         suspects
     }
 
     /// Back ends that ended under requests, of those that are kept, and when.
     pub fn ended_replicas(&self) -> Vec<(ReplicaId, Micros)> {
-        let crashes = self.requests.values().flat_map(|entry| entry.evidence.crashes());
+        let crashes = self.requests.values().flat_map(|entry| entry.history.crashes());
         crashes.map(|run| (run.replica.clone(), run.known_at)).collect()
     }
 
@@ -396,7 +415,7 @@
         let least = self
             .requests
             .iter()
-            .min_by_key(|(digest, entry)| (entry.evidence.strikes(), entry.evidence.last_event(), **digest));
+            .min_by_key(|(digest, entry)| (entry.history.strikes(), entry.history.last_event(), **digest));
         if let Some(digest) = least.map(|(digest, _)| *digest) {
             self.requests.remove(&digest);
         }
--- a/crates/sablebay-dispatch/src/quarantine/evidence.rs
+++ b/crates/sablebay-dispatch/src/quarantine/crash_history.rs
@@ -34,7 +34,7 @@
     /// When the connection broke, by this node's clock: later than it was, by how long word took.
     pub known_at: Micros,
     /// Whether this node heard of it from another.
-    pub is_told: bool,
+    pub is_remote: bool,
 }
 
 /// How much later than the end that another node saw a run must have been begun to count as begun after it: word
@@ -45,7 +45,7 @@
     /// A time, by this node's clock, at which it had ended already, or was about to: what is begun later and
     /// ends well speaks for the request.
     fn ended_by(&self) -> Micros {
-        if self.is_told { self.known_at.since(OBSERVER_SLACK) } else { self.known_at }
+        if self.is_remote { self.known_at.since(OBSERVER_SLACK) } else { self.known_at }
     }
 
     /// Whether it was begun after another had ended.
@@ -73,23 +73,23 @@
 
 /// What is known of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Evidence {
+pub struct CrashHistory {
     /// The crashed runs that nothing took back, by when they ended.
     crashes: SmallVec<[CrashedRun; 4]>,
     /// When the run was begun that took back what spoke against it, by service: what is told late of the time before
     /// does not count.
-    survivals: SmallVec<[(ServiceName, Micros); 4]>,
+    successes: SmallVec<[(ServiceName, Micros); 4]>,
     /// When the latest run was begun that ended well after a back end had ended.
-    survived_at: Micros,
+    last_success_at: Micros,
     /// When an operator last released it.
     released_at: Micros,
     /// Back ends that ended under it, as far as this node knows.
-    ended: u32,
+    crash_count: u32,
 }
 
-impl Evidence {
+impl CrashHistory {
     /// A back end did not outlive a run. Returns whether this is news.
-    pub fn crashed(&mut self, mut run: CrashedRun) -> bool {
+    pub fn record_crash(&mut self, mut run: CrashedRun) -> bool {
         // What one node saw keeps its distances, however long word of each took.
         if let Some(known) = self.crashes.iter().find(|known| known.observer == run.observer) {
             run.known_at = known.known_at.plus(run.ended_at).since(known.ended_at);
@@ -97,7 +97,7 @@
         if self.is_taken_back(&run) || self.crashes.iter().any(|known| known.replica == run.replica) {
             return false;
         }
-        self.ended = self.ended.saturating_add(1);
+        self.crash_count = self.crash_count.saturating_add(1);
         let place = self.crashes.partition_point(|known| known.known_at <= run.known_at);
         self.crashes.insert(place, run);
         if self.crashes.len() > KEPT_CRASHES {
@@ -109,20 +109,20 @@
     /// A run that was begun at `started_at` ended well. Returns whether this is news.
     ///
     /// Word that goes round is a little later each time it comes back: it counts only where it changes something.
-    pub fn survived(&mut self, service: &ServiceName, started_at: Micros) -> bool {
-        let since_all = self.survived_anywhere(started_at);
+    pub fn record_success(&mut self, service: &ServiceName, started_at: Micros) -> bool {
+        let since_all = self.record_success_anywhere(started_at);
         let of_service = |known: &CrashedRun| known.service == *service && known.ended_by() <= started_at;
         if !self.crashes.iter().any(of_service) {
             return since_all;
         }
         self.crashes.retain(|known| !of_service(known));
-        match self.survivals.iter_mut().find(|(known, _)| known == service) {
+        match self.successes.iter_mut().find(|(known, _)| known == service) {
             Some((_, known)) => *known = (*known).max(started_at),
             None => {
-                if self.survivals.len() >= KEPT_SERVICES {
-                    self.survivals.remove(0);
+                if self.successes.len() >= KEPT_SERVICES {
+                    self.successes.remove(0);
                 }
-                self.survivals.push((service.clone(), started_at));
+                self.successes.push((service.clone(), started_at));
             }
         }
         true
@@ -130,17 +130,18 @@
 
     /// A run that was begun at `started_at` ended well at some service. Returns whether it is the first since a back
     /// end ended.
-    pub fn survived_anywhere(&mut self, started_at: Micros) -> bool {
-        let outlived = |run: &CrashedRun| self.survived_at < run.ended_by() && run.ended_by() <= started_at;
+    pub fn record_success_anywhere(&mut self, started_at: Micros) -> bool {
+        let outlived =
+            |run: &CrashedRun| self.last_success_at < run.ended_by() && run.ended_by() <= started_at;
         let first = self.crashes.iter().any(outlived);
         if first {
-            self.survived_at = started_at;
+            self.last_success_at = started_at;
         }
         first
     }
 
     /// An operator released it. Returns whether this is news.
-    pub fn released(&mut self, at: Micros) -> bool {
+    pub fn record_release(&mut self, at: Micros) -> bool {
         let takes_back = self.crashes.iter().any(|known| known.ended_by() <= at);
         if !takes_back && self.released_at > Micros(0) {
             return false;
@@ -153,7 +154,7 @@
     fn is_taken_back(&self, run: &CrashedRun) -> bool {
         let survived =
             |(service, at): &(ServiceName, Micros)| *service == run.service && *at >= run.ended_by();
-        self.released_at >= run.ended_by() || self.survivals.iter().any(survived)
+        self.released_at >= run.ended_by() || self.successes.iter().any(survived)
     }
 
     /// Drops a crashed run that adds no strike, or the oldest.
@@ -175,7 +176,7 @@
             let runs = self.crashes.iter().enumerate();
             runs.filter(move |(index, _)| *index != left_out).map(|(_, run)| run)
         };
-        let unanswered = || counted().filter(|run| run.ended_by() > self.survived_at);
+        let unanswered = || counted().filter(|run| run.ended_by() > self.last_success_at);
         let in_row = in_a_row(unanswered());
         let beside = unanswered().count() as u32 - in_row;
         let anywhere = in_row + u32::from(beside >= BESIDE);
@@ -186,17 +187,17 @@
     }
 
     /// When the last of its back ends ended.
-    pub fn last_end(&self) -> Micros {
+    pub fn last_crash_at(&self) -> Micros {
         self.crashes.last().map_or(Micros(0), |run| run.known_at)
     }
 
     /// Whether a run of it ended well that was begun after the last of its back ends had ended.
-    pub fn survived_since(&self) -> bool {
-        self.crashes.iter().all(|run| run.ended_by() <= self.survived_at)
+    pub fn succeeded_since_last_crash(&self) -> bool {
+        self.crashes.iter().all(|run| run.ended_by() <= self.last_success_at)
     }
 
     /// Whether a back end of a service ended under it.
-    pub fn is_held_against(&self, service: &ServiceName) -> bool {
+    pub fn has_crash_at(&self, service: &ServiceName) -> bool {
         self.crashes.iter().any(|run| run.service == *service)
     }
 
@@ -206,13 +207,13 @@
     }
 
     /// When the run was begun that took back what spoke against it, by service.
-    pub fn survivals(&self) -> &[(ServiceName, Micros)] {
-        &self.survivals
+    pub fn successes(&self) -> &[(ServiceName, Micros)] {
+        &self.successes
     }
 
     /// When the latest run was begun that ended well after a back end had ended; zero when none did.
-    pub fn survived_at(&self) -> Micros {
-        self.survived_at
+    pub fn last_success_at(&self) -> Micros {
+        self.last_success_at
     }
 
     /// When an operator last released it; zero when none did.
@@ -221,19 +222,19 @@
     }
 
     /// Back ends that ended under it, as far as this node knows.
-    pub fn ended(&self) -> u32 {
-        self.ended
+    pub fn crash_count(&self) -> u32 {
+        self.crash_count
     }
 
     /// Takes over how many back ends another node knows of.
-    pub fn heard_of_ends(&mut self, ended: u32) {
-        self.ended = self.ended.max(ended);
+    pub fn merge_crash_count(&mut self, crash_count: u32) {
+        self.crash_count = self.crash_count.max(crash_count);
     }
 
     /// When something last happened to it.
     pub fn last_event(&self) -> Micros {
-        let survived = self.survivals.iter().map(|(_, at)| *at).max().unwrap_or_default();
-        self.last_end().max(survived).max(self.survived_at).max(self.released_at)
+        let survived = self.successes.iter().map(|(_, at)| *at).max().unwrap_or_default();
+        self.last_crash_at().max(survived).max(self.last_success_at).max(self.released_at)
     }
 }
 
--- a/crates/sablebay-dispatch/src/quarantine/notice.rs
+++ b/crates/sablebay-dispatch/src/quarantine/notice.rs
@@ -6,7 +6,7 @@
 use sablebay_catalogue::{ReplicaId, ServiceName};
 use sablebay_model::{Micros, RequestDigest};
 
-use super::evidence::{CrashedRun, Evidence, ObserverId};
+use super::crash_history::{CrashHistory, CrashedRun, ObserverId};
 
 /// A run that a back end did not outlive, as told.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
@@ -35,18 +35,18 @@
     /// The crashed runs that nothing took back.
     pub crashes: Vec<CrashNotice>,
     /// How long ago the run was begun that took back what spoke against it, by service, in microseconds.
-    pub survivals: Vec<(ServiceName, u64)>,
+    pub successes: Vec<(ServiceName, u64)>,
     /// How long ago a run was begun that ended well after its back ends had ended, in microseconds.
-    pub survived_us_ago: Option<u64>,
+    pub last_success_us_ago: Option<u64>,
     /// How long ago an operator released it, in microseconds.
     pub released_us_ago: Option<u64>,
     /// Back ends that ended under it.
-    pub ended: u32,
+    pub crash_count: u32,
 }
 
 impl QuarantineNotice {
     /// What is known of a request, as it is told now.
-    pub fn of(digest: RequestDigest, route: &str, evidence: &Evidence, now: Micros) -> Self {
+    pub fn of(digest: RequestDigest, route: &str, history: &CrashHistory, now: Micros) -> Self {
         let crash = |run: &CrashedRun| CrashNotice {
             replica: run.replica.clone(),
             service: run.service.clone(),
@@ -60,39 +60,39 @@
         Self {
             digest,
             route: route.to_string(),
-            crashes: evidence.crashes().iter().map(crash).collect(),
-            survivals: evidence.survivals().iter().map(survival).collect(),
-            survived_us_ago: ago(evidence.survived_at()),
-            released_us_ago: ago(evidence.released_at()),
-            ended: evidence.ended(),
+            crashes: history.crashes().iter().map(crash).collect(),
+            successes: history.successes().iter().map(survival).collect(),
+            last_success_us_ago: ago(history.last_success_at()),
+            released_us_ago: ago(history.released_at()),
+            crash_count: history.crash_count(),
         }
     }
 
     /// Adds what is told to what is known. Returns whether anything of it was news.
-    pub fn merge_into(&self, evidence: &mut Evidence, now: Micros) -> bool {
+    pub fn merge_into(&self, history: &mut CrashHistory, now: Micros) -> bool {
         let at = |us_ago: u64| now.since(Micros(us_ago));
         let mut news = false;
         for crash in &self.crashes {
-            news |= evidence.crashed(CrashedRun {
+            news |= history.record_crash(CrashedRun {
                 replica: crash.replica.clone(),
                 service: crash.service.clone(),
                 observer: crash.observer,
                 started_at: crash.started_at,
                 ended_at: crash.ended_at,
                 known_at: at(crash.ended_us_ago),
-                is_told: true,
+                is_remote: true,
             });
         }
-        for (service, us_ago) in &self.survivals {
-            news |= evidence.survived(service, at(*us_ago));
+        for (service, us_ago) in &self.successes {
+            news |= history.record_success(service, at(*us_ago));
         }
-        if let Some(us_ago) = self.survived_us_ago {
-            news |= evidence.survived_anywhere(at(us_ago));
+        if let Some(us_ago) = self.last_success_us_ago {
+            news |= history.record_success_anywhere(at(us_ago));
         }
         if let Some(us_ago) = self.released_us_ago {
-            news |= evidence.released(at(us_ago));
+            news |= history.record_release(at(us_ago));
         }
-        evidence.heard_of_ends(self.ended);
+        history.merge_crash_count(self.crash_count);
         news
     }
 }
--- a/crates/sablebay-dispatch/src/replica_table.rs
+++ b/crates/sablebay-dispatch/src/replica_table.rs
@@ -157,7 +157,7 @@
     /// Most end soon, and their connection is kept. Where work queues, or nothing has come for long,
     /// the call takes a slot from those that are waited for: its connection is closed at once, which
     /// cancels it.
-    pub fn abandoned_patience(&self, replica: &ReplicaId, now: Micros) -> Micros {
+    pub fn abandoned_call_grace(&self, replica: &ReplicaId, now: Micros) -> Micros {
         let health = self.health.get(replica);
         let wanted_by_others = health.is_some_and(|health| health.is_full(now) || health.is_silent(now));
         if wanted_by_others { Micros(0) } else { ABANDONED_PATIENCE }
--- a/crates/sablebay-dispatch/src/tenant_shares.rs
+++ b/crates/sablebay-dispatch/src/tenant_shares.rs
@@ -78,13 +78,13 @@
 
 impl TenantDemand {
     /// The part of the tenant's requests to refuse where `surplus`, a part of everybody's work, cannot be run.
-    pub fn beyond_level(&self, surplus: f64) -> f64 {
+    pub fn refusal_fraction(&self, surplus: f64) -> f64 {
         self.beyond(self.level(surplus))
     }
 
     /// The same, but nothing of what is within an equal part of everybody's work: 0 where all ask for the same,
     /// whatever the surplus.
-    pub fn beyond_equal_part(&self, surplus: f64) -> f64 {
+    pub fn excess_refusal_fraction(&self, surplus: f64) -> f64 {
         self.beyond(self.level(surplus).max(self.equal_part()))
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Whether the tenant asks for more than an equal part of everybody's work.
-    pub fn is_beyond_equal_part(&self) -> bool {
+    pub fn exceeds_equal_share(&self) -> bool {
         self.own > self.equal_part()
     }
 
--- a/crates/sablebay-dispatch/tests/cold_rate.rs
+++ b/crates/sablebay-dispatch/tests/cold_rate.rs
@@ -8,12 +8,13 @@
 
 use sablebay_catalogue::{Replica, ReplicaId, ReplicaPhase, RoutableReplica, ServiceName};
 use sablebay_dispatch::{
-    Callers, ColdBearing, GathererNode, ReplicaTable, cold_share, gathering_nodes, owned_shards, shard_owners,
+    Callers, ColdCapacity, GathererNode, ReplicaTable, cold_share, gathering_nodes, owned_shards,
+    shard_owners,
 };
 use sablebay_model::{Micros, NodeId, ZoneName};
 
 const START: Micros = Micros::from_secs(10);
-const BEARING: ColdBearing = ColdBearing { requests_per_s: 5.0, overage: 1.5, slack: 5.0 };
+const CAPACITY: ColdCapacity = ColdCapacity { requests_per_s: 5.0, overage: 1.5, slack: 5.0 };
 const SIZES: [usize; 3] = [8, 64, 300];
 
 fn names(size: usize) -> Vec<NodeId> {
@@ -21,7 +22,7 @@
 }
 
 fn share(replica: &ReplicaId, own: &NodeId, known: &[NodeId], at_least: usize) -> u32 {
-    cold_share(replica, &BEARING, &Callers { own, known, at_least })
+    cold_share(replica, &CAPACITY, &Callers { own, known, at_least })
 }
 
 fn cold_replica(name: &str, zone: &str, calls_per_s: u32) -> RoutableReplica {
@@ -67,7 +68,7 @@
                 .collect();
             let shares = nodes.iter().zip(&seen).map(|(own, seen)| share(&replica, own, seen, 0));
             let sum: u32 = shares.sum();
-            assert!(f64::from(sum) <= BEARING.bound(), "{sum} at {size} nodes, replica {number}");
+            assert!(f64::from(sum) <= CAPACITY.bound(), "{sum} at {size} nodes, replica {number}");
         }
     }
 }
@@ -80,7 +81,7 @@
             let replica = ReplicaId::new(format!("r{number}"));
             // All were told how many there are, and know none by name.
             let sum: u32 = nodes.iter().map(|own| share(&replica, own, &[], size)).sum();
-            assert!(f64::from(sum) <= BEARING.bound(), "{sum} at {size} nodes, replica {number}");
+            assert!(f64::from(sum) <= CAPACITY.bound(), "{sum} at {size} nodes, replica {number}");
         }
     }
 }
--- a/crates/sablebay-dispatch/tests/hot_tenant.rs
+++ b/crates/sablebay-dispatch/tests/hot_tenant.rs
@@ -131,8 +131,8 @@
             shards: load.shards,
             crowded: (crowded_share * load.shards as f64) as usize,
             rank: 0,
-            returning: attempt.returning,
-            patience: PATIENCE,
+            is_retry: attempt.returning,
+            timeout: PATIENCE,
         };
         let node = &mut nodes[random.random_range(0..NODES)];
         node.note(&names[attempt.tenant], load.shards, attempt.at);
--- a/crates/sablebay-dispatch/tests/quarantine.rs
+++ b/crates/sablebay-dispatch/tests/quarantine.rs
@@ -6,9 +6,9 @@
 
 use sablebay_catalogue::{ReplicaId, ServiceName};
 use sablebay_dispatch::{
-    Audience, CrashedRun, Evidence, FIRST_HOLD, KEPT_CRASHES, LONGEST_HOLD, LeaseRequest, MAXIMUM_REQUESTS,
-    NOTICES_PER_MESSAGE, ObserverId, Quarantine, QuarantineNotice, RunId, RunPermit, STRIKES, Standing,
-    alone_limit,
+    Audience, CrashHistory, CrashedRun, FIRST_HOLD, KEPT_CRASHES, LONGEST_HOLD, LeaseRequest,
+    MAXIMUM_REQUESTS, NOTICES_PER_MESSAGE, ObserverId, QUARANTINE_STRIKES, Quarantine, QuarantineNotice,
+    QuarantineStatus, RunId, RunPermit, lease_duration,
 };
 use sablebay_model::{Micros, RequestDigest};
 
@@ -37,7 +37,7 @@
         started_at: at(started_ms),
         ended_at: at(ended_ms),
         known_at: at(ended_ms),
-        is_told: false,
+        is_remote: false,
     }
 }
 
@@ -49,24 +49,24 @@
         started_at: behind(run.started_at),
         ended_at: behind(run.ended_at),
         known_at: run.known_at.plus(Micros::from_millis(delay_ms)),
-        is_told: true,
+        is_remote: true,
         ..run
     }
 }
 
-fn evidence(runs: &[CrashedRun]) -> Evidence {
-    let mut evidence = Evidence::default();
+fn history(runs: &[CrashedRun]) -> CrashHistory {
+    let mut history = CrashHistory::default();
     for run in runs {
-        evidence.crashed(run.clone());
+        history.record_crash(run.clone());
     }
-    evidence
+    history
 }
 
 /// A table that knows of so many strikes in a row, each a tenth of a second after the one before.
 fn struck(strikes: u64) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for strike in 0..strikes {
-        quarantine.crashed(
+        quarantine.record_crash(
             digest(1),
             ROUTE,
             crash(strike, strike * 100, strike * 100 + 50),
@@ -79,80 +79,80 @@
 #[test]
 fn back_ends_that_end_together_are_never_enough() {
     let pair: Vec<CrashedRun> = (0..2).map(|replica| crash(replica, 0, 40 + replica)).collect();
-    assert_eq!(evidence(&pair).strikes(), 1);
+    assert_eq!(history(&pair).strikes(), 1);
     let together: Vec<CrashedRun> = (0..40).map(|replica| crash(replica, 0, 40 + replica)).collect();
-    assert!(evidence(&together).strikes() < STRIKES);
-    assert_eq!(evidence(&together).ended(), 40);
+    assert!(history(&together).strikes() < QUARANTINE_STRIKES);
+    assert_eq!(history(&together).crash_count(), 40);
 }
 
 #[test]
 fn back_ends_that_end_one_after_the_other_are_a_strike_each() {
     let in_a_row = [crash(0, 0, 40), crash(1, 41, 60), crash(2, 75, 80)];
-    assert_eq!(evidence(&in_a_row).strikes(), 3);
+    assert_eq!(history(&in_a_row).strikes(), 3);
 }
 
 #[test]
 fn what_another_node_saw_one_after_the_other_counts_so_however_close() {
     let in_a_row = [crash(0, 0, 4), crash(1, 5, 8), crash(2, 9, 12)];
     let heard: Vec<CrashedRun> = in_a_row.into_iter().map(|run| told(run, 2, 30)).collect();
-    assert_eq!(evidence(&heard).strikes(), 3);
+    assert_eq!(history(&heard).strikes(), 3);
 }
 
 #[test]
 fn word_that_comes_late_does_not_make_runs_follow_one_another() {
     let early = told(crash(0, 0, 40), 2, 1);
     let late = told(crash(1, 30, 60), 2, 200);
-    assert_eq!(evidence(&[early.clone(), late.clone()]).strikes(), 1, "one node saw both");
+    assert_eq!(history(&[early.clone(), late.clone()]).strikes(), 1, "one node saw both");
     let of_another = told(crash(1, 30, 60), 3, 200);
-    assert_eq!(evidence(&[early, of_another]).strikes(), 1, "two nodes saw one each");
+    assert_eq!(history(&[early, of_another]).strikes(), 1, "two nodes saw one each");
 }
 
 #[test]
 fn what_two_nodes_saw_well_apart_counts_as_one_after_the_other() {
     let first = told(crash(0, 0, 40), 2, 1);
     let second = told(crash(1, 400, 440), 3, 1);
-    assert_eq!(evidence(&[first, second]).strikes(), 2);
+    assert_eq!(history(&[first, second]).strikes(), 2);
 }
 
 #[test]
 fn a_back_end_ends_once() {
     let told_twice = [crash(0, 0, 40), crash(0, 45, 90)];
-    assert_eq!(evidence(&told_twice).strikes(), 1);
-    assert_eq!(evidence(&told_twice).ended(), 1);
+    assert_eq!(history(&told_twice).strikes(), 1);
+    assert_eq!(history(&told_twice).crash_count(), 1);
 }
 
 #[test]
 fn a_good_run_that_was_begun_later_takes_back_what_was_held_against_the_request_at_its_service() {
-    let mut known = evidence(&[crash(0, 0, 40), crash(1, 50, 90)]);
-    assert!(!known.survived(&service(0), at(39)), "it was under way when the back end ended");
+    let mut known = history(&[crash(0, 0, 40), crash(1, 50, 90)]);
+    assert!(!known.record_success(&service(0), at(39)), "it was under way when the back end ended");
     assert_eq!(known.strikes(), 2);
-    assert!(known.survived(&service(0), at(95)));
-    assert!(!known.is_held_against(&service(0)));
-    assert!(known.is_held_against(&service(1)), "what the other service says stands");
-    assert!(known.survived_since());
-    assert!(known.survived(&service(1), at(95)));
+    assert!(known.record_success(&service(0), at(95)));
+    assert!(!known.has_crash_at(&service(0)));
+    assert!(known.has_crash_at(&service(1)), "what the other service says stands");
+    assert!(known.succeeded_since_last_crash());
+    assert!(known.record_success(&service(1), at(95)));
     assert_eq!(known.strikes(), 0);
-    assert!(!known.crashed(crash(0, 0, 40)), "what is told late was taken back already");
+    assert!(!known.record_crash(crash(0, 0, 40)), "what is told late was taken back already");
 }
 
 #[test]
 fn ends_at_several_services_are_not_in_a_row_when_a_run_between_them_ended_well() {
-    let mut known = evidence(&[crash(0, 0, 40)]);
-    assert!(known.survived(&service(3), at(50)));
-    known.crashed(crash(1, 60, 90));
-    known.crashed(crash(2, 100, 120));
+    let mut known = history(&[crash(0, 0, 40)]);
+    assert!(known.record_success(&service(3), at(50)));
+    known.record_crash(crash(1, 60, 90));
+    known.record_crash(crash(2, 100, 120));
     assert_eq!(known.strikes(), 2);
 }
 
 #[test]
 fn a_request_that_is_fatal_to_one_service_alone_is_found_out() {
-    let mut known = Evidence::default();
+    let mut known = CrashHistory::default();
     for attempt in 0..5 {
         let began = attempt * 100;
-        known.survived(&service(1), at(began));
-        known.crashed(CrashedRun { service: service(0), ..crash(attempt, began + 10, began + 50) });
+        known.record_success(&service(1), at(began));
+        known.record_crash(CrashedRun { service: service(0), ..crash(attempt, began + 10, began + 50) });
     }
-    assert_eq!(known.strikes(), STRIKES);
+    assert_eq!(known.strikes(), QUARANTINE_STRIKES);
 }
 
 fn run(node: u64, call: u64) -> RunId {
@@ -161,15 +161,15 @@
 
 /// A run on a route whose calls usually take 12 ms.
 fn wanted(run: RunId) -> LeaseRequest {
-    LeaseRequest { run, lasts: alone_limit(Micros::from_millis(12)) }
+    LeaseRequest { run, duration: lease_duration(Micros::from_millis(12)) }
 }
 
 #[test]
 fn several_that_end_beside_those_in_a_row_count_once_more() {
-    let mut known = evidence(&(0..3).map(|replica| crash(replica, 0, 40 + replica)).collect::<Vec<_>>());
+    let mut known = history(&(0..3).map(|replica| crash(replica, 0, 40 + replica)).collect::<Vec<_>>());
     assert_eq!(known.strikes(), 2);
-    assert!(known.survived(&service(3), at(50)), "a run that was begun later ended well");
-    known.crashed(crash(7, 60, 90));
+    assert!(known.record_success(&service(3), at(50)), "a run that was begun later ended well");
+    known.record_crash(crash(7, 60, 90));
     assert_eq!(known.strikes(), 1, "what ended together before no longer counts");
 }
 
@@ -178,14 +178,14 @@
     let mut quarantine = struck(1);
     let now = at(60);
     for shard in 0..4 {
-        assert_eq!(quarantine.permit(&digest(1), &service(shard), now), RunPermit::Alone);
+        assert_eq!(quarantine.permit(&digest(1), &service(shard), now), RunPermit::NeedsLease);
     }
     assert!(quarantine.grant(&digest(1), wanted(run(1, 1)), now));
     assert!(!quarantine.grant(&digest(1), wanted(run(1, 2)), now), "another run of the same node");
     assert!(!quarantine.grant(&digest(1), wanted(run(2, 1)), now), "a run of another node");
-    assert!(quarantine.over(&digest(1), run(1, 1)));
+    assert!(quarantine.release_lease(&digest(1), run(1, 1)));
     assert!(quarantine.grant(&digest(1), wanted(run(2, 1)), now));
-    assert!(quarantine.survived(&digest(1), &service(3), now));
+    assert!(quarantine.record_success(&digest(1), &service(3), now));
     for shard in 0..4 {
         assert_eq!(quarantine.permit(&digest(1), &service(shard), at(70)), RunPermit::Free);
     }
@@ -197,56 +197,56 @@
     for attempt in 0..4 {
         let began = attempt * 100;
         let run = CrashedRun { service: service(0), ..crash(attempt, began, began + 50) };
-        quarantine.survived(&digest(1), &service(3), at(began));
-        quarantine.crashed(digest(1), ROUTE, run, at(began + 50));
+        quarantine.record_success(&digest(1), &service(3), at(began));
+        quarantine.record_crash(digest(1), ROUTE, run, at(began + 50));
     }
-    assert!(quarantine.survived(&digest(1), &service(3), at(360)));
+    assert!(quarantine.record_success(&digest(1), &service(3), at(360)));
     assert_eq!(quarantine.permit(&digest(1), &service(2), at(370)), RunPermit::Free);
-    assert_eq!(quarantine.permit(&digest(1), &service(0), at(370)), RunPermit::Alone);
+    assert_eq!(quarantine.permit(&digest(1), &service(0), at(370)), RunPermit::NeedsLease);
 }
 
 #[test]
 fn slow_routes_keep_others_waiting_for_longer_and_none_for_ever() {
-    assert!(alone_limit(Micros::from_millis(90)) >= Micros::from_millis(360), "slow from its start");
-    assert!(alone_limit(Micros::from_secs(60)) <= Micros::from_secs(2));
-    assert!(alone_limit(Micros(0)) > Micros(0));
+    assert!(lease_duration(Micros::from_millis(90)) >= Micros::from_millis(360), "slow from its start");
+    assert!(lease_duration(Micros::from_secs(60)) <= Micros::from_secs(2));
+    assert!(lease_duration(Micros(0)) > Micros(0));
 }
 
 #[test]
 fn a_silent_run_does_not_keep_others_waiting_for_ever() {
     let mut quarantine = struck(1);
     assert!(quarantine.grant(&digest(1), wanted(run(1, 1)), at(60)));
-    assert!(quarantine.grant(&digest(1), wanted(run(1, 2)), at(60).plus(wanted(run(1, 1)).lasts)));
-    assert!(!quarantine.over(&digest(1), run(1, 1)), "it is the second that others wait for");
+    assert!(quarantine.grant(&digest(1), wanted(run(1, 2)), at(60).plus(wanted(run(1, 1)).duration)));
+    assert!(!quarantine.release_lease(&digest(1), run(1, 1)), "it is the second that others wait for");
 }
 
 #[test]
 fn from_the_third_strike_on_nothing_is_sent_until_the_quarantine_is_over() {
-    let quarantine = struck(u64::from(STRIKES));
+    let quarantine = struck(u64::from(QUARANTINE_STRIKES));
     let ended = at(250);
     let until = ended.plus(FIRST_HOLD);
-    assert_eq!(quarantine.standing(&digest(1), ended), Standing::Held { until });
+    assert_eq!(quarantine.status(&digest(1), ended), QuarantineStatus::Quarantined { until });
     for shard in 0..4 {
         let permit = quarantine.permit(&digest(1), &service(shard), ended);
         assert_eq!(permit, RunPermit::Refused { retry_after: FIRST_HOLD });
     }
-    assert_eq!(quarantine.standing(&digest(2), ended), Standing::Clear);
+    assert_eq!(quarantine.status(&digest(2), ended), QuarantineStatus::Clear);
 }
 
 #[test]
 fn after_the_quarantine_one_run_tells_and_another_strike_makes_it_longer() {
-    let mut quarantine = struck(u64::from(STRIKES));
+    let mut quarantine = struck(u64::from(QUARANTINE_STRIKES));
     let until = at(250).plus(FIRST_HOLD);
-    assert_eq!(quarantine.standing(&digest(1), until), Standing::OnTrial);
-    assert_eq!(quarantine.permit(&digest(1), &service(0), until), RunPermit::Alone);
+    assert_eq!(quarantine.status(&digest(1), until), QuarantineStatus::Probation);
+    assert_eq!(quarantine.permit(&digest(1), &service(0), until), RunPermit::NeedsLease);
     assert!(quarantine.grant(&digest(1), wanted(run(1, 1)), until));
     assert!(!quarantine.grant(&digest(1), wanted(run(2, 1)), until));
     let ended_at = until.plus(Micros::from_millis(20));
     let again = CrashedRun { started_at: until, ended_at, known_at: ended_at, ..crash(99, 0, 0) };
-    quarantine.crashed(digest(1), ROUTE, again, ended_at);
-    match quarantine.standing(&digest(1), ended_at) {
-        Standing::Held { until } => assert!(until.since(ended_at) > FIRST_HOLD),
-        standing => panic!("{standing}"),
+    quarantine.record_crash(digest(1), ROUTE, again, ended_at);
+    match quarantine.status(&digest(1), ended_at) {
+        QuarantineStatus::Quarantined { until } => assert!(until.since(ended_at) > FIRST_HOLD),
+        status => panic!("{status}"),
     }
 }
 
@@ -254,42 +254,42 @@
 fn no_quarantine_is_longer_than_the_longest() {
     let quarantine = struck(40);
     let ended = at(39 * 100 + 50);
-    match quarantine.standing(&digest(1), ended) {
-        Standing::Held { until } => assert_eq!(until.since(ended), LONGEST_HOLD),
-        standing => panic!("{standing}"),
+    match quarantine.status(&digest(1), ended) {
+        QuarantineStatus::Quarantined { until } => assert_eq!(until.since(ended), LONGEST_HOLD),
+        status => panic!("{status}"),
     }
 }
 
 #[test]
 fn an_operator_releases_a_request_on_all_nodes() {
-    let mut quarantine = struck(u64::from(STRIKES));
+    let mut quarantine = struck(u64::from(QUARANTINE_STRIKES));
     let mut other = Quarantine::default();
-    for (notice, audience) in quarantine.take_news(at(300)) {
-        assert_eq!(audience, Audience::Everyone);
-        other.heard(&notice, true, at(300));
+    for (notice, audience) in quarantine.take_updates(at(300)) {
+        assert_eq!(audience, Audience::AllNodes);
+        other.merge_notice(&notice, true, at(300));
     }
-    assert!(matches!(other.standing(&digest(1), at(300)), Standing::Held { .. }));
+    assert!(matches!(other.status(&digest(1), at(300)), QuarantineStatus::Quarantined { .. }));
     assert!(quarantine.release(&digest(1), at(400)));
     assert!(!quarantine.release(&digest(7), at(400)), "it is not known");
-    let news = quarantine.take_news(at(400));
+    let news = quarantine.take_updates(at(400));
     assert_eq!(news.len(), 1);
-    assert_eq!(news[0].1, Audience::Everyone);
-    other.heard(&news[0].0, true, at(400));
-    assert_eq!(other.standing(&digest(1), at(400)), Standing::Clear);
-    let old = struck(u64::from(STRIKES)).notice(&digest(1), at(500)).expect("it is known");
-    other.heard(&old, false, at(500));
-    assert_eq!(other.standing(&digest(1), at(500)), Standing::Clear, "an older word does not count");
+    assert_eq!(news[0].1, Audience::AllNodes);
+    other.merge_notice(&news[0].0, true, at(400));
+    assert_eq!(other.status(&digest(1), at(400)), QuarantineStatus::Clear);
+    let old = struck(u64::from(QUARANTINE_STRIKES)).notice(&digest(1), at(500)).expect("it is known");
+    other.merge_notice(&old, false, at(500));
+    assert_eq!(other.status(&digest(1), at(500)), QuarantineStatus::Clear, "an older word does not count");
 }
 
 #[test]
 fn a_first_strike_is_told_to_everyone_once() {
     let mut quarantine = struck(1);
-    let news = quarantine.take_news(at(100));
-    assert_eq!(news.iter().map(|(_, audience)| *audience).collect::<Vec<_>>(), [Audience::Everyone]);
-    assert!(quarantine.take_news(at(100)).is_empty());
-    assert!(quarantine.survived(&digest(1), &service(0), at(110)));
-    let taken_back = quarantine.take_news(at(120));
-    assert_eq!(taken_back.iter().map(|(_, audience)| *audience).collect::<Vec<_>>(), [Audience::Everyone]);
+    let news = quarantine.take_updates(at(100));
+    assert_eq!(news.iter().map(|(_, audience)| *audience).collect::<Vec<_>>(), [Audience::AllNodes]);
+    assert!(quarantine.take_updates(at(100)).is_empty());
+    assert!(quarantine.record_success(&digest(1), &service(0), at(110)));
+    let taken_back = quarantine.take_updates(at(120));
+    assert_eq!(taken_back.iter().map(|(_, audience)| *audience).collect::<Vec<_>>(), [Audience::AllNodes]);
 }
 
 #[test]
@@ -297,30 +297,30 @@
     let mut quarantine = Quarantine::default();
     for number in 0..200 {
         let run = CrashedRun { replica: ReplicaId::new(format!("i-{number}")), ..crash(0, 0, 40) };
-        quarantine.crashed(digest(number), ROUTE, run, at(40));
+        quarantine.record_crash(digest(number), ROUTE, run, at(40));
     }
-    let news = quarantine.take_news(at(50));
-    let everyone = news.iter().filter(|(_, audience)| *audience == Audience::Everyone).count();
+    let news = quarantine.take_updates(at(50));
+    let everyone = news.iter().filter(|(_, audience)| *audience == Audience::AllNodes).count();
     assert_eq!(news.len(), 200);
     assert!(everyone > 0 && everyone <= 20, "{everyone}");
 }
 
 #[test]
 fn a_flood_of_requests_neither_grows_the_table_nor_frees_one_that_is_held_back() {
-    let mut quarantine = struck(u64::from(STRIKES));
+    let mut quarantine = struck(u64::from(QUARANTINE_STRIKES));
     for number in 0..20_000 {
         let now = at(300 + number / 100);
         let run = CrashedRun { started_at: now, ended_at: now, known_at: now, ..crash(1_000 + number, 0, 0) };
-        quarantine.crashed(digest(10 + number), ROUTE, run, now);
+        quarantine.record_crash(digest(10 + number), ROUTE, run, now);
     }
     assert!(quarantine.len() <= MAXIMUM_REQUESTS);
     assert!(quarantine.notices(at(600)).len() <= NOTICES_PER_MESSAGE);
-    assert!(matches!(quarantine.standing(&digest(1), at(600)), Standing::Held { .. }));
+    assert!(matches!(quarantine.status(&digest(1), at(600)), QuarantineStatus::Quarantined { .. }));
 }
 
 #[test]
 fn what_is_long_past_is_forgotten() {
-    let mut quarantine = struck(u64::from(STRIKES));
+    let mut quarantine = struck(u64::from(QUARANTINE_STRIKES));
     quarantine.expire(at(250).plus(FIRST_HOLD));
     assert_eq!(quarantine.len(), 1);
     quarantine.expire(at(250).plus(FIRST_HOLD).plus(Micros::from_secs(601)));
@@ -330,13 +330,13 @@
 #[test]
 fn a_request_that_nothing_speaks_against_is_soon_forgotten() {
     let mut quarantine = struck(1);
-    assert!(quarantine.survived(&digest(1), &service(0), at(60)));
+    assert!(quarantine.record_success(&digest(1), &service(0), at(60)));
     quarantine.expire(at(1_000));
     let late = struck(1).notice(&digest(1), at(1_000)).expect("it is known");
-    quarantine.heard(&late, false, at(1_000));
+    quarantine.merge_notice(&late, false, at(1_000));
     assert_eq!(
-        quarantine.standing(&digest(1), at(1_000)),
-        Standing::Clear,
+        quarantine.status(&digest(1), at(1_000)),
+        QuarantineStatus::Clear,
         "late word of what was taken back"
     );
     quarantine.expire(at(40_000));
@@ -413,8 +413,8 @@
     }
 
     fn tell(&mut self, from: usize, now: u64) {
-        for (notice, audience) in self.nodes[from].quarantine.take_news(at(now)) {
-            let everyone = audience == Audience::Everyone;
+        for (notice, audience) in self.nodes[from].quarantine.take_updates(at(now)) {
+            let everyone = audience == Audience::AllNodes;
             let told = if everyone { self.nodes.len() } else { self.nodes.len().min(3) };
             for to in 0..told {
                 self.send(from, to, vec![notice.clone()], everyone, now);
@@ -428,7 +428,7 @@
         self.messages = later;
         for message in due {
             for notice in &message.notices {
-                self.nodes[message.to].quarantine.heard(notice, message.to_everyone, at(now));
+                self.nodes[message.to].quarantine.merge_notice(notice, message.to_everyone, at(now));
             }
             self.tell(message.to, now);
         }
@@ -460,16 +460,16 @@
         match self.nodes[node].quarantine.permit(&digest(1), &service(shard), at(now)) {
             RunPermit::Free => Some(true),
             RunPermit::Refused { .. } => None,
-            RunPermit::Alone if !self.arrives(node, FIRST_KEEPER, now) => Some(false),
-            RunPermit::Alone => {
+            RunPermit::NeedsLease if !self.arrives(node, FIRST_KEEPER, now) => Some(false),
+            RunPermit::NeedsLease => {
                 let notice = self.nodes[node].quarantine.notice(&digest(1), at(now)).expect("it is suspect");
                 let keeper = &mut self.nodes[FIRST_KEEPER].quarantine;
-                keeper.heard(&notice, false, at(now));
+                keeper.merge_notice(&notice, false, at(now));
                 let known = keeper.notice(&digest(1), at(now)).expect("it was just heard of");
                 let granted = keeper.grant(&digest(1), wanted(run), at(now));
                 let own = &mut self.nodes[node].quarantine;
-                own.heard(&known, false, at(now));
-                let held = matches!(own.standing(&digest(1), at(now)), Standing::Held { .. });
+                own.merge_notice(&known, false, at(now));
+                let held = matches!(own.status(&digest(1), at(now)), QuarantineStatus::Quarantined { .. });
                 if held { None } else { Some(granted) }
             }
         }
@@ -490,16 +490,16 @@
                 started_at: at(started_at),
                 ended_at: at(now),
                 known_at: at(now),
-                is_told: false,
+                is_remote: false,
             };
-            self.nodes[node].quarantine.crashed(digest(1), ROUTE, crashed, at(now));
+            self.nodes[node].quarantine.record_crash(digest(1), ROUTE, crashed, at(now));
             if let Some(run) = place
                 && self.arrives(node, FIRST_KEEPER, now)
             {
                 let notice = self.nodes[node].quarantine.notice(&digest(1), at(now)).expect("it struck");
                 let keeper = &mut self.nodes[FIRST_KEEPER].quarantine;
-                keeper.heard(&notice, false, at(now));
-                keeper.over(&digest(1), run);
+                keeper.merge_notice(&notice, false, at(now));
+                keeper.release_lease(&digest(1), run);
             }
         }
         self.tell(node, now);
@@ -515,7 +515,8 @@
             let run = RunId { node: ObserverId(node as u64), call };
             match self.may_run(node, call % shards, run, now) {
                 Some(true) => {
-                    let clear = self.nodes[node].quarantine.standing(&digest(1), at(now)) == Standing::Clear;
+                    let clear =
+                        self.nodes[node].quarantine.status(&digest(1), at(now)) == QuarantineStatus::Clear;
                     let ends_at = now + 2 + self.draw(90);
                     attempt.running.push((call, now, ends_at, (!clear).then_some(run)));
                     attempt.reached = true;
@@ -524,7 +525,10 @@
                 None => attempt.waiting.clear(),
             }
         }
-        let held = matches!(self.nodes[node].quarantine.standing(&digest(1), at(now)), Standing::Held { .. });
+        let held = matches!(
+            self.nodes[node].quarantine.status(&digest(1), at(now)),
+            QuarantineStatus::Quarantined { .. }
+        );
         let late = now >= attempt.began_at + ATTEMPT_MS;
         (held || late || attempt.waiting.is_empty()) && attempt.running.is_empty()
     }
@@ -621,13 +625,13 @@
         let spans = spans.iter().enumerate();
         let mut runs: Vec<CrashedRun> =
             spans.map(|(replica, (from, length))| crash(replica as u64, *from, from + length)).collect();
-        let strikes = evidence(&runs).strikes();
+        let strikes = history(&runs).strikes();
         let mut state = order | 1;
         runs.sort_by_key(|run| {
             state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
             (state >> 20, run.replica.clone())
         });
-        prop_assert_eq!(evidence(&runs).strikes(), strikes);
+        prop_assert_eq!(history(&runs).strikes(), strikes);
     }
 
     /// However many runs are kept, those that were begun one after the other are.
@@ -638,7 +642,7 @@
     ) {
         let mut runs: Vec<CrashedRun> = (0..row).map(|n| crash(n, n * 100, n * 100 + 50)).collect();
         runs.extend(beside.iter().enumerate().map(|(n, from)| crash(100 + n as u64, *from, 60 + from)));
-        let known = evidence(&runs);
+        let known = history(&runs);
         prop_assert!(known.crashes().len() <= KEPT_CRASHES);
         prop_assert!(u64::from(known.strikes()) >= row, "{} of {row}", known.strikes());
     }
@@ -668,18 +672,18 @@
                 for (node, asked, back_end, started) in over {
                     let quarantine = &mut fleet.nodes[node].quarantine;
                     if now >= started + work_ms {
-                        quarantine.survived(&digest(1), &service(back_end % 4), at(started));
+                        quarantine.record_success(&digest(1), &service(back_end % 4), at(started));
                     } else {
                         lives += 1;
                         let replica = ReplicaId::new(format!("i-{back_end}-{lives}"));
                         let observer = ObserverId(node as u64);
                         let run = CrashedRun { replica, observer, ..crash(back_end, started, now) };
-                        quarantine.crashed(digest(1), ROUTE, run, at(now));
+                        quarantine.record_crash(digest(1), ROUTE, run, at(now));
                     }
                     if let Some(notice) = quarantine.notice(&digest(1), at(now)) {
-                        fleet.nodes[FIRST_KEEPER].quarantine.heard(&notice, false, at(now));
+                        fleet.nodes[FIRST_KEEPER].quarantine.merge_notice(&notice, false, at(now));
                     }
-                    fleet.nodes[FIRST_KEEPER].quarantine.over(&digest(1), asked);
+                    fleet.nodes[FIRST_KEEPER].quarantine.release_lease(&digest(1), asked);
                     fleet.tell(node, now);
                 }
                 // Asked at one of 40 back ends, through one of three nodes.
--- a/crates/sablebay-dispatch/tests/replica_choice.rs
+++ b/crates/sablebay-dispatch/tests/replica_choice.rs
@@ -132,15 +132,15 @@
     let told = |running, waiting| Some(LoadHint { running, waiting, slots: 2 });
     table.sent(id, CallKey(1), USUAL, START);
     table.answered(id, CallKey(1), told(1, 0), START);
-    assert!(table.abandoned_patience(id, START) > Micros(0), "a slot is free");
+    assert!(table.abandoned_call_grace(id, START) > Micros(0), "a slot is free");
     table.sent(id, CallKey(2), USUAL, START);
     table.answered(id, CallKey(2), told(2, 3), START);
-    assert_eq!(table.abandoned_patience(id, START), Micros(0), "others wait for the slot");
+    assert_eq!(table.abandoned_call_grace(id, START), Micros(0), "others wait for the slot");
     let later = START.plus(Micros::from_secs(1));
-    assert!(table.abandoned_patience(id, later) > Micros(0), "what was told long ago is not believed");
+    assert!(table.abandoned_call_grace(id, later) > Micros(0), "what was told long ago is not believed");
     table.sent(id, CallKey(3), USUAL, later);
     let silent = later.plus(Micros::from_millis(90));
-    assert_eq!(table.abandoned_patience(id, silent), Micros(0), "it stands still, and work queues there");
+    assert_eq!(table.abandoned_call_grace(id, silent), Micros(0), "it stands still, and work queues there");
 }
 
 #[test]
--- a/crates/sablebay-dispatch/tests/shares.rs
+++ b/crates/sablebay-dispatch/tests/shares.rs
@@ -143,15 +143,15 @@
 /// it had met, eleven connections of 26, and the replicas reset what was too many.
 #[test]
 fn a_node_that_has_just_started_takes_no_more_than_it_must() {
-    let just_started = FleetSize { met: 2, told: None, running_for: Micros::from_millis(300) };
+    let just_started = FleetSize { discovered: 2, reported: None, running_for: Micros::from_millis(300) };
     assert_eq!(connection_share(26, just_started.sharing(64)), 1);
-    let told = FleetSize { told: Some(8), ..just_started };
+    let told = FleetSize { reported: Some(8), ..just_started };
     assert_eq!(connection_share(26, told.sharing(64)), 1, "it has not met them all");
-    let met = FleetSize { met: 8, ..told };
+    let met = FleetSize { discovered: 8, ..told };
     assert_eq!(met.sharing(64), 8, "it has met as many as a peer that knows the fleet");
-    let settled = FleetSize { met: 8, told: None, running_for: SETTLING_TIME };
+    let settled = FleetSize { discovered: 8, reported: None, running_for: SETTLING_TIME };
     assert_eq!(settled.sharing(64), 8);
-    let alone = FleetSize { met: 1, told: None, running_for: SETTLING_TIME };
+    let alone = FleetSize { discovered: 1, reported: None, running_for: SETTLING_TIME };
     assert_eq!(alone.sharing(64), 64, "a lone node may have been cut off from many");
 }
 
--- a/crates/sablebay-dispatch/tests/tenant_shares.rs
+++ b/crates/sablebay-dispatch/tests/tenant_shares.rs
@@ -34,7 +34,7 @@
 fn equal_tenants_lose_alike() {
     let shares = shares(&[(0, 20), (1, 20), (2, 20), (3, 20)]);
     for number in 0..4 {
-        assert!((shares.demand_of(&tenant(number)).beyond_level(0.3) - 0.3).abs() < 1e-9);
+        assert!((shares.demand_of(&tenant(number)).refusal_fraction(0.3) - 0.3).abs() < 1e-9);
     }
 }
 
@@ -44,15 +44,15 @@
     requests.extend((1..9).map(|small| (small, 20)));
     let shares = shares(&requests);
     // Of 16 requests 4 are to be refused: all of them out of the eight of one tenant.
-    assert!((shares.demand_of(&tenant(0)).beyond_level(0.25) - 0.5).abs() < 1e-9);
-    assert_eq!(shares.demand_of(&tenant(1)).beyond_level(0.25), 0.0);
+    assert!((shares.demand_of(&tenant(0)).refusal_fraction(0.25) - 0.5).abs() < 1e-9);
+    assert_eq!(shares.demand_of(&tenant(1)).refusal_fraction(0.25), 0.0);
 }
 
 #[test]
 fn work_counts_and_not_requests() {
     let shares = shares(&[(0, 90), (1, 2), (1, 2), (1, 2)]);
-    assert!(shares.demand_of(&tenant(0)).beyond_level(0.5) > 0.5);
-    assert_eq!(shares.demand_of(&tenant(1)).beyond_level(0.5), 0.0);
+    assert!(shares.demand_of(&tenant(0)).refusal_fraction(0.5) > 0.5);
+    assert_eq!(shares.demand_of(&tenant(1)).refusal_fraction(0.5), 0.0);
 }
 
 #[test]
@@ -60,7 +60,7 @@
     let mut shares = shares(&vec![(0, 20); 30]);
     shares.note(&tenant(1), 20, Micros::from_secs(30));
     assert_eq!(shares.remembered(), 1);
-    assert_eq!(shares.demand_of(&tenant(0)).beyond_level(0.5), 0.0);
+    assert_eq!(shares.demand_of(&tenant(0)).refusal_fraction(0.5), 0.0);
 }
 
 #[test]
@@ -88,7 +88,7 @@
         let equal_part = all * (1.0 - surplus) / demands.len() as f64;
         for (who, demand) in &demands {
             if *demand <= equal_part {
-                prop_assert!(shares.demand_of(&tenant(*who)).beyond_level(surplus) < 1e-9);
+                prop_assert!(shares.demand_of(&tenant(*who)).refusal_fraction(surplus) < 1e-9);
             }
         }
     }
@@ -100,7 +100,7 @@
         let mut demands: Vec<(f64, usize)> = demands(&requests).into_iter().map(|(who, work)| (work, who)).collect();
         demands.sort_by(|one, other| one.0.total_cmp(&other.0));
         let parts: Vec<(f64, f64)> =
-            demands.iter().map(|(work, who)| (*work, shares.demand_of(&tenant(*who)).beyond_level(surplus))).collect();
+            demands.iter().map(|(work, who)| (*work, shares.demand_of(&tenant(*who)).refusal_fraction(surplus))).collect();
         for pair in parts.windows(2) {
             let ((small, small_part), (large, large_part)) = (pair[0], pair[1]);
             prop_assert!(small_part <= large_part + 1e-9);
@@ -115,7 +115,7 @@
         let demands = demands(&requests);
         let all: f64 = demands.values().sum();
         let refused: f64 =
-            demands.iter().map(|(who, work)| work * shares.demand_of(&tenant(*who)).beyond_level(surplus)).sum();
+            demands.iter().map(|(who, work)| work * shares.demand_of(&tenant(*who)).refusal_fraction(surplus)).sum();
         prop_assert!((refused - surplus * all).abs() < 1e-6 * all);
     }
 
@@ -128,8 +128,8 @@
         rank in 0u32..5,
         draw in 0.0f64..1.0,
     ) {
-        let patience = Micros::from_secs(1);
-        let inputs = AdmissionInputs { shards, crowded: 0, rank, returning: false, patience };
+        let timeout = Micros::from_secs(1);
+        let inputs = AdmissionInputs { shards, crowded: 0, rank, is_retry: false, timeout };
         let admission = admit_fairly(&inputs, &shares(&requests).demand_of(&tenant(who)), draw, 0.5);
         prop_assert_eq!(admission, Admission::Admitted);
     }
--- a/crates/sablebay-gateway/src/call.rs
+++ b/crates/sablebay-gateway/src/call.rs
@@ -11,7 +11,8 @@
 
 use sablebay_catalogue::RoutableReplica;
 use sablebay_dispatch::{
-    CallFailure, CallKey, CallNumber, CrashedRun, GatheredShards, LeaseRequest, LoadHint, RunId, alone_limit,
+    CallFailure, CallKey, CallNumber, CrashedRun, GatheredShards, LeaseRequest, LoadHint, RunId,
+    lease_duration,
 };
 use sablebay_model::{Micros, RequestDigest};
 
@@ -112,8 +113,10 @@
 ) {
     let connections = context.connections_to(&call.replica);
     let OutgoingCall { number, key, replica, request, extra, usual, deadline, mut abandoned, events } = call;
-    let wanted =
-        LeaseRequest { run: RunId { node: context.observer(), call: key.0 }, lasts: alone_limit(usual) };
+    let wanted = LeaseRequest {
+        run: RunId { node: context.observer(), call: key.0 },
+        duration: lease_duration(usual),
+    };
     let prepared = tokio::select! {
         prepared = prepare(&context, &connections, &replica, &request, wanted) => prepared,
         _ = &mut abandoned => {
@@ -141,8 +144,8 @@
             let now = context.clock().now();
             let patience = match run_lease {
                 // Others wait for word of how this ends.
-                Some(_) => wanted.lasts,
-                None => context.dispatch.lock().table.abandoned_patience(&replica.replica.id, now),
+                Some(_) => wanted.duration,
+                None => context.dispatch.lock().table.abandoned_call_grace(&replica.replica.id, now),
             };
             tokio::time::timeout(patience.as_duration(), &mut exchange).await.ok()
         }
@@ -184,7 +187,7 @@
                 started_at,
                 ended_at,
                 known_at: ended_at,
-                is_told: false,
+                is_remote: false,
             };
             note_crash(context, request, run);
         }
--- a/crates/sablebay-gateway/src/context.rs
+++ b/crates/sablebay-gateway/src/context.rs
@@ -12,7 +12,7 @@
 use sablebay_config::GatewaySettings;
 use sablebay_dispatch::{
     AnswerLag, ArrivalRate, CallKey, GathererTable, ObserverId, ReplicaTable, RetryAllowance, RetryBudgets,
-    RouteLatency, UsualPatience, WeightedChoice,
+    RouteLatency, TypicalTimeout, WeightedChoice,
 };
 use sablebay_fleet::MemberInfo;
 use sablebay_model::Micros;
@@ -53,7 +53,7 @@
     /// How much later than planned answers get ready.
     pub answer_lag: AnswerLag,
     /// How long callers usually wait, by route.
-    pub patience: HashMap<String, UsualPatience>,
+    pub patience: HashMap<String, TypicalTimeout>,
     /// What tenants lately asked for.
     pub tenant_load: TenantLoad,
 }
--- a/crates/sablebay-gateway/src/fleet_view.rs
+++ b/crates/sablebay-gateway/src/fleet_view.rs
@@ -291,7 +291,14 @@
     /// How many share what is bounded, and this node's position among the sorted names met.
     pub fn size(&self, running_for: Micros) -> (FleetSize, usize) {
         let position = self.met.keys().take_while(|node| **node != self.own).count();
-        (FleetSize { met: self.met.len().max(self.nodes_by_seeds()), told: self.told, running_for }, position)
+        (
+            FleetSize {
+                discovered: self.met.len().max(self.nodes_by_seeds()),
+                reported: self.told,
+                running_for,
+            },
+            position,
+        )
     }
 
     /// The number of nodes by the seeds that this one reaches, where nobody that it met knows the fleet; nothing where
--- a/crates/sablebay-gateway/src/peer_catalogue.rs
+++ b/crates/sablebay-gateway/src/peer_catalogue.rs
@@ -154,7 +154,7 @@
     let before = context.nodes.swap(shared as u64, Ordering::Relaxed);
     let position_before = context.node_position.swap(position as u64, Ordering::Relaxed);
     if before != shared as u64 || position_before != position as u64 {
-        log::info!(nodes = shared, before = before, met = size.met, position = position; "gateway: budgets and connections are shared by {shared} nodes.");
+        log::info!(nodes = shared, before = before, met = size.discovered, position = position; "gateway: budgets and connections are shared by {shared} nodes.");
         // The replicas are shared out anew.
         context.node.catalogue.update(|_| true);
     }
--- a/crates/sablebay-gateway/src/prepare_call.rs
+++ b/crates/sablebay-gateway/src/prepare_call.rs
@@ -36,7 +36,7 @@
         match context.permit_run(request, &replica.replica.service) {
             RunPermit::Free => return Ok(None),
             RunPermit::Refused { .. } => return Err(Unsent::HeldBack),
-            RunPermit::Alone => {}
+            RunPermit::NeedsLease => {}
         }
         match acquire_lease(context, context.digest_of(request), wanted).await {
             LeaseAnswer::Granted(run_lease) => return Ok(Some(run_lease)),
@@ -60,7 +60,7 @@
         // A back end may have ended under the request meanwhile.
         let may_begin = match context.permit_run(request, &replica.replica.service) {
             RunPermit::Free => true,
-            RunPermit::Alone => run_lease.is_some(),
+            RunPermit::NeedsLease => run_lease.is_some(),
             RunPermit::Refused { .. } => false,
         };
         if !may_begin {
--- a/crates/sablebay-gateway/src/quarantine.rs
+++ b/crates/sablebay-gateway/src/quarantine.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use sablebay_catalogue::ServiceName;
-use sablebay_dispatch::{Audience, LeaseRequest, QuarantineNotice, RunId, RunPermit, Standing};
+use sablebay_dispatch::{Audience, LeaseRequest, QuarantineNotice, QuarantineStatus, RunId, RunPermit};
 use sablebay_model::{Micros, RequestDigest};
 use sablebay_node::Lane;
 use sablebay_protocol::peer::{PeerRequest, PeerResponse};
@@ -55,7 +55,7 @@
         }
         let now = self.clock().now();
         match self.node.quarantine.standing(&self.digest_of(request), now) {
-            Standing::Held { until } => Some(until.since(now)),
+            QuarantineStatus::Quarantined { until } => Some(until.since(now)),
             _ => None,
         }
     }
@@ -73,7 +73,7 @@
         let quarantine = &self.node.quarantine;
         self.mechanisms.quarantine
             && !quarantine.is_empty()
-            && quarantine.standing(&self.digest_of(request), self.clock().now()) != Standing::Clear
+            && quarantine.standing(&self.digest_of(request), self.clock().now()) != QuarantineStatus::Clear
     }
 
     /// Whether a run of a request may begin at a service. Every first call, hedge, retry and gathered part
@@ -134,7 +134,7 @@
     let mut for_everyone = Vec::new();
     for (notice, audience) in news {
         match audience {
-            Audience::Everyone => for_everyone.push(notice),
+            Audience::AllNodes => for_everyone.push(notice),
             Audience::Keepers => {
                 let keepers = context.fleet.lock().keepers_of(&notice.digest);
                 for address in keepers.into_iter().flatten() {
--- a/crates/sablebay-gateway/src/replica_shares.rs
+++ b/crates/sablebay-gateway/src/replica_shares.rs
@@ -6,7 +6,7 @@
 
 use sablebay_catalogue::{Destination, RoutableReplica, RouteTable, ServiceName};
 use sablebay_dispatch::{
-    Callers, ColdBearing, ReplicaShareInputs, cold_share, connection_share, has_room_for_all, own_replicas,
+    Callers, ColdCapacity, ReplicaShareInputs, cold_share, connection_share, has_room_for_all, own_replicas,
     shard_owners,
 };
 use sablebay_model::{Micros, NodeId};
@@ -114,7 +114,7 @@
         }
         let settings = self.settings.load();
         let (overage, slack) = (settings.warm_up_overage, settings.warm_up_slack);
-        let bearing = ColdBearing { requests_per_s, overage, slack };
+        let bearing = ColdCapacity { requests_per_s, overage, slack };
         let (known, at_least) = match ownership.keepers(service) {
             Keepers::Owners(false) | Keepers::Nobody => (Vec::new(), usize::MAX),
             Keepers::Owners(true) => (self.owners_of(routes, service), 0),
--- a/crates/sablebay-gateway/src/tenant_admission.rs
+++ b/crates/sablebay-gateway/src/tenant_admission.rs
@@ -10,7 +10,7 @@
 
 use sablebay_catalogue::{Route, ServiceName};
 use sablebay_dispatch::{
-    Admission, AdmissionInputs, TenantDemand, TenantShares, UsualPatience, admit, admit_fairly,
+    Admission, AdmissionInputs, TenantDemand, TenantShares, TypicalTimeout, admit, admit_fairly,
 };
 use sablebay_model::Micros;
 use sablebay_tenants::TenantName;
@@ -78,15 +78,15 @@
         let now = self.clock().now();
         let mut dispatch = self.dispatch.lock();
         if !dispatch.patience.contains_key(&request.route.name) {
-            dispatch.patience.insert(request.route.name.clone(), UsualPatience::default());
+            dispatch.patience.insert(request.route.name.clone(), TypicalTimeout::default());
         }
         let usual = dispatch.patience.get_mut(&request.route.name).expect("an entry was just added");
         let inputs = AdmissionInputs {
             shards: request.crowding.shards,
             crowded: request.crowding.crowded,
             rank: request.rank,
-            returning: usual.note(request.patience),
-            patience: request.patience,
+            is_retry: usual.note(request.patience),
+            timeout: request.patience,
         };
         if let Some(tenant) = request.tenant {
             dispatch.tenant_load.note(request.route, tenant, now);
@@ -103,7 +103,7 @@
         let standing =
             TenantStanding { rank: request.rank, work_share: demand.as_ref().map(TenantDemand::share) };
         if matches!(admission, Admission::Refused { .. }) {
-            let beyond = demand.is_some_and(|demand| demand.is_beyond_equal_part());
+            let beyond = demand.is_some_and(|demand| demand.exceeds_equal_share());
             self.metrics.refused_for_crowding(request.rank, beyond);
         }
         (admission, standing)
--- a/crates/sablebay-gateway/src/tenant_admission_tests.rs
+++ b/crates/sablebay-gateway/src/tenant_admission_tests.rs
@@ -45,8 +45,8 @@
     load.note(&patient, &one, NOW);
     load.note(&patient, &two, NOW);
     load.note(&other, &two, NOW);
-    assert!(load.demand_of(&urgent, &one).is_beyond_equal_part());
-    assert!(!load.demand_of(&urgent, &two).is_beyond_equal_part());
+    assert!(load.demand_of(&urgent, &one).exceeds_equal_share());
+    assert!(!load.demand_of(&urgent, &two).exceeds_equal_share());
     assert_eq!(load.demand_of(&other, &two).share(), 1.0);
     assert_eq!(load.demand_of(&other, &one).share(), 0.0);
 }
--- a/crates/sablebay-node/src/quarantine_store.rs
+++ b/crates/sablebay-node/src/quarantine_store.rs
@@ -10,7 +10,8 @@
 
 use sablebay_catalogue::{ReplicaId, ServiceName};
 use sablebay_dispatch::{
-    Audience, CrashedRun, LeaseRequest, Quarantine, QuarantineNotice, RunId, RunPermit, Standing, Suspect,
+    Audience, CrashedRun, LeaseRequest, Quarantine, QuarantineNotice, QuarantineStatus, RunId, RunPermit,
+    Suspect,
 };
 use sablebay_model::{Micros, RequestDigest};
 
@@ -60,18 +61,18 @@
 }
 
 fn report(suspect: &Suspect<'_>, now: Micros) -> SuspectReport {
-    let held_for_ms = match suspect.standing {
-        Standing::Held { until } => Some(until.since(now).as_millis()),
+    let held_for_ms = match suspect.status {
+        QuarantineStatus::Quarantined { until } => Some(until.since(now).as_millis()),
         _ => None,
     };
     SuspectReport {
         digest: suspect.digest,
         route: suspect.route.to_string(),
-        standing: suspect.standing.to_string(),
-        strikes: suspect.evidence.strikes(),
-        ended: suspect.evidence.ended(),
-        back_ends: suspect.evidence.crashes().iter().map(|run| run.replica.to_string()).collect(),
-        last_ended_ms_ago: now.since(suspect.evidence.last_end()).as_millis(),
+        standing: suspect.status.to_string(),
+        strikes: suspect.history.strikes(),
+        ended: suspect.history.crash_count(),
+        back_ends: suspect.history.crashes().iter().map(|run| run.replica.to_string()).collect(),
+        last_ended_ms_ago: now.since(suspect.history.last_crash_at()).as_millis(),
         held_for_ms,
     }
 }
@@ -83,8 +84,8 @@
     }
 
     /// What may be done with a request.
-    pub fn standing(&self, digest: &RequestDigest, now: Micros) -> Standing {
-        self.known.lock().standing(digest, now)
+    pub fn standing(&self, digest: &RequestDigest, now: Micros) -> QuarantineStatus {
+        self.known.lock().status(digest, now)
     }
 
     /// Whether a run may begin. See [`Quarantine::permit`].
@@ -121,7 +122,7 @@
         if asking.get(digest).is_some_and(others) {
             return false;
         }
-        asking.insert(*digest, AskingRun { run: wanted.run, until: now.plus(wanted.lasts) });
+        asking.insert(*digest, AskingRun { run: wanted.run, until: now.plus(wanted.duration) });
         true
     }
 
@@ -137,7 +138,7 @@
 
     /// A run is over: others need no longer wait for it.
     pub fn over(&self, digest: &RequestDigest, run: RunId) {
-        if self.known.lock().over(digest, run) {
+        if self.known.lock().release_lease(digest, run) {
             self.note_change();
         }
     }
@@ -145,7 +146,7 @@
     /// A back end ended under a run of this node.
     pub fn crashed(&self, digest: RequestDigest, route: &str, run: CrashedRun, now: Micros) {
         let mut known = self.known.lock();
-        let before = known.crashed(digest, route, run, now);
+        let before = known.record_crash(digest, route, run, now);
         note_standing(&known, &digest, before, "this node", now);
         drop(known);
         self.note_change();
@@ -154,8 +155,8 @@
     /// A run of this node ended well.
     pub fn survived(&self, digest: &RequestDigest, service: &ServiceName, started_at: Micros, now: Micros) {
         let mut known = self.known.lock();
-        let before = known.standing(digest, now);
-        let news = known.survived(digest, service, started_at);
+        let before = known.status(digest, now);
+        let news = known.record_success(digest, service, started_at);
         note_standing(&known, digest, before, "this node", now);
         drop(known);
         if news {
@@ -168,8 +169,8 @@
         let mut news = false;
         let mut known = self.known.lock();
         for notice in notices {
-            let before = known.standing(&notice.digest, now);
-            news |= known.heard(notice, to_everyone, now);
+            let before = known.status(&notice.digest, now);
+            news |= known.merge_notice(notice, to_everyone, now);
             note_standing(&known, &notice.digest, before, from, now);
         }
         drop(known);
@@ -181,7 +182,7 @@
     /// An operator releases a request. Returns whether it is known here.
     pub fn release(&self, digest: &RequestDigest, now: Micros) -> bool {
         let mut known = self.known.lock();
-        let before = known.standing(digest, now);
+        let before = known.status(digest, now);
         let released = known.release(digest, now);
         note_standing(&known, digest, before, "an operator", now);
         drop(known);
@@ -191,11 +192,11 @@
         released
     }
 
-    /// What is still to be told to other nodes. See [`Quarantine::take_news`].
+    /// What is still to be told to other nodes. See [`Quarantine::take_updates`].
     pub fn take_news(&self, now: Micros) -> Vec<(QuarantineNotice, Audience)> {
         let mut known = self.known.lock();
         known.expire(now);
-        known.take_news(now)
+        known.take_updates(now)
     }
 
     /// Back ends that ended under requests, as far as they are kept, and when.
@@ -224,17 +225,23 @@
         let held = known
             .suspects(now)
             .into_iter()
-            .filter(|suspect| matches!(suspect.standing, Standing::Held { .. }));
+            .filter(|suspect| matches!(suspect.status, QuarantineStatus::Quarantined { .. }));
         held.count()
     }
 }
 
 /// Writes a line when a request is held back from now on, or no longer.
-fn note_standing(known: &Quarantine, digest: &RequestDigest, before: Standing, by: &str, now: Micros) {
-    let after = known.standing(digest, now);
-    let was_held = matches!(before, Standing::Held { .. });
+fn note_standing(
+    known: &Quarantine,
+    digest: &RequestDigest,
+    before: QuarantineStatus,
+    by: &str,
+    now: Micros,
+) {
+    let after = known.status(digest, now);
+    let was_held = matches!(before, QuarantineStatus::Quarantined { .. });
     match after {
-        Standing::Held { until } if !was_held => {
+        QuarantineStatus::Quarantined { until } if !was_held => {
             let suspects = known.suspects(now);
             let Some(suspect) = suspects.iter().find(|suspect| suspect.digest == *digest) else {
                 return;
@@ -242,7 +249,7 @@
             let report = report(suspect, now);
             log::warn!(digest = digest.to_string().as_str(), route = report.route.as_str(), strikes = report.strikes, ended = report.ended, back_ends = report.back_ends.join(" ").as_str(), last_ended_ms_ago = report.last_ended_ms_ago, held_for_ms = until.since(now).as_millis(), by = by; "quarantine: a request is held back, since back ends in a row ended under it.");
         }
-        Standing::Clear if before != Standing::Clear => {
+        QuarantineStatus::Clear if before != QuarantineStatus::Clear => {
             let held = u8::from(was_held);
             log::info!(digest = digest.to_string().as_str(), before = before.to_string().as_str(), was_held = held, by = by; "quarantine: nothing speaks against a request any more.");
         }
