--- a/crates/sablebay-dispatch/src/admission.rs
+++ b/crates/sablebay-dispatch/src/admission.rs
@@ -15,22 +15,22 @@
 use crate::tenant_shares::TenantDemand;
 
 /// The crowded share up to which the most urgent requests are all admitted.
-const ADMITTED_UP_TO: f64 = 0.5;
+const REFUSAL_THRESHOLD: f64 = 0.5;
 /// How much lower it is for each rank of lesser urgency.
-const RANK_STEP: f64 = 0.12;
+const RANK_THRESHOLD_STEP: f64 = 0.12;
 /// Ranks that make a difference.
 pub const LOWEST_RANK: u32 = 2;
 /// How much higher it is for a request that comes back.
-const RETURN_ALLOWANCE: f64 = 0.3;
+const RETRY_THRESHOLD_BONUS: f64 = 0.3;
 /// The rise of the crowded share over which the refused part grows to the whole.
-const FULL_REFUSAL_RISE: f64 = 0.6;
+const REFUSAL_RAMP: f64 = 0.6;
 /// The part that is refused at the most: without any requests nothing is learnt of the queues.
-const MOST_REFUSED: f64 = 0.8;
+const MAX_REFUSAL_PROBABILITY: f64 = 0.8;
 /// The part of a caller's timeout after which it is asked to come back, at the least and at the
 /// most.
-const RETURN_AFTER: (f64, f64) = (0.15, 0.3);
+const RETRY_AFTER_FRACTIONS: (f64, f64) = (0.15, 0.3);
 /// The longest time after which a caller is asked to come back.
-const LONGEST_RETURN: Micros = Micros::from_millis(700);
+const MAX_RETRY_AFTER: Micros = Micros::from_millis(700);
 
 /// What the admission of one request depends on.
 #[derive(Clone, Copy, Debug)]
@@ -68,10 +68,10 @@
         return 0.0;
     }
     let crowded_share = inputs.crowded as f64 / inputs.shards as f64;
-    let lowered = RANK_STEP * f64::from(inputs.rank.min(LOWEST_RANK));
-    let raised = if inputs.is_retry { RETURN_ALLOWANCE } else { 0.0 };
-    let excess = crowded_share - (ADMITTED_UP_TO - lowered + raised);
-    (excess / FULL_REFUSAL_RISE).clamp(0.0, MOST_REFUSED)
+    let rank_penalty = RANK_THRESHOLD_STEP * f64::from(inputs.rank.min(LOWEST_RANK));
+    let retry_bonus = if inputs.is_retry { RETRY_THRESHOLD_BONUS } else { 0.0 };
+    let excess = crowded_share - (REFUSAL_THRESHOLD - rank_penalty + retry_bonus);
+    (excess / REFUSAL_RAMP).clamp(0.0, MAX_REFUSAL_PROBABILITY)
 }
 
 /// The probability that a request of a tenant is refused: of what has to be refused, the tenants that ask for the
@@ -84,7 +84,7 @@
     let least_urgent = AdmissionInputs { rank: LOWEST_RANK, is_retry: false, ..*inputs };
     let excess = demand.excess_refusal_fraction(refusal_probability(&least_urgent));
     let shared = demand.refusal_fraction(refusal_probability(inputs));
-    shared.max(excess).min(MOST_REFUSED)
+    shared.max(excess).min(MAX_REFUSAL_PROBABILITY)
 }
 
 /// Decides about a request; `draw` and `spread` are random numbers from 0 to 1.
@@ -101,16 +101,16 @@
     if draw >= refusal_probability {
         return Admission::Admitted;
     }
-    let (shortest, longest) = RETURN_AFTER;
+    let (shortest, longest) = RETRY_AFTER_FRACTIONS;
     let part = shortest + (longest - shortest) * spread;
-    let retry_after = Micros((timeout.0 as f64 * part) as u64).min(LONGEST_RETURN);
+    let retry_after = Micros((timeout.0 as f64 * part) as u64).min(MAX_RETRY_AFTER);
     Admission::Refused { retry_after }
 }
 
 /// Requests of a route that its usual timeout is taken from.
-const REMEMBERED_REQUESTS: usize = 32;
+const TIMEOUT_SAMPLES: usize = 32;
 /// A caller with less than this part of the usual timeout has probably spent some of it.
-const RETURNING_PART: f64 = 0.95;
+const RETRY_TIMEOUT_FRACTION: f64 = 0.95;
 
 /// How long the callers of one route usually wait: tells those who come back, whose time has partly
 /// gone by, from those who come for the first time.
@@ -123,11 +123,11 @@
     /// Notes how long a caller will wait. Returns whether it probably comes back after a refusal.
     pub fn note(&mut self, timeout: Micros) -> bool {
         let usual = self.upper_quartile();
-        if self.recent.len() == REMEMBERED_REQUESTS {
+        if self.recent.len() == TIMEOUT_SAMPLES {
             self.recent.pop_front();
         }
         self.recent.push_back(timeout);
-        usual.is_some_and(|usual| (timeout.0 as f64) < usual.0 as f64 * RETURNING_PART)
+        usual.is_some_and(|usual| (timeout.0 as f64) < usual.0 as f64 * RETRY_TIMEOUT_FRACTION)
     }
 
     /// Most callers wait alike; a few wait much longer, and those that come back wait less.
--- a/crates/sablebay-dispatch/src/answer_lag.rs
+++ b/crates/sablebay-dispatch/src/answer_lag.rs
@@ -5,13 +5,13 @@
 
 /// Weight of a lag that is longer than what is expected: a late answer costs far more than a shard
 /// that is left out, so that lateness is believed sooner.
-const LONGER_WEIGHT: f64 = 0.4;
+const INCREASE_WEIGHT: f64 = 0.4;
 /// Weight of a lag that is shorter.
-const SHORTER_WEIGHT: f64 = 0.15;
+const DECREASE_WEIGHT: f64 = 0.15;
 /// Time over which an expected lag falls to half when nothing is observed.
 const HALF_LIFE: Micros = Micros::from_secs(6);
 /// The part of the target latency that is planned for at the most.
-const HIGHEST_PART: f64 = 0.1;
+const MAX_MARGIN_FRACTION: f64 = 0.1;
 
 /// The lag of this node's answers that left shards out.
 #[derive(Clone, Copy, Debug, Default)]
@@ -25,7 +25,7 @@
     pub fn record(&mut self, planned_at: Micros, ready_at: Micros) {
         let lag_us = ready_at.since(planned_at).0 as f64;
         let expected_us = self.expected_us(ready_at);
-        let weight = if lag_us > expected_us { LONGER_WEIGHT } else { SHORTER_WEIGHT };
+        let weight = if lag_us > expected_us { INCREASE_WEIGHT } else { DECREASE_WEIGHT };
         self.expected_us = expected_us + weight * (lag_us - expected_us);
         self.observed_at = ready_at;
     }
@@ -37,7 +37,7 @@
 
     /// How much earlier than otherwise an answer is planned for, so that it is ready in time.
     pub fn margin(&self, target: Micros, now: Micros) -> Micros {
-        let highest_us = target.0 as f64 * HIGHEST_PART;
-        Micros(self.expected_us(now).min(highest_us) as u64)
+        let max_us = target.0 as f64 * MAX_MARGIN_FRACTION;
+        Micros(self.expected_us(now).min(max_us) as u64)
     }
 }
--- a/crates/sablebay-dispatch/src/arrival_rate.rs
+++ b/crates/sablebay-dispatch/src/arrival_rate.rs
@@ -6,7 +6,7 @@
 /// seconds, shorter ones see nothing but chance, and nodes would disagree on how many owners a shard has.
 const HALF_LIFE: Micros = Micros::from_secs(10);
 /// The shortest time that a rate is told of: the first arrival says little.
-const SHORTEST_SPAN: Micros = Micros::from_secs(3);
+const MIN_SPAN: Micros = Micros::from_secs(3);
 
 /// A rate that forgets.
 #[derive(Clone, Copy, Debug, Default)]
@@ -33,9 +33,9 @@
         };
         // What a steady rate of one a second would have come to by now.
         let lifetime_s = HALF_LIFE.as_secs_f64() / std::f64::consts::LN_2;
-        let of_one =
-            lifetime_s * (1.0 - 0.5f64.powf(half_lives(now.since(first_at).max(SHORTEST_SPAN)))) + 1.0;
-        self.weight_at(now) / of_one
+        let unit_rate_weight =
+            lifetime_s * (1.0 - 0.5f64.powf(half_lives(now.since(first_at).max(MIN_SPAN)))) + 1.0;
+        self.weight_at(now) / unit_rate_weight
     }
 
     fn weight_at(&self, now: Micros) -> f64 {
--- a/crates/sablebay-dispatch/src/cold_rate.rs
+++ b/crates/sablebay-dispatch/src/cold_rate.rs
@@ -13,10 +13,10 @@
 /// The part of what a cold replica bears that is given out. A node that misses a fifth of the others ranks
 /// itself higher than it is, so that the fleet takes a quarter more than was given out; the property test
 /// holds up to there at 8, 64 and 300 nodes.
-const GIVEN_OUT: f64 = 0.6;
+const ALLOCATED_FRACTION: f64 = 0.6;
 /// The same of a node that has met less than half of the others: it draws its rank by lot, so that the
 /// number of those who draw a share varies; at a quarter, the lots of 300 nodes stay within the whole.
-const GIVEN_OUT_BY_LOT: f64 = 0.25;
+const ALLOCATED_FRACTION_BY_CHANCE: f64 = 0.25;
 /// The time over which what a cold replica bears is counted.
 pub const COLD_WINDOW: Micros = Micros::from_secs(1);
 
@@ -55,13 +55,13 @@
     let weight = |node: &NodeId| xxh3_64_with_seed(node.as_str().as_bytes(), seed);
     let own_weight = weight(callers.own);
     let others = || callers.known.iter().filter(|node| *node != callers.own);
-    let before = others().filter(|node| (weight(node), *node) < (own_weight, callers.own)).count();
+    let rank = others().filter(|node| (weight(node), *node) < (own_weight, callers.own)).count();
     let known = others().count() + 1;
     // Nodes that were not met rank like any others.
     let unknown = callers.at_least.saturating_sub(known);
-    let before = before + (own_weight as f64 / u64::MAX as f64 * unknown as f64) as usize;
-    let part = if unknown > known { GIVEN_OUT_BY_LOT } else { GIVEN_OUT };
-    let given_out = (capacity.bound() * part) as usize;
-    let (whole, rest) = (given_out / (known + unknown), given_out % (known + unknown));
-    (whole + usize::from(before < rest)) as u32
+    let rank = rank + (own_weight as f64 / u64::MAX as f64 * unknown as f64) as usize;
+    let part = if unknown > known { ALLOCATED_FRACTION_BY_CHANCE } else { ALLOCATED_FRACTION };
+    let allocated = (capacity.bound() * part) as usize;
+    let (whole, rest) = (allocated / (known + unknown), allocated % (known + unknown));
+    (whole + usize::from(rank < rest)) as u32
 }
--- a/crates/sablebay-dispatch/src/connection_share.rs
+++ b/crates/sablebay-dispatch/src/connection_share.rs
@@ -6,7 +6,7 @@
 /// The part of a replica's connections that is given out. The rest is for nodes that start anew
 /// while their former connections are still open, for nodes that have not been heard of yet, and
 /// for nodes whose own replicas are all in trouble.
-const GIVEN_OUT: f64 = 0.85;
+const ALLOCATED_FRACTION: f64 = 0.85;
 
 /// What a node knows of how many share what is bounded for the fleet.
 #[derive(Clone, Copy, Debug)]
@@ -37,13 +37,13 @@
 
 /// The connections of one node to one replica that takes `maximum` from all `nodes` together.
 pub fn connection_share(maximum: u32, nodes: usize) -> usize {
-    let share = f64::from(maximum) * GIVEN_OUT / nodes.max(1) as f64;
+    let share = f64::from(maximum) * ALLOCATED_FRACTION / nodes.max(1) as f64;
     (share as usize).max(1)
 }
 
 /// Whether each of `nodes` can have a connection to a replica that takes `maximum` from all together.
 pub fn has_room_for_all(maximum: u32, nodes: usize) -> bool {
-    f64::from(maximum) * GIVEN_OUT >= nodes as f64
+    f64::from(maximum) * ALLOCATED_FRACTION >= nodes as f64
 }
 
 /// A zone as far as it matters for sharing the replicas of one service out.
@@ -74,7 +74,7 @@
 
 impl ReplicaShareInputs<'_> {
     fn room(&self) -> f64 {
-        f64::from(self.maximum) * GIVEN_OUT
+        f64::from(self.maximum) * ALLOCATED_FRACTION
     }
 
     /// How many replicas each node has room for.
--- a/crates/sablebay-dispatch/src/gatherer_table.rs
+++ b/crates/sablebay-dispatch/src/gatherer_table.rs
@@ -71,7 +71,7 @@
         random: &mut R,
     ) -> Option<&'a NodeId> {
         let fit = nodes.filter(|node| {
-            self.health.get(*node).is_none_or(|health| !health.is_silent(now) && !health.is_paused(now))
+            self.health.get(*node).is_none_or(|health| !health.is_silent(now) && !health.is_backing_off(now))
         });
         let weighed = fit.map(|node| {
             let cost = self.health.get(node).map_or(1.0, |health| health.cost(1, now));
--- a/crates/sablebay-dispatch/src/quarantine.rs
+++ b/crates/sablebay-dispatch/src/quarantine.rs
@@ -33,30 +33,30 @@
 /// The longest quarantine: a release of the service that bears the request is tried within this time.
 pub const LONGEST_HOLD: Micros = Micros::from_secs(3_600);
 /// How long what speaks against a request is remembered beyond that.
-const MEMORY: Micros = Micros::from_secs(600);
+const RETENTION: Micros = Micros::from_secs(600);
 /// How long it is remembered that nothing speaks against a request any more: word of what was taken back may
 /// still be on its way.
-const CLEARED_MEMORY: Micros = Micros::from_secs(30);
+const CLEARED_RETENTION: Micros = Micros::from_secs(30);
 /// How long one run keeps the others of a suspect request waiting, in multiples of what a call of its route
 /// usually takes: a back end that ends under it does so sooner, also while it is slow from its start, and one
 /// that is silent says nothing.
-const ALONE_CALLS: u64 = 8;
+const LEASE_CALL_DURATIONS: u64 = 8;
 /// Bounds of that.
-const ALONE_LIMITS: [Micros; 2] = [Micros::from_millis(300), Micros::from_millis(2_000)];
+const LEASE_BOUNDS: [Micros; 2] = [Micros::from_millis(300), Micros::from_millis(2_000)];
 /// Requests that are remembered, of some 600 bytes each. Those with the fewest strikes are forgotten first, so
 /// that a flood of requests which end one back end each does not set a known one free.
 pub const MAXIMUM_REQUESTS: usize = 1_024;
 /// First strikes that are told to every node within a second; keepers alone are told of more. One request that
 /// ends its back ends is known everywhere at once; many that stood at back ends which ended together do not
 /// flood the fleet.
-const FIRST_STRIKES_TOLD_PER_S: u32 = 16;
+const FIRST_STRIKE_BROADCASTS_PER_S: u32 = 16;
 /// Requests that one message between nodes tells of.
 pub const NOTICES_PER_MESSAGE: usize = 256;
 
 /// How long one run of a suspect request keeps the others waiting, of a route whose calls usually take `usual`.
 pub fn lease_duration(usual: Micros) -> Micros {
-    let [least, most] = ALONE_LIMITS;
-    Micros(usual.0.saturating_mul(ALONE_CALLS)).clamp(least, most)
+    let [least, most] = LEASE_BOUNDS;
+    Micros(usual.0.saturating_mul(LEASE_CALL_DURATIONS)).clamp(least, most)
 }
 
 /// Names a run among those of all nodes.
@@ -130,7 +130,7 @@
 
 /// First strikes that every node was told of within a second.
 #[derive(Clone, Copy, Debug, Default)]
-struct ToldStrikes {
+struct BroadcastCount {
     second: u64,
     count: u32,
 }
@@ -142,16 +142,16 @@
     /// The run that has the lease. Kept by the node that is asked for it.
     lease: Option<HeldLease>,
     /// The strikes that every node was told of.
-    told_everyone: u32,
+    broadcast_strikes: u32,
     /// Whether something was learnt that the keepers were not told.
-    untold: bool,
+    has_unsent_update: bool,
 }
 
 /// What a node knows of requests that back ends ended under.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     requests: HashMap<RequestDigest, Entry>,
-    told: ToldStrikes,
+    broadcasts: BroadcastCount,
 }
 
 /// A request that something speaks against, for operators.
@@ -185,17 +185,17 @@
 
     /// Whether a run at a service may go beside others: one has ended well since the last strike, and, from the
     /// second strike on, nothing speaks against the request at that service.
-    fn may_run_beside_others(&self, service: &ServiceName) -> bool {
+    fn allows_concurrent_run(&self, service: &ServiceName) -> bool {
         let strikes = self.history.strikes();
         self.history.succeeded_since_last_crash() && (strikes <= 1 || !self.history.has_crash_at(service))
     }
 
     /// Whether nothing of it matters any more.
-    fn is_outdated(&self, now: Micros) -> bool {
+    fn is_expired(&self, now: Micros) -> bool {
         let strikes = self.history.strikes();
         let held = if strikes >= QUARANTINE_STRIKES { hold(strikes) } else { Micros(0) };
-        let memory = if strikes == 0 { CLEARED_MEMORY } else { MEMORY };
-        now > self.history.last_event().plus(held).plus(memory)
+        let retention = if strikes == 0 { CLEARED_RETENTION } else { RETENTION };
+        now > self.history.last_event().plus(held).plus(retention)
     }
 }
 
@@ -225,7 +225,7 @@
             QuarantineStatus::Clear => RunPermit::Free,
             QuarantineStatus::Quarantined { until } => RunPermit::Refused { retry_after: until.since(now) },
             QuarantineStatus::Suspect | QuarantineStatus::Probation
-                if entry.may_run_beside_others(service) =>
+                if entry.allows_concurrent_run(service) =>
             {
                 RunPermit::Free
             }
@@ -252,11 +252,11 @@
         let Some(entry) = self.requests.get_mut(digest) else {
             return false;
         };
-        let had = entry.lease.is_some_and(|lease| lease.run == run);
-        if had {
+        let held_lease = entry.lease.is_some_and(|lease| lease.run == run);
+        if held_lease {
             entry.lease = None;
         }
-        had
+        held_lease
     }
 
     /// A back end ended under a run. Returns what the request's status was before.
@@ -269,13 +269,13 @@
     ) -> QuarantineStatus {
         let before = self.status(&digest, now);
         if !self.requests.contains_key(&digest) {
-            self.make_room(now);
+            self.evict_if_full(now);
         }
         let entry = self.requests.entry(digest).or_default();
         if entry.route.is_empty() {
             entry.route = route.to_string();
         }
-        entry.untold |= entry.history.record_crash(run);
+        entry.has_unsent_update |= entry.history.record_crash(run);
         before
     }
 
@@ -289,9 +289,9 @@
         let Some(entry) = self.requests.get_mut(digest) else {
             return false;
         };
-        let news = entry.history.record_success(service, started_at);
-        entry.untold |= news;
-        news
+        let updates = entry.history.record_success(service, started_at);
+        entry.has_unsent_update |= updates;
+        updates
     }
 
     /// An operator releases a request. Returns whether it is known here.
@@ -300,61 +300,61 @@
             return false;
         };
         entry.history.record_release(now);
-        entry.untold = true;
+        entry.has_unsent_update = true;
         // Also nodes that heard of it on other ways.
-        entry.told_everyone = entry.told_everyone.max(1);
+        entry.broadcast_strikes = entry.broadcast_strikes.max(1);
         true
     }
 
     /// Another node told of a request; `to_everyone` says that it told every node. Returns whether anything
     /// was news.
-    pub fn merge_notice(&mut self, notice: &QuarantineNotice, to_everyone: bool, now: Micros) -> bool {
+    pub fn merge_notice(&mut self, notice: &QuarantineNotice, is_broadcast: bool, now: Micros) -> bool {
         if !self.requests.contains_key(&notice.digest) {
             if notice.crashes.is_empty() {
                 return false;
             }
-            self.make_room(now);
+            self.evict_if_full(now);
         }
         let entry = self.requests.entry(notice.digest).or_default();
         if entry.route.is_empty() {
             entry.route = notice.route.clone();
         }
-        let news = notice.merge_into(&mut entry.history, now);
-        if to_everyone {
-            entry.told_everyone = entry.history.strikes();
+        let updates = notice.merge_into(&mut entry.history, now);
+        if is_broadcast {
+            entry.broadcast_strikes = entry.history.strikes();
         }
-        news
+        updates
     }
 
     /// What became known here and is still to be told, and to whom. Each is given out once: nodes that do not get it
     /// hear of it when they compare what they know with another.
     pub fn take_updates(&mut self, now: Micros) -> Vec<(QuarantineNotice, Audience)> {
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         let second = now.0 / 1_000_000;
-        if self.told.second != second {
-            self.told = ToldStrikes { second, count: 0 };
+        if self.broadcasts.second != second {
+            self.broadcasts = BroadcastCount { second, count: 0 };
         }
         for (digest, entry) in &mut self.requests {
             let strikes = entry.history.strikes();
             // What everyone was told is taken back before everyone.
-            let mut everyone = (strikes >= 2 && strikes > entry.told_everyone)
-                || (strikes < entry.told_everyone && entry.untold);
-            let is_first = strikes == 1 && entry.told_everyone == 0 && entry.untold;
-            if is_first && self.told.count < FIRST_STRIKES_TOLD_PER_S {
-                self.told.count += 1;
-                everyone = true;
+            let mut to_all = (strikes >= 2 && strikes > entry.broadcast_strikes)
+                || (strikes < entry.broadcast_strikes && entry.has_unsent_update);
+            let is_first = strikes == 1 && entry.broadcast_strikes == 0 && entry.has_unsent_update;
+            if is_first && self.broadcasts.count < FIRST_STRIKE_BROADCASTS_PER_S {
+                self.broadcasts.count += 1;
+                to_all = true;
             }
-            if !everyone && !entry.untold {
+            if !to_all && !entry.has_unsent_update {
                 continue;
             }
-            entry.untold = false;
-            let audience = if everyone { Audience::AllNodes } else { Audience::Keepers };
-            if everyone {
-                entry.told_everyone = strikes;
+            entry.has_unsent_update = false;
+            let audience = if to_all { Audience::AllNodes } else { Audience::Keepers };
+            if to_all {
+                entry.broadcast_strikes = strikes;
             }
-            news.push((QuarantineNotice::of(*digest, &entry.route, &entry.history, now), audience));
+            updates.push((QuarantineNotice::of(*digest, &entry.route, &entry.history, now), audience));
         }
-        news
+        updates
     }
 
     /// What is known of one request, as it is told to a node that is handed a part of it.
@@ -400,11 +400,11 @@
 
     /// Forgets what is outdated.
     pub fn expire(&mut self, now: Micros) {
-        self.requests.retain(|_, entry| !entry.is_outdated(now));
+        self.requests.retain(|_, entry| !entry.is_expired(now));
     }
 
     /// Makes room for one more request.
-    fn make_room(&mut self, now: Micros) {
+    fn evict_if_full(&mut self, now: Micros) {
         if self.requests.len() < MAXIMUM_REQUESTS {
             return;
         }
--- a/crates/sablebay-dispatch/src/quarantine/crash_history.rs
+++ b/crates/sablebay-dispatch/src/quarantine/crash_history.rs
@@ -39,13 +39,13 @@
 
 /// How much later than the end that another node saw a run must have been begun to count as begun after it: word
 /// takes time, and runs that were under way together must not look as if one had followed the other.
-const OBSERVER_SLACK: Micros = Micros::from_millis(250);
+const PROPAGATION_SLACK: Micros = Micros::from_millis(250);
 
 impl CrashedRun {
     /// A time, by this node's clock, at which it had ended already, or was about to: what is begun later and
     /// ends well speaks for the request.
     fn ended_by(&self) -> Micros {
-        if self.is_remote { self.known_at.since(OBSERVER_SLACK) } else { self.known_at }
+        if self.is_remote { self.known_at.since(PROPAGATION_SLACK) } else { self.known_at }
     }
 
     /// Whether it was begun after another had ended.
@@ -54,7 +54,7 @@
             return self.started_at >= before.ended_at;
         }
         let ran_for = self.ended_at.since(self.started_at);
-        self.known_at.since(ran_for) >= before.known_at.plus(OBSERVER_SLACK)
+        self.known_at.since(ran_for) >= before.known_at.plus(PROPAGATION_SLACK)
     }
 }
 
@@ -63,13 +63,13 @@
 pub const KEPT_CRASHES: usize = 8;
 /// Back ends that must have ended beside those in a row to count once more. They may have ended together for
 /// another reason, however many they are; attempts that come in at several nodes at once leave no other sign.
-const BESIDE: u32 = 2;
+const CONCURRENT_CRASHES: u32 = 2;
 /// Strikes of one service that do not count while runs at other services end well. Where back ends are killed
 /// five times a second, three in a row at one service were met by an innocent request in the property tests;
 /// five were not.
-const DISCOUNT: u32 = 2;
+const SINGLE_SERVICE_DISCOUNT: u32 = 2;
 /// Services of which it is kept what took back what spoke against a request.
-const KEPT_SERVICES: usize = 16;
+const MAX_SERVICES: usize = 16;
 
 /// What is known of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -94,14 +94,14 @@
         if let Some(known) = self.crashes.iter().find(|known| known.observer == run.observer) {
             run.known_at = known.known_at.plus(run.ended_at).since(known.ended_at);
         }
-        if self.is_taken_back(&run) || self.crashes.iter().any(|known| known.replica == run.replica) {
+        if self.is_invalidated(&run) || self.crashes.iter().any(|known| known.replica == run.replica) {
             return false;
         }
         self.crash_count = self.crash_count.saturating_add(1);
         let place = self.crashes.partition_point(|known| known.known_at <= run.known_at);
         self.crashes.insert(place, run);
         if self.crashes.len() > KEPT_CRASHES {
-            self.drop_one();
+            self.evict_one();
         }
         true
     }
@@ -110,16 +110,16 @@
     ///
     /// Word that goes round is a little later each time it comes back: it counts only where it changes something.
     pub fn record_success(&mut self, service: &ServiceName, started_at: Micros) -> bool {
-        let since_all = self.record_success_anywhere(started_at);
+        let is_first_overall = self.record_success_anywhere(started_at);
         let of_service = |known: &CrashedRun| known.service == *service && known.ended_by() <= started_at;
         if !self.crashes.iter().any(of_service) {
-            return since_all;
+            return is_first_overall;
         }
         self.crashes.retain(|known| !of_service(known));
         match self.successes.iter_mut().find(|(known, _)| known == service) {
             Some((_, known)) => *known = (*known).max(started_at),
             None => {
-                if self.successes.len() >= KEPT_SERVICES {
+                if self.successes.len() >= MAX_SERVICES {
                     self.successes.remove(0);
                 }
                 self.successes.push((service.clone(), started_at));
@@ -131,9 +131,9 @@
     /// A run that was begun at `started_at` ended well at some service. Returns whether it is the first since a back
     /// end ended.
     pub fn record_success_anywhere(&mut self, started_at: Micros) -> bool {
-        let outlived =
+        let precedes =
             |run: &CrashedRun| self.last_success_at < run.ended_by() && run.ended_by() <= started_at;
-        let first = self.crashes.iter().any(outlived);
+        let first = self.crashes.iter().any(precedes);
         if first {
             self.last_success_at = started_at;
         }
@@ -142,8 +142,8 @@
 
     /// An operator released it. Returns whether this is news.
     pub fn record_release(&mut self, at: Micros) -> bool {
-        let takes_back = self.crashes.iter().any(|known| known.ended_by() <= at);
-        if !takes_back && self.released_at > Micros(0) {
+        let invalidates = self.crashes.iter().any(|known| known.ended_by() <= at);
+        if !invalidates && self.released_at > Micros(0) {
             return false;
         }
         self.released_at = self.released_at.max(at);
@@ -151,37 +151,38 @@
         true
     }
 
-    fn is_taken_back(&self, run: &CrashedRun) -> bool {
-        let survived =
+    fn is_invalidated(&self, run: &CrashedRun) -> bool {
+        let succeeded =
             |(service, at): &(ServiceName, Micros)| *service == run.service && *at >= run.ended_by();
-        self.released_at >= run.ended_by() || self.successes.iter().any(survived)
+        self.released_at >= run.ended_by() || self.successes.iter().any(succeeded)
     }
 
     /// Drops a crashed run that adds no strike, or the oldest.
-    fn drop_one(&mut self) {
+    fn evict_one(&mut self) {
         let strikes = self.strikes();
-        let needless = (0..self.crashes.len()).rev().find(|index| self.strikes_without(*index) == strikes);
-        self.crashes.remove(needless.unwrap_or(0));
+        let redundant = (0..self.crashes.len()).rev().find(|index| self.strikes_excluding(*index) == strikes);
+        self.crashes.remove(redundant.unwrap_or(0));
     }
 
     /// Back ends that ended under it one after the other, without a good run in between: at any services, or
     /// all at the same. A request may be fatal to the back ends of one service alone, and run well at the
     /// others; that takes two more. Where several more ended beside these, that counts as one.
     pub fn strikes(&self) -> u32 {
-        self.strikes_without(usize::MAX)
+        self.strikes_excluding(usize::MAX)
     }
 
-    fn strikes_without(&self, left_out: usize) -> u32 {
+    fn strikes_excluding(&self, excluded: usize) -> u32 {
         let counted = || {
             let runs = self.crashes.iter().enumerate();
-            runs.filter(move |(index, _)| *index != left_out).map(|(_, run)| run)
+            runs.filter(move |(index, _)| *index != excluded).map(|(_, run)| run)
         };
-        let unanswered = || counted().filter(|run| run.ended_by() > self.last_success_at);
-        let in_row = in_a_row(unanswered());
-        let beside = unanswered().count() as u32 - in_row;
-        let anywhere = in_row + u32::from(beside >= BESIDE);
+        let unresolved = || counted().filter(|run| run.ended_by() > self.last_success_at);
+        let sequential = longest_sequence(unresolved());
+        let concurrent = unresolved().count() as u32 - sequential;
+        let anywhere = sequential + u32::from(concurrent >= CONCURRENT_CRASHES);
         let at_service = |known: &CrashedRun| {
-            in_a_row(counted().filter(|run| run.service == known.service)).saturating_sub(DISCOUNT)
+            longest_sequence(counted().filter(|run| run.service == known.service))
+                .saturating_sub(SINGLE_SERVICE_DISCOUNT)
         };
         counted().map(at_service).max().unwrap_or_default().max(anywhere)
     }
@@ -233,20 +234,20 @@
 
     /// When something last happened to it.
     pub fn last_event(&self) -> Micros {
-        let survived = self.successes.iter().map(|(_, at)| *at).max().unwrap_or_default();
-        self.last_crash_at().max(survived).max(self.last_success_at).max(self.released_at)
+        let succeeded = self.successes.iter().map(|(_, at)| *at).max().unwrap_or_default();
+        self.last_crash_at().max(succeeded).max(self.last_success_at).max(self.released_at)
     }
 }
 
 /// The greatest number of runs of which each was begun after the one before had ended. The runs come by when
 /// they ended.
-fn in_a_row<'a>(runs: impl Iterator<Item = &'a CrashedRun>) -> u32 {
+fn longest_sequence<'a>(runs: impl Iterator<Item = &'a CrashedRun>) -> u32 {
     // Each run with the length of the longest row that ends with it.
-    let mut rows: SmallVec<[(&CrashedRun, u32); KEPT_CRASHES]> = SmallVec::new();
+    let mut sequences: SmallVec<[(&CrashedRun, u32); KEPT_CRASHES]> = SmallVec::new();
     for run in runs {
-        let before = rows.iter().filter(|(before, _)| run.follows(before)).map(|(_, length)| *length);
+        let before = sequences.iter().filter(|(before, _)| run.follows(before)).map(|(_, length)| *length);
         let length = before.max().unwrap_or_default() + 1;
-        rows.push((run, length));
+        sequences.push((run, length));
     }
-    rows.iter().map(|(_, length)| *length).max().unwrap_or_default()
+    sequences.iter().map(|(_, length)| *length).max().unwrap_or_default()
 }
--- a/crates/sablebay-dispatch/src/quarantine/notice.rs
+++ b/crates/sablebay-dispatch/src/quarantine/notice.rs
@@ -55,13 +55,13 @@
             ended_at: run.ended_at,
             ended_us_ago: now.since(run.known_at).0,
         };
-        let survival = |(service, at): &(ServiceName, Micros)| (service.clone(), now.since(*at).0);
+        let success = |(service, at): &(ServiceName, Micros)| (service.clone(), now.since(*at).0);
         let ago = |at: Micros| (at > Micros(0)).then(|| now.since(at).0);
         Self {
             digest,
             route: route.to_string(),
             crashes: history.crashes().iter().map(crash).collect(),
-            successes: history.successes().iter().map(survival).collect(),
+            successes: history.successes().iter().map(success).collect(),
             last_success_us_ago: ago(history.last_success_at()),
             released_us_ago: ago(history.released_at()),
             crash_count: history.crash_count(),
@@ -71,9 +71,9 @@
     /// Adds what is told to what is known. Returns whether anything of it was news.
     pub fn merge_into(&self, history: &mut CrashHistory, now: Micros) -> bool {
         let at = |us_ago: u64| now.since(Micros(us_ago));
-        let mut news = false;
+        let mut changed = false;
         for crash in &self.crashes {
-            news |= history.record_crash(CrashedRun {
+            changed |= history.record_crash(CrashedRun {
                 replica: crash.replica.clone(),
                 service: crash.service.clone(),
                 observer: crash.observer,
@@ -84,15 +84,15 @@
             });
         }
         for (service, us_ago) in &self.successes {
-            news |= history.record_success(service, at(*us_ago));
+            changed |= history.record_success(service, at(*us_ago));
         }
         if let Some(us_ago) = self.last_success_us_ago {
-            news |= history.record_success_anywhere(at(us_ago));
+            changed |= history.record_success_anywhere(at(us_ago));
         }
         if let Some(us_ago) = self.released_us_ago {
-            news |= history.record_release(at(us_ago));
+            changed |= history.record_release(at(us_ago));
         }
         history.merge_crash_count(self.crash_count);
-        news
+        changed
     }
 }
--- a/crates/sablebay-dispatch/src/replica_health.rs
+++ b/crates/sablebay-dispatch/src/replica_health.rs
@@ -30,32 +30,32 @@
 const SLOWER_WEIGHT: f64 = 0.35;
 /// The slowness that one observation says at the most: a pause looks like great slowness, and is
 /// over when it is seen.
-const HIGHEST_OBSERVATION: f64 = 5.0;
+const MAX_OBSERVED_RATIO: f64 = 5.0;
 /// Weight of a new observation that is faster.
 const FASTER_WEIGHT: f64 = 0.3;
 /// Time over which remembered slowness falls to half after one slow answer: a pause is over when it is seen.
-const PAUSE_HALF_LIFE: Micros = Micros::from_millis(1_500);
-/// The same after [`SLOW_IN_A_ROW`] calls that were slow or never answered. An owner calls a replica about
+const SINGLE_HALF_LIFE: Micros = Micros::from_millis(1_500);
+/// The same after [`SUSTAINED_SLOW_CALLS`] calls that were slow or never answered. An owner calls a replica about
 /// twice a second; with 1.5 s it had forgotten a slow or dark one, for which trouble lasts some seconds, after
 /// three or four calls elsewhere. The worst seconds of a day with 40 in 100 of the replicas slow or dark kept
 /// 0.50 of what they are worth, after 0.44; where replicas only pause nothing was lost.
-const SLOWNESS_HALF_LIFE: Micros = Micros::from_millis(5_000);
+const SUSTAINED_HALF_LIFE: Micros = Micros::from_millis(5_000);
 /// Slow calls in a row after which it is no pause.
-const SLOW_IN_A_ROW: u32 = 2;
+const SUSTAINED_SLOW_CALLS: u32 = 2;
 /// How long a load hint is believed.
 pub(crate) const HINT_LIFETIME: Micros = Micros::from_millis(400);
 /// How long a replica that rejected a call for its load is left alone.
-const REJECTION_PAUSE: Micros = Micros::from_millis(60);
+const REJECTION_BACKOFF: Micros = Micros::from_millis(60);
 /// Failures in a row after which a replica is left alone.
-const FAILURES_BEFORE_PAUSE: u32 = 2;
+const FAILURES_BEFORE_BACKOFF: u32 = 2;
 /// The first pause; doubles with each further failure.
-const FIRST_PAUSE: Micros = Micros::from_millis(150);
+const INITIAL_BACKOFF: Micros = Micros::from_millis(150);
 /// The longest pause.
-const LONGEST_PAUSE: Micros = Micros::from_millis(2_400);
+const MAX_BACKOFF: Micros = Micros::from_millis(2_400);
 /// An open call that took this many times its usual time says that the replica stands still.
 pub(crate) const SILENT_RATIO: f64 = 3.0;
 /// A silence shorter than this says nothing.
-const SHORTEST_SILENCE: Micros = Micros::from_millis(12);
+const MIN_SILENCE: Micros = Micros::from_millis(12);
 
 /// What a node knows of one replica from its own calls.
 #[derive(Clone, Debug, Default)]
@@ -65,9 +65,9 @@
     slowness: f64,
     observed_at: Micros,
     /// Calls in a row that took [`SILENT_RATIO`] times as long as usual.
-    slow_in_a_row: u32,
+    consecutive_slow_calls: u32,
     failures: u32,
-    paused_until: Micros,
+    backoff_until: Micros,
     rejected_until: Micros,
     hint: Option<(LoadHint, Micros)>,
     /// When requests were sent while the replica was cold, the latest last.
@@ -76,13 +76,13 @@
 
 impl ReplicaHealth {
     /// Whether one more request fits into the `most` that the cold replica gets from this node in any second.
-    pub fn has_cold_room(&self, most: u32, now: Micros) -> bool {
+    pub fn has_cold_capacity(&self, most: u32, now: Micros) -> bool {
         let recent = self.cold_calls.iter().filter(|at| now.since(**at) <= COLD_WINDOW);
         recent.count() < most as usize
     }
 
     /// Notes that a request is sent while the replica is cold.
-    pub fn sent_cold(&mut self, now: Micros) {
+    pub fn record_cold_call(&mut self, now: Micros) {
         self.cold_calls.retain(|at| now.since(*at) <= COLD_WINDOW);
         self.cold_calls.push(now);
     }
@@ -100,7 +100,7 @@
     /// A call was answered. Returns its latency.
     pub fn answered(&mut self, key: CallKey, hint: Option<LoadHint>, now: Micros) -> Option<Micros> {
         self.failures = 0;
-        self.paused_until = Micros(0);
+        self.backoff_until = Micros(0);
         if let Some(hint) = hint {
             self.hint = Some((hint, now));
         }
@@ -113,7 +113,7 @@
     /// A call was rejected because of the replica's load.
     pub fn rejected(&mut self, key: CallKey, hint: Option<LoadHint>, now: Micros) {
         self.take(key);
-        self.rejected_until = now.plus(REJECTION_PAUSE);
+        self.rejected_until = now.plus(REJECTION_BACKOFF);
         if let Some(hint) = hint {
             self.hint = Some((hint, now));
         }
@@ -123,10 +123,10 @@
     pub fn failed(&mut self, key: CallKey, now: Micros) {
         self.take(key);
         self.failures += 1;
-        if self.failures >= FAILURES_BEFORE_PAUSE {
-            let doublings = (self.failures - FAILURES_BEFORE_PAUSE).min(8);
-            let pause = Micros(FIRST_PAUSE.0 << doublings).min(LONGEST_PAUSE);
-            self.paused_until = now.plus(pause);
+        if self.failures >= FAILURES_BEFORE_BACKOFF {
+            let doublings = (self.failures - FAILURES_BEFORE_BACKOFF).min(8);
+            let backoff = Micros(INITIAL_BACKOFF.0 << doublings).min(MAX_BACKOFF);
+            self.backoff_until = now.plus(backoff);
         }
     }
 
@@ -145,20 +145,23 @@
     }
 
     fn observe(&mut self, ratio: f64, now: Micros) {
-        let ratio = ratio.min(HIGHEST_OBSERVATION);
+        let ratio = ratio.min(MAX_OBSERVED_RATIO);
         let known = self.remembered_slowness(now);
         let weight = if ratio > known { SLOWER_WEIGHT } else { FASTER_WEIGHT };
         self.slowness = known + weight * (ratio - known);
         self.observed_at = now;
-        self.slow_in_a_row = if ratio >= SILENT_RATIO { self.slow_in_a_row + 1 } else { 0 };
+        self.consecutive_slow_calls = if ratio >= SILENT_RATIO { self.consecutive_slow_calls + 1 } else { 0 };
     }
 
     fn remembered_slowness(&self, now: Micros) -> f64 {
         if self.slowness == 0.0 {
             return 1.0;
         }
-        let half_life =
-            if self.slow_in_a_row >= SLOW_IN_A_ROW { SLOWNESS_HALF_LIFE } else { PAUSE_HALF_LIFE };
+        let half_life = if self.consecutive_slow_calls >= SUSTAINED_SLOW_CALLS {
+            SUSTAINED_HALF_LIFE
+        } else {
+            SINGLE_HALF_LIFE
+        };
         let half_lives = now.since(self.observed_at).as_secs_f64() / half_life.as_secs_f64();
         1.0 + (self.slowness - 1.0) * 0.5f64.powf(half_lives)
     }
@@ -167,7 +170,7 @@
     fn silence(&self, now: Micros) -> f64 {
         let ratios = self.open.iter().filter_map(|call| {
             let age = now.since(call.sent_at);
-            (age >= SHORTEST_SILENCE).then(|| age.0 as f64 / call.usual.0.max(1) as f64)
+            (age >= MIN_SILENCE).then(|| age.0 as f64 / call.usual.0.max(1) as f64)
         });
         ratios.fold(0.0, f64::max)
     }
@@ -194,8 +197,8 @@
     }
 
     /// Whether the replica is left alone after failures.
-    pub fn is_paused(&self, now: Micros) -> bool {
-        self.paused_until > now
+    pub fn is_backing_off(&self, now: Micros) -> bool {
+        self.backoff_until > now
     }
 
     /// Calls of this node that are open there.
@@ -207,8 +210,8 @@
     pub fn cost(&self, slots: u32, now: Micros) -> f64 {
         const REJECTED_COST: f64 = 3.0;
         let slowness = self.remembered_slowness(now).max(self.silence(now)).max(0.3);
-        let told = self.recent_hint(now).map_or(0, |hint| hint.running + hint.waiting);
-        let load = f64::from(told.max(self.open.len() as u32)) / f64::from(slots.max(1));
+        let reported = self.recent_hint(now).map_or(0, |hint| hint.running + hint.waiting);
+        let load = f64::from(reported.max(self.open.len() as u32)) / f64::from(slots.max(1));
         let rejected = if self.rejected_until > now { REJECTED_COST } else { 1.0 };
         slowness * (1.0 + load) * rejected * (1.0 + f64::from(self.failures))
     }
--- a/crates/sablebay-dispatch/src/replica_table.rs
+++ b/crates/sablebay-dispatch/src/replica_table.rs
@@ -14,20 +14,20 @@
 pub struct CallKey(pub u64);
 
 /// What one more call to a replica in another zone costs, against one in the same.
-const OTHER_ZONE_COST: f64 = 1.5;
+const OTHER_ZONE_COST_FACTOR: f64 = 1.5;
 /// The cost up to which a replica in this node's zone is good enough: about three times the usual
 /// latency, or a queue of two calls a slot. Bytes between zones are paid for, and up to there an
 /// answer is in time all the same. From trials with 2 to 4 (docs/decisions.md).
-const GOOD_ENOUGH_COST: f64 = 4.0;
+const OTHER_ZONE_MIN_COST: f64 = 4.0;
 /// What one more call to a replica that is slow from its start costs.
-const COLD_COST: f64 = 1.6;
+const COLD_COST_FACTOR: f64 = 1.6;
 /// How long an abandoned call may go on at a replica that has slots to spare.
-const ABANDONED_PATIENCE: Micros = Micros::from_millis(350);
+const ABANDONED_CALL_GRACE: Micros = Micros::from_millis(350);
 /// How long a replica gets nothing whose process was seen to have ended. Its entry goes after three heartbeats
 /// of some 1.2 s; one that is there for longer lives, and merely refused a connection.
-const ENDED_FOR: Micros = Micros::from_secs(5);
+const ENDED_RETENTION: Micros = Micros::from_secs(5);
 /// Costs are spread by up to this part, so that nodes that see the same do not choose alike.
-const SPREAD: f64 = 0.25;
+const COST_JITTER: f64 = 0.25;
 
 /// How fit a replica is; the first class that is not empty is chosen from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -36,7 +36,7 @@
     BeyondShare,
     Silent,
     LastResort,
-    Paused,
+    BackingOff,
 }
 
 /// What this node knows of every replica.
@@ -82,7 +82,7 @@
     /// The processes of these replicas have ended. What listens at their addresses from now on has other ids,
     /// and turns away what is meant for them.
     pub fn note_ended(&mut self, replicas: impl IntoIterator<Item = (ReplicaId, Micros)>, now: Micros) {
-        let until = replicas.into_iter().map(|(replica, ended_at)| (replica, ended_at.plus(ENDED_FOR)));
+        let until = replicas.into_iter().map(|(replica, ended_at)| (replica, ended_at.plus(ENDED_RETENTION)));
         self.ended.extend(until);
         self.expire_ended(now);
     }
@@ -98,20 +98,20 @@
     }
 
     /// Whether one more request to a replica stays within this node's share while the replica is cold.
-    fn has_cold_room(&self, candidate: &RoutableReplica, now: Micros) -> bool {
+    fn has_cold_capacity(&self, candidate: &RoutableReplica, now: Micros) -> bool {
         let Some(most) = candidate.cold_calls_per_s.filter(|_| candidate.warm_at > now) else {
             return true;
         };
         let health = self.health.get(&candidate.replica.id);
-        most > 0 && health.is_none_or(|health| health.has_cold_room(most, now))
+        most > 0 && health.is_none_or(|health| health.has_cold_capacity(most, now))
     }
 
     /// Takes one request out of this node's share of what a cold replica bears; false when nothing is left of
     /// it. Asked just before a request is sent.
     pub fn take_cold_call(&mut self, candidate: &RoutableReplica, now: Micros) -> bool {
-        let granted = self.has_cold_room(candidate, now);
+        let granted = self.has_cold_capacity(candidate, now);
         if granted && candidate.cold_calls_per_s.is_some() && candidate.warm_at > now {
-            self.health(&candidate.replica.id).sent_cold(now);
+            self.health(&candidate.replica.id).record_cold_call(now);
         }
         granted
     }
@@ -160,7 +160,7 @@
     pub fn abandoned_call_grace(&self, replica: &ReplicaId, now: Micros) -> Micros {
         let health = self.health.get(replica);
         let wanted_by_others = health.is_some_and(|health| health.is_full(now) || health.is_silent(now));
-        if wanted_by_others { Micros(0) } else { ABANDONED_PATIENCE }
+        if wanted_by_others { Micros(0) } else { ABANDONED_CALL_GRACE }
     }
 
     /// The replica for the next call, of those not in `tried`.
@@ -173,12 +173,12 @@
     ) -> Option<usize> {
         let mut best: Option<(Fitness, f64, usize)> = None;
         for (index, candidate) in candidates.iter().enumerate() {
-            let usable = self.takes_work(candidate) && self.has_cold_room(candidate, now);
+            let usable = self.takes_work(candidate) && self.has_cold_capacity(candidate, now);
             if tried.contains(&candidate.replica.id) || !usable {
                 continue;
             }
             let fitness = self.fitness(candidate, now);
-            let cost = self.cost(candidate, now) * (1.0 + SPREAD * random.random::<f64>());
+            let cost = self.cost(candidate, now) * (1.0 + COST_JITTER * random.random::<f64>());
             let better = best.is_none_or(|(best_fitness, best_cost, _)| {
                 fitness < best_fitness || (fitness == best_fitness && cost < best_cost)
             });
@@ -193,7 +193,7 @@
     pub fn has_fit(&self, candidates: &[RoutableReplica], tried: &[ReplicaId], now: Micros) -> bool {
         let untried = candidates.iter().filter(|candidate| !tried.contains(&candidate.replica.id));
         let mut usable =
-            untried.filter(|candidate| self.takes_work(candidate) && self.has_cold_room(candidate, now));
+            untried.filter(|candidate| self.takes_work(candidate) && self.has_cold_capacity(candidate, now));
         usable.any(|candidate| self.fitness(candidate, now) <= Fitness::BeyondShare)
     }
 
@@ -209,8 +209,8 @@
 
     fn fitness(&self, candidate: &RoutableReplica, now: Micros) -> Fitness {
         let health = self.health.get(&candidate.replica.id);
-        if health.is_some_and(|health| health.is_paused(now)) {
-            return Fitness::Paused;
+        if health.is_some_and(|health| health.is_backing_off(now)) {
+            return Fitness::BackingOff;
         }
         if candidate.last_resort {
             return Fitness::LastResort;
@@ -227,10 +227,10 @@
     fn cost(&self, candidate: &RoutableReplica, now: Micros) -> f64 {
         let replica = &candidate.replica;
         let known = self.health.get(&replica.id).map_or(1.0, |health| health.cost(replica.slots, now));
-        let cold = if candidate.warm_at > now { COLD_COST } else { 1.0 };
+        let cold = if candidate.warm_at > now { COLD_COST_FACTOR } else { 1.0 };
         if replica.zone == self.zone {
             return known * cold;
         }
-        (known * cold * OTHER_ZONE_COST).max(GOOD_ENOUGH_COST)
+        (known * cold * OTHER_ZONE_COST_FACTOR).max(OTHER_ZONE_MIN_COST)
     }
 }
--- a/crates/sablebay-dispatch/src/route_latency.rs
+++ b/crates/sablebay-dispatch/src/route_latency.rs
@@ -10,7 +10,7 @@
 /// The quantile after which a call counts as slow.
 const SLOW_QUANTILE: f64 = 0.9;
 /// The part of the target latency that a call is assumed to take before any was observed.
-const ASSUMED_PART: f64 = 0.2;
+const ASSUMED_FRACTION: f64 = 0.2;
 /// Bounds of the hedge delay, as parts of the target latency.
 const HEDGE_BOUNDS: (f64, f64) = (0.12, 0.4);
 /// The target assumed of a route that names none.
@@ -35,7 +35,7 @@
 
     /// How long a call usually takes.
     pub fn usual(&mut self, target: Option<Micros>, now: Micros) -> Micros {
-        let assumed = Micros((target.unwrap_or(ASSUMED_TARGET).0 as f64 * ASSUMED_PART) as u64);
+        let assumed = Micros((target.unwrap_or(ASSUMED_TARGET).0 as f64 * ASSUMED_FRACTION) as u64);
         self.window.quantile(USUAL_QUANTILE, now).unwrap_or(assumed)
     }
 
--- a/crates/sablebay-dispatch/src/tenant_shares.rs
+++ b/crates/sablebay-dispatch/src/tenant_shares.rs
@@ -17,7 +17,7 @@
 const WINDOW: Micros = Micros::from_secs(10);
 /// Requests that are remembered at the most, so that memory and the time of a look are bounded. A flood shows among
 /// a few dozen; on busy nodes they span less than the window.
-const REMEMBERED_REQUESTS: usize = 64;
+const MAX_ARRIVALS: usize = 64;
 
 /// One request that came in.
 #[derive(Clone, Debug)]
@@ -36,8 +36,8 @@
 impl TenantShares {
     /// Counts a request over so many shards. Those that are refused count as well: they are demand.
     pub fn note(&mut self, tenant: &TenantName, shards: usize, now: Micros) {
-        self.forget(now);
-        if self.recent.len() == REMEMBERED_REQUESTS {
+        self.expire(now);
+        if self.recent.len() == MAX_ARRIVALS {
             self.recent.pop_front();
         }
         let work = shards.max(1) as f64;
@@ -51,9 +51,9 @@
             *by_tenant.entry(&arrival.tenant).or_default() += arrival.work;
         }
         let own = by_tenant.get(tenant).copied().unwrap_or_default();
-        let mut rising: Vec<f64> = by_tenant.into_values().collect();
-        rising.sort_unstable_by(f64::total_cmp);
-        TenantDemand { own, rising }
+        let mut ascending: Vec<f64> = by_tenant.into_values().collect();
+        ascending.sort_unstable_by(f64::total_cmp);
+        TenantDemand { own, ascending }
     }
 
     /// Requests that are remembered.
@@ -61,7 +61,7 @@
         self.recent.len()
     }
 
-    fn forget(&mut self, now: Micros) {
+    fn expire(&mut self, now: Micros) {
         while self.recent.front().is_some_and(|oldest| now.since(oldest.at) > WINDOW) {
             self.recent.pop_front();
         }
@@ -73,19 +73,19 @@
 pub struct TenantDemand {
     own: f64,
     /// Everybody's, the smallest first.
-    rising: Vec<f64>,
+    ascending: Vec<f64>,
 }
 
 impl TenantDemand {
     /// The part of the tenant's requests to refuse where `surplus`, a part of everybody's work, cannot be run.
     pub fn refusal_fraction(&self, surplus: f64) -> f64 {
-        self.beyond(self.level(surplus))
+        self.fraction_above(self.level(surplus))
     }
 
     /// The same, but nothing of what is within an equal part of everybody's work: 0 where all ask for the same,
     /// whatever the surplus.
     pub fn excess_refusal_fraction(&self, surplus: f64) -> f64 {
-        self.beyond(self.level(surplus).max(self.equal_part()))
+        self.fraction_above(self.level(surplus).max(self.equal_share()))
     }
 
     /// The tenant's part of everybody's work, from 0 to 1.
@@ -96,18 +96,18 @@
 
     /// Whether the tenant asks for more than an equal part of everybody's work.
     pub fn exceeds_equal_share(&self) -> bool {
-        self.own > self.equal_part()
+        self.own > self.equal_share()
     }
 
-    fn equal_part(&self) -> f64 {
-        self.all() / self.rising.len().max(1) as f64
+    fn equal_share(&self) -> f64 {
+        self.all() / self.ascending.len().max(1) as f64
     }
 
     fn all(&self) -> f64 {
-        self.rising.iter().sum()
+        self.ascending.iter().sum()
     }
 
-    fn beyond(&self, level: f64) -> f64 {
+    fn fraction_above(&self, level: f64) -> f64 {
         if self.own > level { 1.0 - level / self.own } else { 0.0 }
     }
 
@@ -117,10 +117,10 @@
             return f64::INFINITY;
         }
         let mut left = self.all() * (1.0 - surplus);
-        for (smaller, demand) in self.rising.iter().enumerate() {
-            let equal_part = left / (self.rising.len() - smaller) as f64;
-            if *demand > equal_part {
-                return equal_part;
+        for (smaller, demand) in self.ascending.iter().enumerate() {
+            let equal_share = left / (self.ascending.len() - smaller) as f64;
+            if *demand > equal_share {
+                return equal_share;
             }
             left -= demand;
         }
--- a/crates/sablebay-dispatch/src/weighted_choice.rs
+++ b/crates/sablebay-dispatch/src/weighted_choice.rs
@@ -16,8 +16,8 @@
     pub fn new(parts: Vec<WeightedService>, phase: f64) -> Self {
         let mut choice = Self { credit: vec![0.0; parts.len()], parts };
         /// Turns that the longest usual cycle has.
-        const CYCLE: f64 = 100.0;
-        for _ in 0..(phase * CYCLE) as usize {
+        const CYCLE_TURNS: f64 = 100.0;
+        for _ in 0..(phase * CYCLE_TURNS) as usize {
             choice.next();
         }
         choice
@@ -36,8 +36,8 @@
             *credit += part.weight;
         }
         let weighted = (0..self.parts.len()).filter(|index| self.parts[*index].weight > 0.0);
-        let richest = weighted.max_by(|left, right| self.credit[*left].total_cmp(&self.credit[*right]))?;
-        self.credit[richest] -= total;
-        Some(self.parts[richest].service.clone())
+        let selected = weighted.max_by(|left, right| self.credit[*left].total_cmp(&self.credit[*right]))?;
+        self.credit[selected] -= total;
+        Some(self.parts[selected].service.clone())
     }
 }
--- a/crates/sablebay-dispatch/tests/evacuation.rs
+++ b/crates/sablebay-dispatch/tests/evacuation.rs
@@ -57,13 +57,13 @@
 }
 
 /// A request, and what its steps work with.
-struct Bench {
+struct Harness {
     table: ReplicaTable,
     budgets: RetryBudgets,
     random: SmallRng,
 }
 
-impl Bench {
+impl Harness {
     fn new() -> Self {
         let table = ReplicaTable::new(ZoneName::new("a"));
         Self { table, budgets: RetryBudgets::default(), random: SmallRng::seed_from_u64(3) }
@@ -97,48 +97,48 @@
 
 #[test]
 fn a_retry_passes_over_a_zone_that_was_evacuated_meanwhile() {
-    let mut bench = Bench::new();
+    let mut harness = Harness::new();
     let mut fanout = Fanout::new(settings(1), targets(&[&["a", "b", "c"]]));
-    assert_eq!(sent_to(&bench.step(START, |turn| fanout.start(turn))), ["0-a"]);
-    bench.evacuate(&["b"]);
-    let failed = bench.step(START, |turn| fanout.on_failure(CallNumber(0), CallFailure::Broken, turn));
+    assert_eq!(sent_to(&harness.step(START, |turn| fanout.start(turn))), ["0-a"]);
+    harness.evacuate(&["b"]);
+    let failed = harness.step(START, |turn| fanout.on_failure(CallNumber(0), CallFailure::Broken, turn));
     assert_eq!(sent_to(&failed), ["0-c"]);
 }
 
 #[test]
 fn a_hedge_passes_over_a_zone_that_was_evacuated_meanwhile() {
-    let mut bench = Bench::new();
+    let mut harness = Harness::new();
     let mut fanout = Fanout::new(settings(1), targets(&[&["a", "b"]]));
-    bench.step(START, |turn| fanout.start(turn));
-    bench.evacuate(&["b"]);
+    harness.step(START, |turn| fanout.start(turn));
+    harness.evacuate(&["b"]);
     let later = START.plus(HEDGE_DELAY);
-    assert_eq!(sent_to(&bench.step(later, |turn| fanout.on_wake(turn))), Vec::<String>::new());
+    assert_eq!(sent_to(&harness.step(later, |turn| fanout.on_wake(turn))), Vec::<String>::new());
 }
 
 #[test]
 fn the_spare_of_a_gathered_shard_is_not_called_in_an_evacuated_zone() {
-    let mut bench = Bench::new();
+    let mut harness = Harness::new();
     let spares = vec![Some(ReplicaId::new("0-c"))];
     let mut fanout = Fanout::new(settings(0), targets(&[&["a", "b", "c"]])).keeping_spares(spares);
-    bench.step(START, |turn| fanout.start(turn));
-    bench.evacuate(&["c"]);
-    let failed = bench.step(START, |turn| fanout.on_failure(CallNumber(0), CallFailure::Broken, turn));
+    harness.step(START, |turn| fanout.start(turn));
+    harness.evacuate(&["c"]);
+    let failed = harness.step(START, |turn| fanout.on_failure(CallNumber(0), CallFailure::Broken, turn));
     assert_eq!(sent_to(&failed), Vec::<String>::new());
 }
 
 #[test]
 fn what_cannot_reach_its_least_share_is_refused_before_anything_is_sent() {
-    let mut bench = Bench::new();
-    bench.evacuate(&["b"]);
+    let mut harness = Harness::new();
+    harness.evacuate(&["b"]);
     let mut fanout = Fanout::new(settings(2), targets(&[&["a", "b"], &["b"], &["b"]]));
-    assert_eq!(bench.step(START, |turn| fanout.start(turn)), []);
+    assert_eq!(harness.step(START, |turn| fanout.start(turn)), []);
     assert_eq!(fanout.outcome(), Some(FanoutOutcome::NotRun));
 }
 
 #[test]
 fn a_shard_without_a_replica_is_left_out_and_no_other_node_is_asked_for_it() {
-    let mut bench = Bench::new();
-    bench.evacuate(&["b"]);
+    let mut harness = Harness::new();
+    harness.evacuate(&["b"]);
     let delegated = DelegatedShards {
         gatherer: NodeId::new("n2"),
         zone: ZoneName::new("b"),
@@ -148,7 +148,7 @@
     };
     let mut fanout =
         Fanout::new(settings(2), targets(&[&["b", "c"], &["b"], &["c"]])).delegating(vec![delegated]);
-    let actions = bench.step(START, |turn| fanout.start(turn));
+    let actions = harness.step(START, |turn| fanout.start(turn));
     let [FanoutAction::Delegate { delegated, .. }] = &actions[..] else {
         panic!("one node is asked: {actions:?}");
     };
--- a/crates/sablebay-dispatch/tests/hot_tenant.rs
+++ b/crates/sablebay-dispatch/tests/hot_tenant.rs
@@ -19,7 +19,7 @@
 const GATHERERS: usize = 10;
 const USUAL_PER_S: f64 = 48.0;
 const FLOOD: Micros = Micros::from_secs(8);
-const PATIENCE: Micros = Micros::from_millis(1_000);
+const TIMEOUT: Micros = Micros::from_millis(1_000);
 /// A backlog at which every replica has a round of work waiting.
 const CROWDED_BACKLOG_S: f64 = 0.5;
 /// What part of the requests that come in at a crowded share is answered in time (docs/design/012-overload.md).
@@ -80,7 +80,7 @@
 
 /// One try of a request.
 #[derive(Clone, Copy)]
-struct Try {
+struct Attempt {
     at: Micros,
     tenant: usize,
     returning: bool,
@@ -93,9 +93,9 @@
 }
 
 /// The first tries of callers; those that are refused come back once.
-fn first_tries(load: &Load, from: Micros, until: Micros, random: &mut SmallRng) -> Vec<Try> {
+fn initial_attempts(load: &Load, from: Micros, until: Micros, random: &mut SmallRng) -> Vec<Attempt> {
     let usual: f64 = (0..TENANTS).map(|tenant| weight(tenant, 1.0)).sum();
-    let mut tries = Vec::new();
+    let mut attempts = Vec::new();
     let mut at = from;
     loop {
         let hot_factor = if at < FLOOD { load.hot_factor } else { 1.0 };
@@ -104,24 +104,24 @@
         let gap_s = -f64::ln(1.0 - random.random::<f64>()) / per_s;
         at = at.plus(Micros((gap_s * 1e6) as u64));
         if at >= until {
-            return tries;
+            return attempts;
         }
-        tries.push(Try { at, tenant: draw_tenant(random, hot_factor), returning: false });
+        attempts.push(Attempt { at, tenant: draw_tenant(random, hot_factor), returning: false });
     }
 }
 
 /// Plays the flood once: all nodes, one queue for the back ends.
-fn play(load: &Load, seed: u64) -> Outcome {
+fn simulate(load: &Load, seed: u64) -> Outcome {
     let random = &mut SmallRng::seed_from_u64(seed);
     let names: Vec<TenantName> = (0..TENANTS).map(|tenant| TenantName::new(format!("t-{tenant}"))).collect();
     let mut nodes = vec![TenantShares::default(); NODES];
-    let mut tries = first_tries(load, Micros(0), FLOOD, random);
+    let mut attempts = initial_attempts(load, Micros(0), FLOOD, random);
     let mut outcome = Outcome::default();
     let mut backlog_s = 0.0f64;
     let mut last = Micros(0);
-    while !tries.is_empty() {
-        let next = (0..tries.len()).min_by_key(|index| tries[*index].at).expect("there are some");
-        let attempt = tries.swap_remove(next);
+    while !attempts.is_empty() {
+        let next = (0..attempts.len()).min_by_key(|index| attempts[*index].at).expect("there are some");
+        let attempt = attempts.swap_remove(next);
         backlog_s = (backlog_s - attempt.at.since(last).as_secs_f64()).max(0.0);
         last = attempt.at;
         let group = if attempt.tenant == HOT { &mut outcome.hot } else { &mut outcome.others };
@@ -132,7 +132,7 @@
             crowded: (crowded_share * load.shards as f64) as usize,
             rank: 0,
             is_retry: attempt.returning,
-            timeout: PATIENCE,
+            timeout: TIMEOUT,
         };
         let node = &mut nodes[random.random_range(0..NODES)];
         node.note(&names[attempt.tenant], load.shards, attempt.at);
@@ -146,7 +146,7 @@
             Admission::Admitted if load.shards == 1 && crowded_share >= 1.0 => {
                 if !attempt.returning {
                     let at = attempt.at.plus(Micros::from_millis(225));
-                    tries.push(Try { at, returning: true, ..attempt });
+                    attempts.push(Attempt { at, returning: true, ..attempt });
                 }
             }
             Admission::Admitted => {
@@ -161,7 +161,7 @@
             Admission::Refused { retry_after } => {
                 group.refused += 1;
                 if !attempt.returning {
-                    tries.push(Try { at: attempt.at.plus(retry_after), returning: true, ..attempt });
+                    attempts.push(Attempt { at: attempt.at.plus(retry_after), returning: true, ..attempt });
                 }
             }
         }
@@ -170,10 +170,10 @@
 }
 
 /// Many floods together.
-fn play_many(load: &Load) -> Outcome {
+fn simulate_many(load: &Load) -> Outcome {
     let mut sum = Outcome::default();
     for seed in 0..40 {
-        let once = play(load, seed);
+        let once = simulate(load, seed);
         for (sum, once) in [(&mut sum.hot, once.hot), (&mut sum.others, once.others)] {
             sum.sent += once.sent;
             sum.served += once.served;
@@ -183,47 +183,47 @@
     sum
 }
 
-fn both(load: Load) -> (Outcome, Outcome) {
-    let plain = play_many(&Load { fair: false, ..load });
-    let fair = play_many(&Load { fair: true, ..load });
+fn compare(load: Load) -> (Outcome, Outcome) {
+    let unfair = simulate_many(&Load { fair: false, ..load });
+    let fair = simulate_many(&Load { fair: true, ..load });
     println!(
         "shards {} capacity {} flood x{}: others {:.3} -> {:.3}, hot {:.3} -> {:.3}, all {:.3} -> {:.3}, refused {} -> {}",
         load.shards,
         load.capacity,
         load.hot_factor,
-        plain.others.share(),
+        unfair.others.share(),
         fair.others.share(),
-        plain.hot.share(),
+        unfair.hot.share(),
         fair.hot.share(),
-        plain.share_of_all(),
+        unfair.share_of_all(),
         fair.share_of_all(),
-        plain.hot.refused + plain.others.refused,
+        unfair.hot.refused + unfair.others.refused,
         fair.hot.refused + fair.others.refused,
     );
-    (plain, fair)
+    (unfair, fair)
 }
 
 #[test]
 fn a_hot_tenant_s_flood_is_paid_for_by_the_hot_tenant() {
     for (capacity, others_gain) in [(0.7, 0.005), (0.85, 0.005), (1.0, 0.05), (1.2, 0.3), (1.3, 0.3)] {
-        let (plain, fair) = both(Load { shards: 90, capacity, hot_factor: HOT_FACTOR, fair: false });
-        assert!(fair.others.share() > plain.others.share() + others_gain);
+        let (unfair, fair) = compare(Load { shards: 90, capacity, hot_factor: HOT_FACTOR, fair: false });
+        assert!(fair.others.share() > unfair.others.share() + others_gain);
         assert!(fair.others.share() > fair.hot.share(), "who floods loses more");
-        assert!(fair.share_of_all() > plain.share_of_all() - 0.005, "the whole loses nothing by it");
+        assert!(fair.share_of_all() > unfair.share_of_all() - 0.005, "the whole loses nothing by it");
         assert!(fair.hot.share() > 0.5 * fair.share_of_all(), "the hot tenant is not starved either");
     }
 }
 
 #[test]
 fn without_a_flood_a_shortage_is_borne_as_before() {
-    let (plain, fair) = both(Load { shards: 90, capacity: 0.7, hot_factor: 1.0, fair: false });
-    assert!((fair.share_of_all() - plain.share_of_all()).abs() < 0.01);
-    assert!(fair.others.share() > plain.others.share() - 0.01);
+    let (unfair, fair) = compare(Load { shards: 90, capacity: 0.7, hot_factor: 1.0, fair: false });
+    assert!((fair.share_of_all() - unfair.share_of_all()).abs() < 0.01);
+    assert!(fair.others.share() > unfair.others.share() - 0.01);
 }
 
 #[test]
 fn a_flood_that_the_back_ends_bear_is_not_refused() {
-    let (_, fair) = both(Load { shards: 90, capacity: 3.0, hot_factor: HOT_FACTOR, fair: false });
+    let (_, fair) = compare(Load { shards: 90, capacity: 3.0, hot_factor: HOT_FACTOR, fair: false });
     assert_eq!(fair.hot.refused + fair.others.refused, 0);
 }
 
@@ -232,8 +232,8 @@
 #[test]
 fn on_single_back_ends_a_flood_is_left_to_them() {
     for capacity in [0.7, 1.0, 1.3] {
-        let (plain, fair) = both(Load { shards: 1, capacity, hot_factor: HOT_FACTOR, fair: false });
+        let (unfair, fair) = compare(Load { shards: 1, capacity, hot_factor: HOT_FACTOR, fair: false });
         assert_eq!(fair.hot.refused + fair.others.refused, 0);
-        assert!((plain.others.share() - plain.hot.share()).abs() < 0.02);
+        assert!((unfair.others.share() - unfair.hot.share()).abs() < 0.02);
     }
 }
--- a/crates/sablebay-dispatch/tests/quarantine.rs
+++ b/crates/sablebay-dispatch/tests/quarantine.rs
@@ -42,7 +42,7 @@
 }
 
 /// The same as another node saw it, whose clock is an hour behind, and as was heard so much later.
-fn told(run: CrashedRun, observer: u64, delay_ms: u64) -> CrashedRun {
+fn remote(run: CrashedRun, observer: u64, delay_ms: u64) -> CrashedRun {
     let behind = |moment: Micros| moment.since(Micros::from_secs(3_600));
     CrashedRun {
         observer: ObserverId(observer),
@@ -63,7 +63,7 @@
 }
 
 /// A table that knows of so many strikes in a row, each a tenth of a second after the one before.
-fn struck(strikes: u64) -> Quarantine {
+fn with_strikes(strikes: u64) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for strike in 0..strikes {
         quarantine.record_crash(
@@ -94,23 +94,23 @@
 #[test]
 fn what_another_node_saw_one_after_the_other_counts_so_however_close() {
     let in_a_row = [crash(0, 0, 4), crash(1, 5, 8), crash(2, 9, 12)];
-    let heard: Vec<CrashedRun> = in_a_row.into_iter().map(|run| told(run, 2, 30)).collect();
+    let heard: Vec<CrashedRun> = in_a_row.into_iter().map(|run| remote(run, 2, 30)).collect();
     assert_eq!(history(&heard).strikes(), 3);
 }
 
 #[test]
 fn word_that_comes_late_does_not_make_runs_follow_one_another() {
-    let early = told(crash(0, 0, 40), 2, 1);
-    let late = told(crash(1, 30, 60), 2, 200);
+    let early = remote(crash(0, 0, 40), 2, 1);
+    let late = remote(crash(1, 30, 60), 2, 200);
     assert_eq!(history(&[early.clone(), late.clone()]).strikes(), 1, "one node saw both");
-    let of_another = told(crash(1, 30, 60), 3, 200);
+    let of_another = remote(crash(1, 30, 60), 3, 200);
     assert_eq!(history(&[early, of_another]).strikes(), 1, "two nodes saw one each");
 }
 
 #[test]
 fn what_two_nodes_saw_well_apart_counts_as_one_after_the_other() {
-    let first = told(crash(0, 0, 40), 2, 1);
-    let second = told(crash(1, 400, 440), 3, 1);
+    let first = remote(crash(0, 0, 40), 2, 1);
+    let second = remote(crash(1, 400, 440), 3, 1);
     assert_eq!(history(&[first, second]).strikes(), 2);
 }
 
@@ -175,7 +175,7 @@
 
 #[test]
 fn a_suspect_goes_to_one_back_end_at_a_time_until_a_run_ends_well() {
-    let mut quarantine = struck(1);
+    let mut quarantine = with_strikes(1);
     let now = at(60);
     for shard in 0..4 {
         assert_eq!(quarantine.permit(&digest(1), &service(shard), now), RunPermit::NeedsLease);
@@ -214,7 +214,7 @@
 
 #[test]
 fn a_silent_run_does_not_keep_others_waiting_for_ever() {
-    let mut quarantine = struck(1);
+    let mut quarantine = with_strikes(1);
     assert!(quarantine.grant(&digest(1), wanted(run(1, 1)), at(60)));
     assert!(quarantine.grant(&digest(1), wanted(run(1, 2)), at(60).plus(wanted(run(1, 1)).duration)));
     assert!(!quarantine.release_lease(&digest(1), run(1, 1)), "it is the second that others wait for");
@@ -222,7 +222,7 @@
 
 #[test]
 fn from_the_third_strike_on_nothing_is_sent_until_the_quarantine_is_over() {
-    let quarantine = struck(u64::from(QUARANTINE_STRIKES));
+    let quarantine = with_strikes(u64::from(QUARANTINE_STRIKES));
     let ended = at(250);
     let until = ended.plus(FIRST_HOLD);
     assert_eq!(quarantine.status(&digest(1), ended), QuarantineStatus::Quarantined { until });
@@ -235,7 +235,7 @@
 
 #[test]
 fn after_the_quarantine_one_run_tells_and_another_strike_makes_it_longer() {
-    let mut quarantine = struck(u64::from(QUARANTINE_STRIKES));
+    let mut quarantine = with_strikes(u64::from(QUARANTINE_STRIKES));
     let until = at(250).plus(FIRST_HOLD);
     assert_eq!(quarantine.status(&digest(1), until), QuarantineStatus::Probation);
     assert_eq!(quarantine.permit(&digest(1), &service(0), until), RunPermit::NeedsLease);
@@ -252,7 +252,7 @@
 
 #[test]
 fn no_quarantine_is_longer_than_the_longest() {
-    let quarantine = struck(40);
+    let quarantine = with_strikes(40);
     let ended = at(39 * 100 + 50);
     match quarantine.status(&digest(1), ended) {
         QuarantineStatus::Quarantined { until } => assert_eq!(until.since(ended), LONGEST_HOLD),
@@ -262,7 +262,7 @@
 
 #[test]
 fn an_operator_releases_a_request_on_all_nodes() {
-    let mut quarantine = struck(u64::from(QUARANTINE_STRIKES));
+    let mut quarantine = with_strikes(u64::from(QUARANTINE_STRIKES));
     let mut other = Quarantine::default();
     for (notice, audience) in quarantine.take_updates(at(300)) {
         assert_eq!(audience, Audience::AllNodes);
@@ -276,14 +276,14 @@
     assert_eq!(news[0].1, Audience::AllNodes);
     other.merge_notice(&news[0].0, true, at(400));
     assert_eq!(other.status(&digest(1), at(400)), QuarantineStatus::Clear);
-    let old = struck(u64::from(QUARANTINE_STRIKES)).notice(&digest(1), at(500)).expect("it is known");
+    let old = with_strikes(u64::from(QUARANTINE_STRIKES)).notice(&digest(1), at(500)).expect("it is known");
     other.merge_notice(&old, false, at(500));
     assert_eq!(other.status(&digest(1), at(500)), QuarantineStatus::Clear, "an older word does not count");
 }
 
 #[test]
 fn a_first_strike_is_told_to_everyone_once() {
-    let mut quarantine = struck(1);
+    let mut quarantine = with_strikes(1);
     let news = quarantine.take_updates(at(100));
     assert_eq!(news.iter().map(|(_, audience)| *audience).collect::<Vec<_>>(), [Audience::AllNodes]);
     assert!(quarantine.take_updates(at(100)).is_empty());
@@ -307,7 +307,7 @@
 
 #[test]
 fn a_flood_of_requests_neither_grows_the_table_nor_frees_one_that_is_held_back() {
-    let mut quarantine = struck(u64::from(QUARANTINE_STRIKES));
+    let mut quarantine = with_strikes(u64::from(QUARANTINE_STRIKES));
     for number in 0..20_000 {
         let now = at(300 + number / 100);
         let run = CrashedRun { started_at: now, ended_at: now, known_at: now, ..crash(1_000 + number, 0, 0) };
@@ -320,7 +320,7 @@
 
 #[test]
 fn what_is_long_past_is_forgotten() {
-    let mut quarantine = struck(u64::from(QUARANTINE_STRIKES));
+    let mut quarantine = with_strikes(u64::from(QUARANTINE_STRIKES));
     quarantine.expire(at(250).plus(FIRST_HOLD));
     assert_eq!(quarantine.len(), 1);
     quarantine.expire(at(250).plus(FIRST_HOLD).plus(Micros::from_secs(601)));
@@ -329,10 +329,10 @@
 
 #[test]
 fn a_request_that_nothing_speaks_against_is_soon_forgotten() {
-    let mut quarantine = struck(1);
+    let mut quarantine = with_strikes(1);
     assert!(quarantine.record_success(&digest(1), &service(0), at(60)));
     quarantine.expire(at(1_000));
-    let late = struck(1).notice(&digest(1), at(1_000)).expect("it is known");
+    let late = with_strikes(1).notice(&digest(1), at(1_000)).expect("it is known");
     quarantine.merge_notice(&late, false, at(1_000));
     assert_eq!(
         quarantine.status(&digest(1), at(1_000)),
@@ -348,9 +348,9 @@
 struct Node {
     quarantine: Quarantine,
     /// Before this time it loses every message.
-    cut_until: u64,
+    partitioned_until: u64,
     /// Since when it has been up and reached, without a break.
-    in_touch_since: u64,
+    connected_since: u64,
 }
 
 /// Word on its way.
@@ -358,7 +358,7 @@
     arrives_at: u64,
     to: usize,
     notices: Vec<QuarantineNotice>,
-    to_everyone: bool,
+    is_broadcast: bool,
 }
 
 /// One attempt of a search in progress. All of its back ends end under it.
@@ -401,22 +401,22 @@
     }
 
     fn arrives(&mut self, from: usize, to: usize, now: u64) -> bool {
-        let cut = self.nodes[from].cut_until > now || self.nodes[to].cut_until > now;
+        let cut = self.nodes[from].partitioned_until > now || self.nodes[to].partitioned_until > now;
         from == to || (!cut && self.draw(100) >= self.loss_percent)
     }
 
-    fn send(&mut self, from: usize, to: usize, notices: Vec<QuarantineNotice>, to_everyone: bool, now: u64) {
+    fn send(&mut self, from: usize, to: usize, notices: Vec<QuarantineNotice>, is_broadcast: bool, now: u64) {
         if from != to && self.arrives(from, to, now) {
             let arrives_at = now + 1 + self.draw(40);
-            self.messages.push(Message { arrives_at, to, notices, to_everyone });
+            self.messages.push(Message { arrives_at, to, notices, is_broadcast });
         }
     }
 
-    fn tell(&mut self, from: usize, now: u64) {
+    fn send_updates(&mut self, from: usize, now: u64) {
         for (notice, audience) in self.nodes[from].quarantine.take_updates(at(now)) {
             let everyone = audience == Audience::AllNodes;
-            let told = if everyone { self.nodes.len() } else { self.nodes.len().min(3) };
-            for to in 0..told {
+            let recipients = if everyone { self.nodes.len() } else { self.nodes.len().min(3) };
+            for to in 0..recipients {
                 self.send(from, to, vec![notice.clone()], everyone, now);
             }
         }
@@ -428,9 +428,9 @@
         self.messages = later;
         for message in due {
             for notice in &message.notices {
-                self.nodes[message.to].quarantine.merge_notice(notice, message.to_everyone, at(now));
+                self.nodes[message.to].quarantine.merge_notice(notice, message.is_broadcast, at(now));
             }
-            self.tell(message.to, now);
+            self.send_updates(message.to, now);
         }
     }
 
@@ -438,9 +438,9 @@
     fn compare(&mut self, now: u64) {
         for node in 0..self.nodes.len() {
             let other = self.draw(self.nodes.len() as u64) as usize;
-            let told = self.nodes[node].quarantine.notices(at(now));
+            let sent = self.nodes[node].quarantine.notices(at(now));
             let answer = self.nodes[other].quarantine.notices(at(now));
-            self.send(node, other, told, false, now);
+            self.send(node, other, sent, false, now);
             self.send(other, node, answer, false, now);
         }
     }
@@ -481,7 +481,7 @@
         let (over, running): (Vec<_>, Vec<_>) =
             attempt.running.drain(..).partition(|(_, _, ends_at, _)| *ends_at <= now);
         attempt.running = running;
-        for (call, started_at, _, place) in over {
+        for (call, started_at, _, leased_run) in over {
             self.ended += 1;
             let crashed = CrashedRun {
                 replica: ReplicaId::new(format!("i-{}", self.ended)),
@@ -493,7 +493,7 @@
                 is_remote: false,
             };
             self.nodes[node].quarantine.record_crash(digest(1), ROUTE, crashed, at(now));
-            if let Some(run) = place
+            if let Some(run) = leased_run
                 && self.arrives(node, FIRST_KEEPER, now)
             {
                 let notice = self.nodes[node].quarantine.notice(&digest(1), at(now)).expect("it struck");
@@ -502,7 +502,7 @@
                 keeper.release_lease(&digest(1), run);
             }
         }
-        self.tell(node, now);
+        self.send_updates(node, now);
         let first = now == attempt.began_at;
         let running: Vec<u64> = attempt.running.iter().map(|(call, ..)| call % shards).collect();
         for call in std::mem::take(&mut attempt.waiting) {
@@ -573,7 +573,7 @@
         spells in prop::collection::vec((20_u64..9_000, 1_usize..7), 12),
         seed in any::<u64>(),
     ) {
-        const IN_TOUCH_MS: u64 = 4_000;
+        const CONNECTED_MS: u64 = 4_000;
         let mut fleet = Fleet::new(size, loss_percent, seed);
         let (mut now, mut compared, mut third_at, mut late) = (10_000, 9_000, None, 0);
         for (gap, attempts) in spells {
@@ -587,10 +587,10 @@
             // Now and then a node starts anew, or is cut off for a while.
             let unlucky = fleet.draw(size as u64) as usize;
             match fleet.draw(6) {
-                0 => fleet.nodes[unlucky] = Node { in_touch_since: now, ..Node::default() },
+                0 => fleet.nodes[unlucky] = Node { connected_since: now, ..Node::default() },
                 1 => {
-                    fleet.nodes[unlucky].cut_until = now + 3_000;
-                    fleet.nodes[unlucky].in_touch_since = now + 3_000;
+                    fleet.nodes[unlucky].partitioned_until = now + 3_000;
+                    fleet.nodes[unlucky].connected_since = now + 3_000;
                 }
                 _ => {}
             }
@@ -603,9 +603,9 @@
             let (done, over_at) = fleet.play(begun, shards, now);
             now = over_at;
             for (node, reached) in done {
-                let in_touch = began_at >= fleet.nodes[node].in_touch_since + IN_TOUCH_MS;
-                let bound = third_at.is_some_and(|third_at| began_at > third_at + IN_TOUCH_MS);
-                late += usize::from(reached && in_touch && bound);
+                let connected = began_at >= fleet.nodes[node].connected_since + CONNECTED_MS;
+                let bound = third_at.is_some_and(|third_at| began_at > third_at + CONNECTED_MS);
+                late += usize::from(reached && connected && bound);
             }
             if fleet.ended >= 3 {
                 third_at.get_or_insert(now);
@@ -684,7 +684,7 @@
                         fleet.nodes[FIRST_KEEPER].quarantine.merge_notice(&notice, false, at(now));
                     }
                     fleet.nodes[FIRST_KEEPER].quarantine.release_lease(&digest(1), asked);
-                    fleet.tell(node, now);
+                    fleet.send_updates(node, now);
                 }
                 // Asked at one of 40 back ends, through one of three nodes.
                 key += 1;
