--- a/crates/sablebay-dispatch/src/admission.rs
+++ b/crates/sablebay-dispatch/src/admission.rs
@@ -1,12 +1,9 @@
-//! Which requests are refused at once because they would come too late anyway.
+//! Admission control: refuses requests early that are unlikely to be answered within their deadline.
 //!
-//! The measure is the share of a request's shards at which work queues at every replica, as far as
-//! the replicas told of late. Where it is low, nearly all requests are answered in time; where it is
-//! high, nearly none are, and each one that is let in delays the others. In between, a part is
-//! refused that grows with it, so that nodes which see the same neither all refuse nor all admit.
-//!
-//! Less urgent requests are refused sooner. Those that come back after a refusal are refused later:
-//! a caller is sent away twice only when there is no other way.
+//! The load measure is the share of a request's shards whose replicas all report a queue. Above a threshold,
+//! the refusal probability rises linearly with that share, so that nodes with the same view shed a part of
+//! the load instead of all or nothing. The threshold is lower for less urgent requests and higher for retries
+//! of refused requests.
 
 use std::collections::VecDeque;
 
@@ -14,55 +11,51 @@
 
 use crate::tenant_shares::TenantDemand;
 
-/// The crowded share up to which the most urgent requests are all admitted.
+/// Share of crowded shards up to which all requests of the highest urgency are admitted.
 const REFUSAL_THRESHOLD: f64 = 0.5;
-/// How much lower it is for each rank of lesser urgency.
+/// Reduction of the threshold per rank of lower urgency.
 const RANK_THRESHOLD_STEP: f64 = 0.12;
-/// Ranks that make a difference.
+/// Ranks above this value are treated alike.
 pub const LOWEST_RANK: u32 = 2;
-/// How much higher it is for a request that comes back.
+/// Increase of the threshold for retries of refused requests.
 const RETRY_THRESHOLD_BONUS: f64 = 0.3;
-/// The rise of the crowded share over which the refused part grows to the whole.
+/// Increase of the crowded share above the threshold at which the refusal probability would reach 1.
 const REFUSAL_RAMP: f64 = 0.6;
-/// The part that is refused at the most: without any requests nothing is learnt of the queues.
+/// Upper bound of the refusal probability; admitted requests provide fresh load hints.
 const MAX_REFUSAL_PROBABILITY: f64 = 0.8;
-/// The part of a caller's timeout after which it is asked to come back, at the least and at the
-/// most.
+/// Minimum and maximum `retry_after`, as fractions of the caller's timeout.
 const RETRY_AFTER_FRACTIONS: (f64, f64) = (0.15, 0.3);
-/// The longest time after which a caller is asked to come back.
+/// Upper bound of `retry_after`.
 const MAX_RETRY_AFTER: Micros = Micros::from_millis(700);
 
-/// What the admission of one request depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionInputs {
-    /// Shards that it goes to.
+    /// Number of shards the request targets.
     pub shards: usize,
-    /// Those at which work queues at every replica.
+    /// Number of those shards with a queue at every replica.
     pub crowded: usize,
-    /// How much less urgent it is than the most urgent requests for the same services; 0 for these.
+    /// Urgency rank relative to the most urgent requests for the same services; 0 is the most urgent.
     pub rank: u32,
-    /// Whether its caller was probably refused before.
+    /// Whether the request is probably a retry after a refusal.
     pub is_retry: bool,
-    /// How long its caller will wait.
+    /// Remaining time for which the caller waits.
     pub timeout: Micros,
 }
 
-/// What becomes of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is run.
     Admitted,
-    /// It is refused at once, and has not run.
+    /// The request was refused before execution.
     Refused {
-        /// When to come back.
+        /// Delay after which the caller should retry.
         retry_after: Micros,
     },
 }
 
-/// The probability that a request is refused, from 0 to 1.
+/// Refusal probability, from 0 to 1.
 ///
-/// A request for one shard is never refused here: its replicas say themselves when they are full,
-/// and nothing was spent on other shards by then.
+/// Single-shard requests are never refused here: their replicas reject excess load themselves, and no work on
+/// other shards is wasted.
 pub fn refusal_probability(inputs: &AdmissionInputs) -> f64 {
     if inputs.shards < 2 {
         return 0.0;
@@ -74,12 +67,10 @@
     (excess / REFUSAL_RAMP).clamp(0.0, MAX_REFUSAL_PROBABILITY)
 }
 
-/// The probability that a request of a tenant is refused: of what has to be refused, the tenants that ask for the
-/// most lose the most.
+/// Refusal probability for a request of a tenant: tenants with the highest demand are refused first.
 ///
-/// What a tenant asks for beyond an equal part is the least urgent, and does not get in sooner by coming back. So
-/// it goes before the queues are such that everybody loses something, and where one tenant sends far more than the
-/// others, they mostly lose nothing.
+/// Demand above an equal share is treated as least urgent, without the bonus for retries. It is refused
+/// before other requests, so that a flood of one tenant mostly affects that tenant.
 pub fn fair_refusal_probability(inputs: &AdmissionInputs, demand: &TenantDemand) -> f64 {
     let least_urgent = AdmissionInputs { rank: LOWEST_RANK, is_retry: false, ..*inputs };
     let excess = demand.excess_refusal_fraction(refusal_probability(&least_urgent));
@@ -87,12 +78,12 @@
     shared.max(excess).min(MAX_REFUSAL_PROBABILITY)
 }
 
-/// Decides about a request; `draw` and `spread` are random numbers from 0 to 1.
+/// Admits or refuses a request; `draw` and `spread` are random numbers from 0 to 1.
 pub fn admit(inputs: &AdmissionInputs, draw: f64, spread: f64) -> Admission {
     decide(refusal_probability(inputs), inputs.timeout, draw, spread)
 }
 
-/// Decides about a request of a tenant, whose demand counts it already.
+/// Like [`admit`], for a tenant's request that is already counted in `demand`.
 pub fn admit_fairly(inputs: &AdmissionInputs, demand: &TenantDemand, draw: f64, spread: f64) -> Admission {
     decide(fair_refusal_probability(inputs, demand), inputs.timeout, draw, spread)
 }
@@ -107,20 +98,19 @@
     Admission::Refused { retry_after }
 }
 
-/// Requests of a route that its usual timeout is taken from.
+/// Number of recent requests per route from which the typical timeout is derived.
 const TIMEOUT_SAMPLES: usize = 32;
-/// A caller with less than this part of the usual timeout has probably spent some of it.
+/// A timeout below this fraction of the typical one indicates a retry that has used up part of its time.
 const RETRY_TIMEOUT_FRACTION: f64 = 0.95;
 
-/// How long the callers of one route usually wait: tells those who come back, whose time has partly
-/// gone by, from those who come for the first time.
+/// Typical timeout of a route's callers, used to detect retries by their shorter remaining time.
 #[derive(Clone, Debug, Default)]
 pub struct TypicalTimeout {
     recent: VecDeque<Micros>,
 }
 
 impl TypicalTimeout {
-    /// Notes how long a caller will wait. Returns whether it probably comes back after a refusal.
+    /// Records a caller's timeout and returns whether the request is probably a retry.
     pub fn note(&mut self, timeout: Micros) -> bool {
         let usual = self.upper_quartile();
         if self.recent.len() == TIMEOUT_SAMPLES {
@@ -130,7 +120,7 @@
         usual.is_some_and(|usual| (timeout.0 as f64) < usual.0 as f64 * RETRY_TIMEOUT_FRACTION)
     }
 
-    /// Most callers wait alike; a few wait much longer, and those that come back wait less.
+    /// The upper quartile is robust against retries with short timeouts and the few callers with long ones.
     fn upper_quartile(&self) -> Option<Micros> {
         let mut sorted: Vec<Micros> = self.recent.iter().copied().collect();
         sorted.sort_unstable();
--- a/crates/sablebay-dispatch/src/answer_lag.rs
+++ b/crates/sablebay-dispatch/src/answer_lag.rs
@@ -1,19 +1,19 @@
-//! How much later than planned this node's answers get ready: on a small or busy machine the moment
-//! to answer without the missing shards is seen late, and putting the answer together takes time.
+//! Tracks how late partial answers complete on this node, so that they are scheduled early enough to meet the
+//! target latency.
 
 use sablebay_model::Micros;
 
-/// Weight of a lag that is longer than what is expected: a late answer costs far more than a shard
-/// that is left out, so that lateness is believed sooner.
+/// Weight of observations above the estimate. A late answer costs more than a missing shard, so the estimate
+/// rises faster than it falls.
 const INCREASE_WEIGHT: f64 = 0.4;
-/// Weight of a lag that is shorter.
+/// Weight of observations below the estimate.
 const DECREASE_WEIGHT: f64 = 0.15;
-/// Time over which an expected lag falls to half when nothing is observed.
+/// Half-life of the estimate without observations.
 const HALF_LIFE: Micros = Micros::from_secs(6);
-/// The part of the target latency that is planned for at the most.
+/// Upper bound of the margin, as a fraction of the target latency.
 const MAX_MARGIN_FRACTION: f64 = 0.1;
 
-/// The lag of this node's answers that left shards out.
+/// Decaying estimate of the lag of partial answers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AnswerLag {
     expected_us: f64,
@@ -21,7 +21,7 @@
 }
 
 impl AnswerLag {
-    /// An answer that was planned for `planned_at` got ready at `ready_at`.
+    /// Records an answer scheduled for `planned_at` that completed at `ready_at`.
     pub fn record(&mut self, planned_at: Micros, ready_at: Micros) {
         let lag_us = ready_at.since(planned_at).0 as f64;
         let expected_us = self.expected_us(ready_at);
@@ -35,7 +35,7 @@
         self.expected_us * 0.5f64.powf(half_lives)
     }
 
-    /// How much earlier than otherwise an answer is planned for, so that it is ready in time.
+    /// Time by which an answer is scheduled ahead of `target` to compensate for the expected lag.
     pub fn margin(&self, target: Micros, now: Micros) -> Micros {
         let max_us = target.0 as f64 * MAX_MARGIN_FRACTION;
         Micros(self.expected_us(now).min(max_us) as u64)
--- a/crates/sablebay-dispatch/src/cold_rate.rs
+++ b/crates/sablebay-dispatch/src/cold_rate.rs
@@ -1,55 +1,53 @@
-//! How many requests a second one node sends to a cold replica.
+//! Limits the request rate of one node to a cold replica.
 //!
-//! A replica that has just started, or turned cold again, bears a few requests a second from all callers
-//! together, and falls over well above that. Invariant kept here: the shares of all nodes stay within what
-//! it bears, also while the nodes disagree on who is there. They do not talk about it: each knows its rank
-//! among the callers of a replica by a hash, and the first few get a request each.
+//! A replica that has just started handles only a few requests per second from all callers together. The
+//! shares of all nodes stay within that capacity even while their membership views differ. Nodes rank
+//! themselves per replica by rendezvous hashing, without coordination; the remainder of the capacity goes to
+//! the first ranks, one request each.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use sablebay_catalogue::ReplicaId;
 use sablebay_model::{Micros, NodeId};
 
-/// The part of what a cold replica bears that is given out. A node that misses a fifth of the others ranks
-/// itself higher than it is, so that the fleet takes a quarter more than was given out; the property test
-/// holds up to there at 8, 64 and 300 nodes.
+/// Fraction of the cold capacity that is allocated. A node with an incomplete membership view ranks itself
+/// too high; the rest covers views that miss a fifth of the nodes.
 const ALLOCATED_FRACTION: f64 = 0.6;
-/// The same of a node that has met less than half of the others: it draws its rank by lot, so that the
-/// number of those who draw a share varies; at a quarter, the lots of 300 nodes stay within the whole.
+/// Allocated fraction while a node knows less than half of the others. Its rank is then an estimate from its
+/// hash, so the number of nodes with a share varies.
 const ALLOCATED_FRACTION_BY_CHANCE: f64 = 0.25;
-/// The time over which what a cold replica bears is counted.
+/// Window to which the cold capacity applies.
 pub const COLD_WINDOW: Micros = Micros::from_secs(1);
 
-/// What a cold replica bears in any second, from what its service is configured with.
+/// Request capacity of a cold replica, from the configuration of its service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdCapacity {
-    /// Requests a second that its service names.
+    /// Configured requests per second.
     pub requests_per_s: f64,
-    /// How many times that it bears for a moment.
+    /// Factor by which short bursts may exceed `requests_per_s`.
     pub overage: f64,
-    /// Requests that it bears beyond that.
+    /// Requests allowed in addition to the burst.
     pub slack: f64,
 }
 
 impl ColdCapacity {
-    /// Requests in any second, from all callers together.
+    /// Maximum number of requests in any second from all callers together.
     pub fn bound(&self) -> f64 {
         self.requests_per_s * self.overage + self.slack
     }
 }
 
-/// Who may call a replica, as one node knows it.
+/// Nodes that may call a replica, in the view of one node.
 #[derive(Clone, Copy, Debug)]
 pub struct Callers<'a> {
-    /// This node.
     pub own: &'a NodeId,
-    /// The nodes that it knows of, with or without itself.
+    /// Known nodes; may include `own`.
     pub known: &'a [NodeId],
-    /// How many there are at the least; more than `known` where this node has not met all of them.
+    /// Minimum number of nodes; larger than `known` while the membership view is incomplete.
     pub at_least: usize,
 }
 
-/// Requests that a node may send to a cold replica in any second.
+/// Number of requests a node may send to a cold replica in any second.
 pub fn cold_share(replica: &ReplicaId, capacity: &ColdCapacity, callers: &Callers<'_>) -> u32 {
     let seed = xxh3_64(replica.as_str().as_bytes());
     let weight = |node: &NodeId| xxh3_64_with_seed(node.as_str().as_bytes(), seed);
@@ -57,7 +55,7 @@
     let others = || callers.known.iter().filter(|node| *node != callers.own);
     let rank = others().filter(|node| (weight(node), *node) < (own_weight, callers.own)).count();
     let known = others().count() + 1;
-    // Nodes that were not met rank like any others.
+    // Unknown nodes are assumed to be distributed evenly over the ranks.
     let unknown = callers.at_least.saturating_sub(known);
     let rank = rank + (own_weight as f64 / u64::MAX as f64 * unknown as f64) as usize;
     let part = if unknown > known { ALLOCATED_FRACTION_BY_CHANCE } else { ALLOCATED_FRACTION };
--- a/crates/sablebay-dispatch/src/connection_share.rs
+++ b/crates/sablebay-dispatch/src/connection_share.rs
@@ -1,74 +1,72 @@
-//! How many of a replica's connections one node may hold, and to which replicas it holds any.
+//! Divides the connections of each replica among the nodes, and selects the replicas to which a node
+//! connects.
 
 use sablebay_fleet::SETTLING_TIME;
 use sablebay_model::Micros;
 
-/// The part of a replica's connections that is given out. The rest is for nodes that start anew
-/// while their former connections are still open, for nodes that have not been heard of yet, and
-/// for nodes whose own replicas are all in trouble.
+/// Allocated fraction of a replica's connections. The rest is reserved for restarted nodes whose old
+/// connections are still open, undiscovered nodes, and nodes whose own replicas are all unhealthy.
 const ALLOCATED_FRACTION: f64 = 0.85;
 
-/// What a node knows of how many share what is bounded for the fleet.
+/// Fleet size estimate for dividing fleet-wide limits.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
-    /// Nodes that it has met in this life, itself among them.
+    /// Nodes discovered since the start of this process, including this node.
     pub discovered: usize,
-    /// The number that a peer told which has run for longer than [`SETTLING_TIME`].
+    /// Fleet size reported by a peer that has run for longer than [`SETTLING_TIME`].
     pub reported: Option<usize>,
-    /// How long it has run.
+    /// Time since the start of this process.
     pub running_for: Micros,
 }
 
 impl FleetSize {
-    /// The number of nodes to share with. A node that has just started and was told nothing assumes
-    /// `assumed`: it may be one of many that all start anew, while the connections of their former
-    /// lives are still open at the replicas.
+    /// Number of nodes among which limits are divided. Until the fleet size is settled, and for a lone node,
+    /// it is at least `assumed`: after a simultaneous restart, connections of the previous processes may
+    /// still be open at the replicas.
     pub fn sharing(&self, assumed: usize) -> usize {
         let known = self.discovered.max(self.reported.unwrap_or(0));
         if self.is_settled() && known > 1 { known } else { known.max(assumed) }
     }
 
-    /// Whether the node knows the fleet: its shares change little from now on.
+    /// Whether the fleet size is known well enough for the shares to be stable.
     pub fn is_settled(&self) -> bool {
         let all_met = self.reported.is_some_and(|reported| self.discovered >= reported);
         all_met || self.running_for >= SETTLING_TIME
     }
 }
 
-/// The connections of one node to one replica that takes `maximum` from all `nodes` together.
+/// Number of connections of one node to a replica that accepts `maximum` connections; at least 1.
 pub fn connection_share(maximum: u32, nodes: usize) -> usize {
     let share = f64::from(maximum) * ALLOCATED_FRACTION / nodes.max(1) as f64;
     (share as usize).max(1)
 }
 
-/// Whether each of `nodes` can have a connection to a replica that takes `maximum` from all together.
+/// Whether each of `nodes` can have a connection to a replica that accepts `maximum` connections.
 pub fn has_room_for_all(maximum: u32, nodes: usize) -> bool {
     f64::from(maximum) * ALLOCATED_FRACTION >= nodes as f64
 }
 
-/// A zone as far as it matters for sharing the replicas of one service out.
+/// Nodes and replicas of one zone, for one service.
 #[derive(Clone, Copy, Debug)]
 pub struct ZoneNodes {
-    /// Nodes in the zone.
     pub nodes: usize,
-    /// Whether the service has a replica in it.
+    /// Whether the service has a replica in the zone.
     pub has_replica: bool,
 }
 
-/// What a node knows when it decides which replicas of a service are its own.
+/// Inputs for selecting a node's own replicas of a service.
 #[derive(Clone, Debug)]
 pub struct ReplicaShareInputs<'a> {
-    /// Connections that a replica takes from all nodes together.
+    /// Maximum number of connections per replica from all nodes.
     pub maximum: u32,
-    /// All nodes.
+    /// Number of nodes in the fleet.
     pub nodes: usize,
-    /// This node's position among them.
+    /// Position of this node in the ordered list of nodes.
     pub position: usize,
     /// For each replica, whether it is in this node's zone.
     pub local: &'a [bool],
-    /// The nodes of this node's zone.
+    /// Number of nodes in this node's zone.
     pub own_zone_nodes: usize,
-    /// The other zones.
     pub other_zones: &'a [ZoneNodes],
 }
 
@@ -77,14 +75,13 @@
         f64::from(self.maximum) * ALLOCATED_FRACTION
     }
 
-    /// How many replicas each node has room for.
+    /// Number of replicas to which each node can connect within the limit.
     fn own_count(&self) -> usize {
         let replicas = self.local.len();
         ((replicas as f64 * self.room() / self.nodes.max(1) as f64) as usize).clamp(1, replicas.max(1))
     }
 
-    /// Whether the replica of this node's zone has room for all nodes of the zone, beside the nodes
-    /// of other zones that come to it.
+    /// Whether the local replica can accept all nodes of this zone in addition to nodes from other zones.
     fn has_room_for_zone(&self, own: usize) -> bool {
         let replicas = self.local.len() as f64;
         let own = own as f64;
@@ -97,12 +94,12 @@
     }
 }
 
-/// Which of a service's replicas a node keeps connections to.
+/// Selects the replicas of a service to which a node keeps connections.
 ///
-/// Every replica as long as each node can have a connection to it. Beyond that, each node keeps to
-/// as many replicas as there is room for: the one in its own zone if all nodes of the zone fit there,
-/// and others one after the other from its position on, so that each replica gets its part of the
-/// nodes, and a replica that comes or goes moves few connections.
+/// This is every replica while each node can have a connection to it. Otherwise each node takes as many
+/// replicas as the limit allows: the replica in its own zone if all nodes of the zone fit there, then others
+/// in rotation from the node's position. The rotation spreads nodes evenly and moves few connections when a
+/// replica is added or removed.
 pub fn own_replicas(inputs: &ReplicaShareInputs<'_>) -> Vec<bool> {
     let replicas = inputs.local.len();
     if has_room_for_all(inputs.maximum, inputs.nodes) || replicas == 0 {
--- a/crates/sablebay-dispatch/src/quarantine.rs
+++ b/crates/sablebay-dispatch/src/quarantine.rs
@@ -1,12 +1,12 @@
-//! Requests that end the back ends which run them: kept from the rest before they have ended them all.
+//! Quarantine of requests that crash the back ends that run them.
 //!
-//! Invariants kept here:
-//! - a request is held back only after several back ends in a row ended under it, each begun after the one before had
-//!   ended ([`crash_history`]), without a good run in between;
-//! - a request that one back end ended under is sent to one back end at a time until a run of it ends well: by all
-//!   nodes together, which ask the one of them that keeps account of it first;
-//! - a request whose quarantine is over is tried in the same way, with one call;
-//! - what is kept is bounded, whatever callers send.
+//! Invariants:
+//! - A request is quarantined only after several sequential crashes ([`crash_history`]) without a successful
+//!   run in between.
+//! - After its first crash, a request runs on one back end at a time across all nodes until a run succeeds.
+//!   The lease for that run is granted by one of the request's keeper nodes.
+//! - After the quarantine, the request is retried with a single run under the same lease.
+//! - Memory is bounded regardless of what callers send.
 
 mod crash_history;
 mod notice;
@@ -22,113 +22,108 @@
 pub use crash_history::{CrashHistory, CrashedRun, KEPT_CRASHES, ObserverId};
 pub use notice::{CrashNotice, QuarantineNotice};
 
-/// Back ends that end one after the other under a request before it is held back. Two in a row happen to requests
-/// that merely stood where others struck twice; with three no innocent request was held back in the property tests.
+/// Sequential crashes before a request is quarantined. Two can hit an innocent request that ran beside the
+/// cause.
 pub const QUARANTINE_STRIKES: u32 = 3;
-/// How long a request is held back after the last strike that it needs for that. One attempt costs a back end
-/// that is gone for seconds, so that a minute keeps the loss below a tenth of one back end.
+/// Duration of the first quarantine, counted from the last crash. Limits the loss from retries: each attempt
+/// takes one back end down for some seconds.
 pub const FIRST_HOLD: Micros = Micros::from_secs(60);
-/// Each further strike makes the next quarantine longer by this factor.
+/// Factor by which each further strike extends the quarantine.
 const HOLD_GROWTH: u64 = 4;
-/// The longest quarantine: a release of the service that bears the request is tried within this time.
+/// Maximum duration of a quarantine, so that a fixed release of the service is tried within this time.
 pub const LONGEST_HOLD: Micros = Micros::from_secs(3_600);
-/// How long what speaks against a request is remembered beyond that.
+/// Retention of an entry after its last event and the end of its quarantine.
 const RETENTION: Micros = Micros::from_secs(600);
-/// How long it is remembered that nothing speaks against a request any more: word of what was taken back may
-/// still be on its way.
+/// Retention of an entry without strikes, to ignore late notices of crashes that are already cleared.
 const CLEARED_RETENTION: Micros = Micros::from_secs(30);
-/// How long one run keeps the others of a suspect request waiting, in multiples of what a call of its route
-/// usually takes: a back end that ends under it does so sooner, also while it is slow from its start, and one
-/// that is silent says nothing.
+/// Maximum lease duration in multiples of the route's usual call latency. A run that crashes its back end
+/// does so sooner, also on a cold replica.
 const LEASE_CALL_DURATIONS: u64 = 8;
-/// Bounds of that.
+/// Minimum and maximum lease duration.
 const LEASE_BOUNDS: [Micros; 2] = [Micros::from_millis(300), Micros::from_millis(2_000)];
-/// Requests that are remembered, of some 600 bytes each. Those with the fewest strikes are forgotten first, so
-/// that a flood of requests which end one back end each does not set a known one free.
+/// Maximum number of tracked requests, of about 600 bytes each. Those with the fewest strikes are evicted
+/// first, so that a flood of requests with one crash each does not evict a quarantined one.
 pub const MAXIMUM_REQUESTS: usize = 1_024;
-/// First strikes that are told to every node within a second; keepers alone are told of more. One request that
-/// ends its back ends is known everywhere at once; many that stood at back ends which ended together do not
-/// flood the fleet.
+/// First strikes that are broadcast to all nodes per second; further ones are sent to the keepers only, so
+/// that simultaneous crashes of many back ends do not flood the fleet.
 const FIRST_STRIKE_BROADCASTS_PER_S: u32 = 16;
-/// Requests that one message between nodes tells of.
+/// Maximum number of requests reported in one message between nodes.
 pub const NOTICES_PER_MESSAGE: usize = 256;
 
-/// How long one run of a suspect request keeps the others waiting, of a route whose calls usually take `usual`.
+/// Maximum lease duration of one run, for a route whose calls usually take `usual`.
 pub fn lease_duration(usual: Micros) -> Micros {
     let [least, most] = LEASE_BOUNDS;
     Micros(usual.0.saturating_mul(LEASE_CALL_DURATIONS)).clamp(least, most)
 }
 
-/// Names a run among those of all nodes.
+/// Identifies a run across all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RunId {
-    /// The node that would begin it.
+    /// Node that starts the run.
     pub node: ObserverId,
-    /// The call among all of that node.
+    /// Call number, unique on that node.
     pub call: u64,
 }
 
-/// A run that wants the lease of its suspect request, which one run at a time has over all nodes.
+/// Request of a run for the fleet-wide exclusive lease of its suspect request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct LeaseRequest {
-    /// The run.
     pub run: RunId,
-    /// How long it keeps others waiting at the most; see [`lease_duration`].
+    /// Time after which the lease expires; see [`lease_duration`].
     pub duration: Micros,
 }
 
-/// What may be done with a request now.
+/// Quarantine state of a request.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum QuarantineStatus {
-    /// Nothing speaks against it.
+    /// No crashes count against the request.
     #[display("clear")]
     Clear,
-    /// Back ends ended under it: it goes to one at a time.
+    /// Back ends crashed while running the request: it runs on one back end at a time.
     #[display("suspect")]
     Suspect,
-    /// Nothing of it is sent until then.
+    /// The request is not sent to any back end.
     #[display("held back")]
     Quarantined {
-        /// When its quarantine is over.
+        /// End of the quarantine.
         until: Micros,
     },
-    /// Its quarantine is over: it goes to one back end, and is held back for longer when that ends too.
+    /// The quarantine is over: the request runs on one back end, and another crash extends the quarantine.
     #[display("on trial")]
     Probation,
 }
 
-/// Whether a run of a request may begin.
+/// Whether a run of a request may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunPermit {
-    /// It may.
+    /// No restriction.
     Free,
-    /// It may once it has the request's lease; see [`Quarantine::grant`].
+    /// The run needs the lease of its request; see [`Quarantine::grant`].
     NeedsLease,
-    /// Not before this time has passed.
+    /// The request is quarantined.
     Refused {
-        /// The time until it may be tried again.
+        /// Time until the next attempt is allowed.
         retry_after: Micros,
     },
 }
 
-/// Who is told of what became known here.
+/// Recipients of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Audience {
-    /// The few nodes that keep account of the request.
+    /// The keepers of the request: the few nodes responsible for its lease and history.
     Keepers,
-    /// Every node.
     AllNodes,
 }
 
-/// The run that has the lease of a request.
+/// The current lease of a request.
 #[derive(Clone, Copy, Debug)]
 struct HeldLease {
     run: RunId,
-    /// When another may have it although this one is not over.
+    /// Expiry of the lease.
     until: Micros,
 }
 
-/// First strikes that every node was told of within a second.
+/// First strikes broadcast to all nodes within the current second.
 #[derive(Clone, Copy, Debug, Default)]
 struct BroadcastCount {
     second: u64,
@@ -139,31 +134,27 @@
 struct Entry {
     route: String,
     history: CrashHistory,
-    /// The run that has the lease. Kept by the node that is asked for it.
+    /// The current lease, if this node granted it.
     lease: Option<HeldLease>,
-    /// The strikes that every node was told of.
+    /// Number of strikes last broadcast to all nodes.
     broadcast_strikes: u32,
-    /// Whether something was learnt that the keepers were not told.
+    /// Whether the history changed since the last update to the keepers.
     has_unsent_update: bool,
 }
 
-/// What a node knows of requests that back ends ended under.
+/// Crash histories of requests, as known to one node.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     requests: HashMap<RequestDigest, Entry>,
     broadcasts: BroadcastCount,
 }
 
-/// A request that something speaks against, for operators.
+/// A request with strikes, for operators.
 #[derive(Clone, Debug)]
 pub struct Suspect<'a> {
-    /// The request.
     pub digest: RequestDigest,
-    /// Its route.
     pub route: &'a str,
-    /// What is known of it.
     pub history: &'a CrashHistory,
-    /// What may be done with it.
     pub status: QuarantineStatus,
 }
 
@@ -183,14 +174,14 @@
         }
     }
 
-    /// Whether a run at a service may go beside others: one has ended well since the last strike, and, from the
-    /// second strike on, nothing speaks against the request at that service.
+    /// Whether a run at `service` may start without a lease: a run succeeded since the last crash and, from
+    /// the second strike on, no crash at `service` counts against the request.
     fn allows_concurrent_run(&self, service: &ServiceName) -> bool {
         let strikes = self.history.strikes();
         self.history.succeeded_since_last_crash() && (strikes <= 1 || !self.history.has_crash_at(service))
     }
 
-    /// Whether nothing of it matters any more.
+    /// Whether the entry can be removed.
     fn is_expired(&self, now: Micros) -> bool {
         let strikes = self.history.strikes();
         let held = if strikes >= QUARANTINE_STRIKES { hold(strikes) } else { Micros(0) };
@@ -199,24 +190,23 @@
     }
 }
 
-/// How long a request with so many strikes is held back.
+/// Duration of the quarantine for a number of strikes.
 fn hold(strikes: u32) -> Micros {
     let growth = HOLD_GROWTH.saturating_pow(strikes.saturating_sub(QUARANTINE_STRIKES));
     Micros(FIRST_HOLD.0.saturating_mul(growth)).min(LONGEST_HOLD)
 }
 
 impl Quarantine {
-    /// What may be done with a request.
     pub fn status(&self, digest: &RequestDigest, now: Micros) -> QuarantineStatus {
         self.requests.get(digest).map_or(QuarantineStatus::Clear, |entry| entry.status(now))
     }
 
-    /// Whether anything is known of any request.
+    /// Whether no request is tracked.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Whether a run at a service may begin now.
+    /// Whether a run at `service` may start now.
     pub fn permit(&self, digest: &RequestDigest, service: &ServiceName, now: Micros) -> RunPermit {
         let Some(entry) = self.requests.get(digest) else {
             return RunPermit::Free;
@@ -233,11 +223,11 @@
         }
     }
 
-    /// Gives a run the lease of its request; false while another has it. All nodes ask one of them, so
-    /// that attempts which come in at several at once cost one back end.
+    /// Grants the lease of a request to a run; returns false while another run holds it. All nodes ask the
+    /// same keeper, so that concurrent attempts on several nodes cost one back end.
     pub fn grant(&mut self, digest: &RequestDigest, wanted: LeaseRequest, now: Micros) -> bool {
         let Some(entry) = self.requests.get_mut(digest) else {
-            // Nothing speaks against it here; what the asker knows was told before.
+            // No crash is known here: the notice that came with the lease request was merged before.
             return true;
         };
         let taken = entry.lease.is_some_and(|lease| lease.run != wanted.run && now < lease.until);
@@ -247,7 +237,7 @@
         !taken
     }
 
-    /// A run is over: another may begin. Returns whether it had the lease.
+    /// Releases the lease of a finished run. Returns whether the run held it.
     pub fn release_lease(&mut self, digest: &RequestDigest, run: RunId) -> bool {
         let Some(entry) = self.requests.get_mut(digest) else {
             return false;
@@ -259,7 +249,7 @@
         held_lease
     }
 
-    /// A back end ended under a run. Returns what the request's status was before.
+    /// Records a crash of a back end during a run. Returns the status of the request before the crash.
     pub fn record_crash(
         &mut self,
         digest: RequestDigest,
@@ -279,7 +269,7 @@
         before
     }
 
-    /// A run ended well. Returns whether that takes something back.
+    /// Records a successful run. Returns whether the history changed.
     pub fn record_success(
         &mut self,
         digest: &RequestDigest,
@@ -294,20 +284,21 @@
         updates
     }
 
-    /// An operator releases a request. Returns whether it is known here.
+    /// Releases a request from quarantine on behalf of an operator. Returns whether the request is tracked
+    /// here.
     pub fn release(&mut self, digest: &RequestDigest, now: Micros) -> bool {
         let Some(entry) = self.requests.get_mut(digest) else {
             return false;
         };
         entry.history.record_release(now);
         entry.has_unsent_update = true;
-        // Also nodes that heard of it on other ways.
+        // Broadcast the release, since any node may have learned of the crashes from its peers.
         entry.broadcast_strikes = entry.broadcast_strikes.max(1);
         true
     }
 
-    /// Another node told of a request; `to_everyone` says that it told every node. Returns whether anything
-    /// was news.
+    /// Merges a notice from another node; `is_broadcast` means that it was sent to all nodes. Returns whether
+    /// the history changed.
     pub fn merge_notice(&mut self, notice: &QuarantineNotice, is_broadcast: bool, now: Micros) -> bool {
         if !self.requests.contains_key(&notice.digest) {
             if notice.crashes.is_empty() {
@@ -326,8 +317,8 @@
         updates
     }
 
-    /// What became known here and is still to be told, and to whom. Each is given out once: nodes that do not get it
-    /// hear of it when they compare what they know with another.
+    /// Returns pending updates with their recipients. Each update is returned once; nodes that miss it catch
+    /// up by anti-entropy.
     pub fn take_updates(&mut self, now: Micros) -> Vec<(QuarantineNotice, Audience)> {
         let mut updates = Vec::new();
         let second = now.0 / 1_000_000;
@@ -336,7 +327,7 @@
         }
         for (digest, entry) in &mut self.requests {
             let strikes = entry.history.strikes();
-            // What everyone was told is taken back before everyone.
+            // Strikes that were broadcast are also withdrawn by broadcast.
             let mut to_all = (strikes >= 2 && strikes > entry.broadcast_strikes)
                 || (strikes < entry.broadcast_strikes && entry.has_unsent_update);
             let is_first = strikes == 1 && entry.broadcast_strikes == 0 && entry.has_unsent_update;
@@ -357,13 +348,13 @@
         updates
     }
 
-    /// What is known of one request, as it is told to a node that is handed a part of it.
+    /// Notice about one request, for a node to which a part of the request is delegated.
     pub fn notice(&self, digest: &RequestDigest, now: Micros) -> Option<QuarantineNotice> {
         let entry = self.requests.get(digest)?;
         Some(QuarantineNotice::of(*digest, &entry.route, &entry.history, now))
     }
 
-    /// What is known, for another node to compare with; of many, those with the most strikes.
+    /// Notices for anti-entropy with another node, limited to the requests with the most strikes.
     pub fn notices(&self, now: Micros) -> Vec<QuarantineNotice> {
         let mut known: Vec<(&RequestDigest, &Entry)> = self.requests.iter().collect();
         known.sort_by_key(|(digest, entry)| (std::cmp::Reverse(entry.history.strikes()), **digest));
@@ -373,7 +364,7 @@
         known.iter().take(NOTICES_PER_MESSAGE).map(notice).collect()
     }
 
-    /// The requests that something speaks against, for operators.
+    /// Requests with strikes, for operators.
     pub fn suspects<'a>(&'a self, now: Micros) -> Vec<Suspect<'a>> {
         let suspect = |(digest, entry): (&RequestDigest, &'a Entry)| Suspect {
             digest: *digest,
@@ -387,23 +378,23 @@
         suspects
     }
 
-    /// Back ends that ended under requests, of those that are kept, and when.
+    /// Replicas with a recorded crash, and when the crash became known.
     pub fn ended_replicas(&self) -> Vec<(ReplicaId, Micros)> {
         let crashes = self.requests.values().flat_map(|entry| entry.history.crashes());
         crashes.map(|run| (run.replica.clone(), run.known_at)).collect()
     }
 
-    /// Requests that are remembered.
+    /// Number of tracked requests.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Forgets what is outdated.
+    /// Removes expired entries.
     pub fn expire(&mut self, now: Micros) {
         self.requests.retain(|_, entry| !entry.is_expired(now));
     }
 
-    /// Makes room for one more request.
+    /// Evicts the entry with the fewest strikes if the table is full.
     fn evict_if_full(&mut self, now: Micros) {
         if self.requests.len() < MAXIMUM_REQUESTS {
             return;
--- a/crates/sablebay-dispatch/src/quarantine/crash_history.rs
+++ b/crates/sablebay-dispatch/src/quarantine/crash_history.rs
@@ -1,11 +1,10 @@
-//! What is known of one request that back ends may end under.
+//! Crash history of one request.
 //!
-//! A back end that ends cuts every call that stands there, and at best one of them is the cause. What tells the
-//! cause from those that stood beside it are ends one after the other: a run that was begun after the end
-//! before it was known, and that ended its back end too. Runs that were under way at one moment count once,
-//! however many they are: a zone that loses its power, or a service whose processes are killed together, is one
-//! strike against each request that stood there. A run that began later and ended well breaks the row, and
-//! takes back what speaks against the request at its service.
+//! When a back end crashes, all calls on it fail, and at most one of them is the cause. Only sequential
+//! crashes tell the cause from other requests: a run counts as a further strike only if it started after the
+//! previous crash was known. Concurrent runs count once, however many there are, so that a power loss of a
+//! zone is one strike for each request that ran there. A later successful run ends the sequence and clears
+//! the crashes at its service.
 
 use musli::{Decode, Encode};
 use smallvec::SmallVec;
@@ -13,42 +12,42 @@
 use sablebay_catalogue::{ReplicaId, ServiceName};
 use sablebay_model::Micros;
 
-/// Names a life of the node that saw a back end end: its clock is no other's.
+/// Identifies an incarnation of the node that observed a crash; times of different observers are not
+/// comparable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 #[musli(transparent)]
 pub struct ObserverId(pub u64);
 
-/// A run of a request that a back end did not outlive.
+/// A run during which the back end crashed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CrashedRun {
-    /// The back end. It had one life: what listens at its address afterwards has another id.
+    /// Replica id, which is unique to one process of the back end.
     pub replica: ReplicaId,
-    /// Its service.
     pub service: ServiceName,
-    /// Who saw it.
+    /// Node that observed the crash.
     pub observer: ObserverId,
-    /// When the request was sent there, by the observer's clock.
+    /// Start of the run, by the observer's clock.
     pub started_at: Micros,
-    /// When the connection broke, by the observer's clock.
+    /// Loss of the connection, by the observer's clock.
     pub ended_at: Micros,
-    /// When the connection broke, by this node's clock: later than it was, by how long word took.
+    /// Loss of the connection by the local clock, including the propagation delay of the notice.
     pub known_at: Micros,
-    /// Whether this node heard of it from another.
+    /// Whether the crash was reported by another node.
     pub is_remote: bool,
 }
 
-/// How much later than the end that another node saw a run must have been begun to count as begun after it: word
-/// takes time, and runs that were under way together must not look as if one had followed the other.
+/// Minimum time between a crash seen by one observer and the start of a run seen by another for the run to
+/// count as sequential. Covers the propagation delay of notices.
 const PROPAGATION_SLACK: Micros = Micros::from_millis(250);
 
 impl CrashedRun {
-    /// A time, by this node's clock, at which it had ended already, or was about to: what is begun later and
-    /// ends well speaks for the request.
+    /// Local time by which the run had crashed, less the propagation slack for remote runs. A later
+    /// successful run counts in favour of the request.
     fn ended_by(&self) -> Micros {
         if self.is_remote { self.known_at.since(PROPAGATION_SLACK) } else { self.known_at }
     }
 
-    /// Whether it was begun after another had ended.
+    /// Whether this run started after the crash of `before`.
     fn follows(&self, before: &CrashedRun) -> bool {
         if self.observer == before.observer {
             return self.started_at >= before.ended_at;
@@ -58,39 +57,37 @@
     }
 }
 
-/// Crashed runs that are kept of one request: enough for the longest quarantine, and for an operator to see a
-/// pattern.
+/// Maximum number of crashes kept per request; enough for the longest quarantine and for diagnosis.
 pub const KEPT_CRASHES: usize = 8;
-/// Back ends that must have ended beside those in a row to count once more. They may have ended together for
-/// another reason, however many they are; attempts that come in at several nodes at once leave no other sign.
+/// Number of crashes outside the sequence that count as one further strike in total. They may share another
+/// cause, but concurrent attempts on several nodes leave no other trace.
 const CONCURRENT_CRASHES: u32 = 2;
-/// Strikes of one service that do not count while runs at other services end well. Where back ends are killed
-/// five times a second, three in a row at one service were met by an innocent request in the property tests;
-/// five were not.
+/// Sequential crashes at one service that do not count while runs at other services succeed. Prevents strikes
+/// against innocent requests while the back ends of a service crash frequently.
 const SINGLE_SERVICE_DISCOUNT: u32 = 2;
-/// Services of which it is kept what took back what spoke against a request.
+/// Maximum number of services in `successes`.
 const MAX_SERVICES: usize = 16;
 
-/// What is known of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CrashHistory {
-    /// The crashed runs that nothing took back, by when they ended.
+    /// Crashes that still count, ordered by `known_at`.
     crashes: SmallVec<[CrashedRun; 4]>,
-    /// When the run was begun that took back what spoke against it, by service: what is told late of the time before
-    /// does not count.
+    /// Start of the latest successful run by service; crashes before it no longer count, even if they are
+    /// reported later.
     successes: SmallVec<[(ServiceName, Micros); 4]>,
-    /// When the latest run was begun that ended well after a back end had ended.
+    /// Start of the latest run that succeeded after a crash; zero if none did.
     last_success_at: Micros,
-    /// When an operator last released it.
+    /// Time of the last release by an operator; zero if there was none.
     released_at: Micros,
-    /// Back ends that ended under it, as far as this node knows.
+    /// Total number of known crashes.
     crash_count: u32,
 }
 
 impl CrashHistory {
-    /// A back end did not outlive a run. Returns whether this is news.
+    /// Records a crash. Returns whether the history changed.
     pub fn record_crash(&mut self, mut run: CrashedRun) -> bool {
-        // What one node saw keeps its distances, however long word of each took.
+        // Times by one observer's clock keep their distances, regardless of the propagation delay of each
+        // notice.
         if let Some(known) = self.crashes.iter().find(|known| known.observer == run.observer) {
             run.known_at = known.known_at.plus(run.ended_at).since(known.ended_at);
         }
@@ -106,9 +103,10 @@
         true
     }
 
-    /// A run that was begun at `started_at` ended well. Returns whether this is news.
+    /// Records a successful run that started at `started_at`. Returns whether the history changed.
     ///
-    /// Word that goes round is a little later each time it comes back: it counts only where it changes something.
+    /// A notice gains delay with every hop, so a success counts as a change only if it clears a crash at its
+    /// service or is the first since a crash.
     pub fn record_success(&mut self, service: &ServiceName, started_at: Micros) -> bool {
         let is_first_overall = self.record_success_anywhere(started_at);
         let of_service = |known: &CrashedRun| known.service == *service && known.ended_by() <= started_at;
@@ -128,8 +126,7 @@
         true
     }
 
-    /// A run that was begun at `started_at` ended well at some service. Returns whether it is the first since a back
-    /// end ended.
+    /// Records a successful run at any service. Returns whether it is the first since a crash.
     pub fn record_success_anywhere(&mut self, started_at: Micros) -> bool {
         let precedes =
             |run: &CrashedRun| self.last_success_at < run.ended_by() && run.ended_by() <= started_at;
@@ -140,7 +137,7 @@
         first
     }
 
-    /// An operator released it. Returns whether this is news.
+    /// Records a release by an operator. Returns whether the history changed.
     pub fn record_release(&mut self, at: Micros) -> bool {
         let invalidates = self.crashes.iter().any(|known| known.ended_by() <= at);
         if !invalidates && self.released_at > Micros(0) {
@@ -157,16 +154,17 @@
         self.released_at >= run.ended_by() || self.successes.iter().any(succeeded)
     }
 
-    /// Drops a crashed run that adds no strike, or the oldest.
+    /// Evicts the newest crash that does not contribute to the strikes, or the oldest crash.
     fn evict_one(&mut self) {
         let strikes = self.strikes();
         let redundant = (0..self.crashes.len()).rev().find(|index| self.strikes_excluding(*index) == strikes);
         self.crashes.remove(redundant.unwrap_or(0));
     }
 
-    /// Back ends that ended under it one after the other, without a good run in between: at any services, or
-    /// all at the same. A request may be fatal to the back ends of one service alone, and run well at the
-    /// others; that takes two more. Where several more ended beside these, that counts as one.
+    /// Number of strikes: the longest sequence of crashes without a successful run in between, across all
+    /// services or at a single service. Sequences at a single service are reduced by
+    /// `SINGLE_SERVICE_DISCOUNT`, and `CONCURRENT_CRASHES` other crashes across all services count as one
+    /// strike.
     pub fn strikes(&self) -> u32 {
         self.strikes_excluding(usize::MAX)
     }
@@ -187,62 +185,62 @@
         counted().map(at_service).max().unwrap_or_default().max(anywhere)
     }
 
-    /// When the last of its back ends ended.
+    /// Time of the last crash; zero if there was none.
     pub fn last_crash_at(&self) -> Micros {
         self.crashes.last().map_or(Micros(0), |run| run.known_at)
     }
 
-    /// Whether a run of it ended well that was begun after the last of its back ends had ended.
+    /// Whether a run that started after the last crash succeeded.
     pub fn succeeded_since_last_crash(&self) -> bool {
         self.crashes.iter().all(|run| run.ended_by() <= self.last_success_at)
     }
 
-    /// Whether a back end of a service ended under it.
+    /// Whether a crash at `service` still counts.
     pub fn has_crash_at(&self, service: &ServiceName) -> bool {
         self.crashes.iter().any(|run| run.service == *service)
     }
 
-    /// The crashed runs that nothing took back, by when they ended.
+    /// Crashes that still count, ordered by `known_at`.
     pub fn crashes(&self) -> &[CrashedRun] {
         &self.crashes
     }
 
-    /// When the run was begun that took back what spoke against it, by service.
+    /// Start of the latest successful run that cleared crashes, by service.
     pub fn successes(&self) -> &[(ServiceName, Micros)] {
         &self.successes
     }
 
-    /// When the latest run was begun that ended well after a back end had ended; zero when none did.
+    /// Start of the latest run that succeeded after a crash; zero if none did.
     pub fn last_success_at(&self) -> Micros {
         self.last_success_at
     }
 
-    /// When an operator last released it; zero when none did.
+    /// Time of the last release by an operator; zero if there was none.
     pub fn released_at(&self) -> Micros {
         self.released_at
     }
 
-    /// Back ends that ended under it, as far as this node knows.
+    /// Total number of crashes known to this node.
     pub fn crash_count(&self) -> u32 {
         self.crash_count
     }
 
-    /// Takes over how many back ends another node knows of.
+    /// Merges the crash count of another node.
     pub fn merge_crash_count(&mut self, crash_count: u32) {
         self.crash_count = self.crash_count.max(crash_count);
     }
 
-    /// When something last happened to it.
+    /// Time of the last crash, success or release.
     pub fn last_event(&self) -> Micros {
         let succeeded = self.successes.iter().map(|(_, at)| *at).max().unwrap_or_default();
         self.last_crash_at().max(succeeded).max(self.last_success_at).max(self.released_at)
     }
 }
 
-/// The greatest number of runs of which each was begun after the one before had ended. The runs come by when
-/// they ended.
+/// Length of the longest sequence in which each run started after the crash of the previous one. `runs` are
+/// ordered by `known_at`.
 fn longest_sequence<'a>(runs: impl Iterator<Item = &'a CrashedRun>) -> u32 {
-    // Each run with the length of the longest row that ends with it.
+    // Each run with the length of the longest sequence that ends with it.
     let mut sequences: SmallVec<[(&CrashedRun, u32); KEPT_CRASHES]> = SmallVec::new();
     for run in runs {
         let before = sequences.iter().filter(|(before, _)| run.follows(before)).map(|(_, length)| *length);
--- a/crates/sablebay-dispatch/src/quarantine/notice.rs
+++ b/crates/sablebay-dispatch/src/quarantine/notice.rs
@@ -1,5 +1,5 @@
-//! What nodes tell each other of requests that back ends ended under. Times are ages, or by the clock of the
-//! node that saw something: the clocks of nodes differ.
+//! Quarantine notices exchanged between nodes. Times are ages or refer to the observer's clock, since the
+//! clocks of nodes differ.
 
 use musli::{Decode, Encode};
 
@@ -8,44 +8,41 @@
 
 use super::crash_history::{CrashHistory, CrashedRun, ObserverId};
 
-/// A run that a back end did not outlive, as told.
+/// A run during which the back end crashed, as sent between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct CrashNotice {
-    /// The back end.
     pub replica: ReplicaId,
-    /// Its service.
     pub service: ServiceName,
-    /// Who saw it.
+    /// Node that observed the crash.
     pub observer: ObserverId,
-    /// When the request was sent there, by the observer's clock.
+    /// Start of the run, by the observer's clock.
     pub started_at: Micros,
-    /// When the connection broke, by the observer's clock.
+    /// Loss of the connection, by the observer's clock.
     pub ended_at: Micros,
-    /// How long ago the connection broke, in microseconds.
+    /// Time since the loss of the connection, in microseconds.
     pub ended_us_ago: u64,
 }
 
-/// What one node knows of one request.
+/// Crash history of one request, as sent between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct QuarantineNotice {
-    /// The request.
     pub digest: RequestDigest,
-    /// The name of its route, for whoever reads the logs.
+    /// Name of the route, for logs.
     pub route: String,
-    /// The crashed runs that nothing took back.
+    /// Crashes that still count.
     pub crashes: Vec<CrashNotice>,
-    /// How long ago the run was begun that took back what spoke against it, by service, in microseconds.
+    /// Time since the start of the latest successful run that cleared crashes, by service, in microseconds.
     pub successes: Vec<(ServiceName, u64)>,
-    /// How long ago a run was begun that ended well after its back ends had ended, in microseconds.
+    /// Time since the start of the latest run that succeeded after a crash, in microseconds.
     pub last_success_us_ago: Option<u64>,
-    /// How long ago an operator released it, in microseconds.
+    /// Time since the last release by an operator, in microseconds.
     pub released_us_ago: Option<u64>,
-    /// Back ends that ended under it.
+    /// Total number of known crashes.
     pub crash_count: u32,
 }
 
 impl QuarantineNotice {
-    /// What is known of a request, as it is told now.
+    /// Builds a notice with ages relative to `now`.
     pub fn of(digest: RequestDigest, route: &str, history: &CrashHistory, now: Micros) -> Self {
         let crash = |run: &CrashedRun| CrashNotice {
             replica: run.replica.clone(),
@@ -68,7 +65,7 @@
         }
     }
 
-    /// Adds what is told to what is known. Returns whether anything of it was news.
+    /// Merges the notice into a crash history. Returns whether the history changed.
     pub fn merge_into(&self, history: &mut CrashHistory, now: Micros) -> bool {
         let at = |us_ago: u64| now.since(Micros(us_ago));
         let mut changed = false;
--- a/crates/sablebay-dispatch/src/replica_health.rs
+++ b/crates/sablebay-dispatch/src/replica_health.rs
@@ -1,4 +1,4 @@
-//! What a node knows of one replica from its own calls.
+//! Health of one replica, as observed by this node's calls.
 
 use smallvec::SmallVec;
 
@@ -7,18 +7,18 @@
 use crate::cold_rate::COLD_WINDOW;
 use crate::replica_table::CallKey;
 
-/// What a replica says of its load with an answer.
+/// Load of a replica, as reported with its answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadHint {
-    /// Requests that it works on.
+    /// Requests in execution.
     pub running: u32,
-    /// Requests that wait there.
+    /// Queued requests.
     pub waiting: u32,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
 }
 
-/// A call that the replica has not answered yet.
+/// A call without an answer so far.
 #[derive(Clone, Copy, Debug)]
 struct OpenCall {
     key: CallKey,
@@ -26,78 +26,74 @@
     usual: Micros,
 }
 
-/// Weight of a new observation that is slower than what is known: slowness is believed sooner.
+/// Weight of latency ratios above the estimate, which rises faster than it falls.
 const SLOWER_WEIGHT: f64 = 0.35;
-/// The slowness that one observation says at the most: a pause looks like great slowness, and is
-/// over when it is seen.
+/// Upper bound of one observed latency ratio, so that a single short pause of the replica does not dominate
+/// the estimate.
 const MAX_OBSERVED_RATIO: f64 = 5.0;
-/// Weight of a new observation that is faster.
+/// Weight of latency ratios below the estimate.
 const FASTER_WEIGHT: f64 = 0.3;
-/// Time over which remembered slowness falls to half after one slow answer: a pause is over when it is seen.
+/// Half-life of the slowness estimate after a single slow call, which is usually a short pause.
 const SINGLE_HALF_LIFE: Micros = Micros::from_millis(1_500);
-/// The same after [`SUSTAINED_SLOW_CALLS`] calls that were slow or never answered. An owner calls a replica about
-/// twice a second; with 1.5 s it had forgotten a slow or dark one, for which trouble lasts some seconds, after
-/// three or four calls elsewhere. The worst seconds of a day with 40 in 100 of the replicas slow or dark kept
-/// 0.50 of what they are worth, after 0.44; where replicas only pause nothing was lost.
+/// Half-life of the slowness estimate after [`SUSTAINED_SLOW_CALLS`] slow or unanswered calls. Longer than
+/// the usual interval between an owner's calls, so that a persistently slow replica is not retried too early.
 const SUSTAINED_HALF_LIFE: Micros = Micros::from_millis(5_000);
-/// Slow calls in a row after which it is no pause.
+/// Consecutive slow calls that count as sustained slowness.
 const SUSTAINED_SLOW_CALLS: u32 = 2;
-/// How long a load hint is believed.
+/// Time for which a load hint is valid.
 pub(crate) const HINT_LIFETIME: Micros = Micros::from_millis(400);
-/// How long a replica that rejected a call for its load is left alone.
+/// Backoff after a call that was rejected for load.
 const REJECTION_BACKOFF: Micros = Micros::from_millis(60);
-/// Failures in a row after which a replica is left alone.
+/// Consecutive failures before the replica is backed off.
 const FAILURES_BEFORE_BACKOFF: u32 = 2;
-/// The first pause; doubles with each further failure.
+/// Initial backoff; doubles with each further failure.
 const INITIAL_BACKOFF: Micros = Micros::from_millis(150);
-/// The longest pause.
 const MAX_BACKOFF: Micros = Micros::from_millis(2_400);
-/// An open call that took this many times its usual time says that the replica stands still.
+/// Ratio of an open call's age to its usual latency at which the replica counts as silent.
 pub(crate) const SILENT_RATIO: f64 = 3.0;
-/// A silence shorter than this says nothing.
+/// Open calls younger than this are not considered for silence.
 const MIN_SILENCE: Micros = Micros::from_millis(12);
 
-/// What a node knows of one replica from its own calls.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaHealth {
     open: SmallVec<[OpenCall; 4]>,
-    /// How many times longer than usual its answers take.
+    /// Estimated ratio of the latency to the usual latency; 0 before the first observation.
     slowness: f64,
     observed_at: Micros,
-    /// Calls in a row that took [`SILENT_RATIO`] times as long as usual.
+    /// Consecutive calls with a latency ratio of at least [`SILENT_RATIO`].
     consecutive_slow_calls: u32,
     failures: u32,
     backoff_until: Micros,
     rejected_until: Micros,
     hint: Option<(LoadHint, Micros)>,
-    /// When requests were sent while the replica was cold, the latest last.
+    /// Send times of requests while the replica was cold, in ascending order.
     cold_calls: SmallVec<[Micros; 4]>,
 }
 
 impl ReplicaHealth {
-    /// Whether one more request fits into the `most` that the cold replica gets from this node in any second.
+    /// Whether one more request stays within this node's limit of `most` per second to the cold replica.
     pub fn has_cold_capacity(&self, most: u32, now: Micros) -> bool {
         let recent = self.cold_calls.iter().filter(|at| now.since(**at) <= COLD_WINDOW);
         recent.count() < most as usize
     }
 
-    /// Notes that a request is sent while the replica is cold.
+    /// Records a request sent while the replica is cold.
     pub fn record_cold_call(&mut self, now: Micros) {
         self.cold_calls.retain(|at| now.since(*at) <= COLD_WINDOW);
         self.cold_calls.push(now);
     }
 
-    /// A call is sent that usually takes `usual`.
+    /// Records a call whose usual latency is `usual`.
     pub fn sent(&mut self, key: CallKey, usual: Micros, now: Micros) {
         self.open.push(OpenCall { key, sent_at: now, usual });
     }
 
-    /// A call is over without word on its latency.
+    /// Removes an open call without recording a latency.
     pub fn forget(&mut self, key: CallKey) {
         self.take(key);
     }
 
-    /// A call was answered. Returns its latency.
+    /// Records an answer and returns the latency of the call.
     pub fn answered(&mut self, key: CallKey, hint: Option<LoadHint>, now: Micros) -> Option<Micros> {
         self.failures = 0;
         self.backoff_until = Micros(0);
@@ -110,7 +106,7 @@
         Some(latency)
     }
 
-    /// A call was rejected because of the replica's load.
+    /// Records a call that the replica rejected because of its load.
     pub fn rejected(&mut self, key: CallKey, hint: Option<LoadHint>, now: Micros) {
         self.take(key);
         self.rejected_until = now.plus(REJECTION_BACKOFF);
@@ -119,7 +115,7 @@
         }
     }
 
-    /// A call failed for the replica's reasons.
+    /// Records a call that failed because of the replica.
     pub fn failed(&mut self, key: CallKey, now: Micros) {
         self.take(key);
         self.failures += 1;
@@ -130,7 +126,7 @@
         }
     }
 
-    /// A call took its whole time without an answer.
+    /// Records a call that got no answer within its timeout.
     pub fn timed_out(&mut self, key: CallKey, now: Micros) {
         if let Some(call) = self.open.iter().find(|call| call.key == key) {
             let ratio = now.since(call.sent_at).0 as f64 / call.usual.0.max(1) as f64;
@@ -166,7 +162,7 @@
         1.0 + (self.slowness - 1.0) * 0.5f64.powf(half_lives)
     }
 
-    /// The ratio of the longest silence to what was usual for its call.
+    /// Highest ratio of an open call's age to its usual latency.
     fn silence(&self, now: Micros) -> f64 {
         let ratios = self.open.iter().filter_map(|call| {
             let age = now.since(call.sent_at);
@@ -175,38 +171,37 @@
         ratios.fold(0.0, f64::max)
     }
 
-    /// Whether the replica seems to stand still.
+    /// Whether an open call has reached `SILENT_RATIO` times its usual latency.
     pub fn is_silent(&self, now: Micros) -> bool {
         self.silence(now) >= SILENT_RATIO
     }
 
-    /// What the replica told of its load, unless it is too long ago.
+    /// The last load hint, unless it is older than `HINT_LIFETIME`.
     fn recent_hint(&self, now: Micros) -> Option<LoadHint> {
         self.hint.filter(|(_, at)| now.since(*at) <= HINT_LIFETIME).map(|(hint, _)| hint)
     }
 
-    /// Whether one more call would wait for a slot, as far as the replica told of late.
+    /// Whether one more call would have to wait for a slot, according to the last load hint.
     pub fn is_full(&self, now: Micros) -> bool {
         self.recent_hint(now).is_some_and(|hint| hint.waiting > 0 || hint.running >= hint.slots.max(1))
     }
 
-    /// Whether one more call would wait for as many others as the replica works on at once, as far
-    /// as it told of late.
+    /// Whether at least as many calls are queued as the replica has slots, according to the last load hint.
     pub fn has_queue(&self, now: Micros) -> bool {
         self.recent_hint(now).is_some_and(|hint| hint.waiting >= hint.slots.max(1))
     }
 
-    /// Whether the replica is left alone after failures.
+    /// Whether the replica is backed off after failures.
     pub fn is_backing_off(&self, now: Micros) -> bool {
         self.backoff_until > now
     }
 
-    /// Calls of this node that are open there.
+    /// Number of open calls of this node.
     pub fn open_calls(&self) -> usize {
         self.open.len()
     }
 
-    /// The expected cost of one more call; lower is better.
+    /// Relative expected cost of one more call; lower is better.
     pub fn cost(&self, slots: u32, now: Micros) -> f64 {
         const REJECTED_COST: f64 = 3.0;
         let slowness = self.remembered_slowness(now).max(self.silence(now)).max(0.3);
--- a/crates/sablebay-dispatch/src/replica_table.rs
+++ b/crates/sablebay-dispatch/src/replica_table.rs
@@ -1,4 +1,4 @@
-//! The choice of a replica, from what this node's own calls have shown.
+//! Replica selection based on the health observed by this node's calls.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -9,27 +9,26 @@
 
 use crate::replica_health::{LoadHint, ReplicaHealth};
 
-/// Names a call among all of this node.
+/// Identifies a call on this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallKey(pub u64);
 
-/// What one more call to a replica in another zone costs, against one in the same.
+/// Cost factor of a replica in another zone.
 const OTHER_ZONE_COST_FACTOR: f64 = 1.5;
-/// The cost up to which a replica in this node's zone is good enough: about three times the usual
-/// latency, or a queue of two calls a slot. Bytes between zones are paid for, and up to there an
-/// answer is in time all the same. From trials with 2 to 4 (docs/decisions.md).
+/// Minimum cost of a replica in another zone. Cross-zone traffic is billed, so a local replica is preferred
+/// up to about three times the usual latency or two queued calls per slot.
 const OTHER_ZONE_MIN_COST: f64 = 4.0;
-/// What one more call to a replica that is slow from its start costs.
+/// Cost factor of a cold replica.
 const COLD_COST_FACTOR: f64 = 1.6;
-/// How long an abandoned call may go on at a replica that has slots to spare.
+/// Time for which an abandoned call may continue on a replica with free slots.
 const ABANDONED_CALL_GRACE: Micros = Micros::from_millis(350);
-/// How long a replica gets nothing whose process was seen to have ended. Its entry goes after three heartbeats
-/// of some 1.2 s; one that is there for longer lives, and merely refused a connection.
+/// Time for which a replica gets no calls after its process was seen to have ended. Longer than the catalogue
+/// takes to drop the entry of an ended process; a replica listed for longer only refused a connection.
 const ENDED_RETENTION: Micros = Micros::from_secs(5);
-/// Costs are spread by up to this part, so that nodes that see the same do not choose alike.
+/// Maximum relative random increase of a cost, so that nodes with the same view choose different replicas.
 const COST_JITTER: f64 = 0.25;
 
-/// How fit a replica is; the first class that is not empty is chosen from.
+/// Preference classes of replicas; a better class always takes precedence over the cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Fitness {
     Fit,
@@ -39,18 +38,18 @@
     BackingOff,
 }
 
-/// What this node knows of every replica.
+/// Health of all replicas, as observed by this node.
 #[derive(Debug)]
 pub struct ReplicaTable {
     zone: ZoneName,
     health: HashMap<ReplicaId, ReplicaHealth>,
     evacuated: BTreeSet<ZoneName>,
-    /// Replicas whose processes have ended, and until when that counts.
+    /// Replicas whose processes have ended, with the expiry of the record.
     ended: HashMap<ReplicaId, Micros>,
 }
 
 impl ReplicaTable {
-    /// A table of a node in `zone`.
+    /// Creates a table for a node in `zone`.
     pub fn new(zone: ZoneName) -> Self {
         Self { zone, health: HashMap::new(), evacuated: BTreeSet::new(), ended: HashMap::new() }
     }
@@ -62,42 +61,42 @@
         self.health.get_mut(replica).expect("an entry was just added")
     }
 
-    /// What is known of a replica.
+    /// Health of a replica, if any call was recorded.
     pub fn get(&self, replica: &ReplicaId) -> Option<&ReplicaHealth> {
         self.health.get(replica)
     }
 
-    /// Forgets replicas that `keep` does not name.
+    /// Removes replicas for which `keep` returns false; health with open calls is kept.
     pub fn retain(&mut self, keep: impl Fn(&ReplicaId) -> bool) {
         self.health.retain(|replica, health| keep(replica) || health.open_calls() > 0);
         self.ended.retain(|replica, _| keep(replica));
     }
 
-    /// Sets the zones whose replicas get nothing new. Requests in progress hold the replicas that there
-    /// were when they came in.
+    /// Sets the zones whose replicas get no new calls. Requests in progress keep their original candidate
+    /// lists, so they are filtered here.
     pub fn set_evacuated(&mut self, zones: BTreeSet<ZoneName>) {
         self.evacuated = zones;
     }
 
-    /// The processes of these replicas have ended. What listens at their addresses from now on has other ids,
-    /// and turns away what is meant for them.
+    /// Marks replicas whose processes have ended. A new process at the same address has another id and
+    /// rejects their calls.
     pub fn note_ended(&mut self, replicas: impl IntoIterator<Item = (ReplicaId, Micros)>, now: Micros) {
         let until = replicas.into_iter().map(|(replica, ended_at)| (replica, ended_at.plus(ENDED_RETENTION)));
         self.ended.extend(until);
         self.expire_ended(now);
     }
 
-    /// Forgets that replicas have ended whose entries must have gone meanwhile.
+    /// Removes expired records of ended replicas.
     pub fn expire_ended(&mut self, now: Micros) {
         self.ended.retain(|_, until| *until > now);
     }
 
-    /// Whether a replica may get new work: its zone is not evacuated, and its process has not ended.
+    /// Whether a replica may get new calls: its zone is not evacuated and its process has not ended.
     pub fn takes_work(&self, candidate: &RoutableReplica) -> bool {
         !self.evacuated.contains(&candidate.replica.zone) && !self.ended.contains_key(&candidate.replica.id)
     }
 
-    /// Whether one more request to a replica stays within this node's share while the replica is cold.
+    /// Whether one more call stays within this node's share of a cold replica's capacity.
     fn has_cold_capacity(&self, candidate: &RoutableReplica, now: Micros) -> bool {
         let Some(most) = candidate.cold_calls_per_s.filter(|_| candidate.warm_at > now) else {
             return true;
@@ -106,8 +105,8 @@
         most > 0 && health.is_none_or(|health| health.has_cold_capacity(most, now))
     }
 
-    /// Takes one request out of this node's share of what a cold replica bears; false when nothing is left of
-    /// it. Asked just before a request is sent.
+    /// Takes one call from this node's share of a cold replica's capacity; returns false if the share is used
+    /// up. Called immediately before sending.
     pub fn take_cold_call(&mut self, candidate: &RoutableReplica, now: Micros) -> bool {
         let granted = self.has_cold_capacity(candidate, now);
         if granted && candidate.cold_calls_per_s.is_some() && candidate.warm_at > now {
@@ -116,17 +115,17 @@
         granted
     }
 
-    /// A call is sent that usually takes `usual`.
+    /// Records a call whose usual latency is `usual`.
     pub fn sent(&mut self, replica: &ReplicaId, key: CallKey, usual: Micros, now: Micros) {
         self.health(replica).sent(key, usual, now);
     }
 
-    /// A call is over without word on the replica.
+    /// Removes an open call without recording a result.
     pub fn forget(&mut self, replica: &ReplicaId, key: CallKey) {
         self.health(replica).forget(key);
     }
 
-    /// A call was answered. Returns its latency.
+    /// Records an answer and returns the latency of the call.
     pub fn answered(
         &mut self,
         replica: &ReplicaId,
@@ -137,33 +136,32 @@
         self.health(replica).answered(key, hint, now)
     }
 
-    /// A call was rejected because of the replica's load.
+    /// Records a call that the replica rejected because of its load.
     pub fn rejected(&mut self, replica: &ReplicaId, key: CallKey, hint: Option<LoadHint>, now: Micros) {
         self.health(replica).rejected(key, hint, now);
     }
 
-    /// A call failed for the replica's reasons.
+    /// Records a call that failed because of the replica.
     pub fn failed(&mut self, replica: &ReplicaId, key: CallKey, now: Micros) {
         self.health(replica).failed(key, now);
     }
 
-    /// A call took its whole time without an answer.
+    /// Records a call that got no answer within its timeout.
     pub fn timed_out(&mut self, replica: &ReplicaId, key: CallKey, now: Micros) {
         self.health(replica).timed_out(key, now);
     }
 
-    /// How long a call goes on that nobody waits for any more.
+    /// Time for which an abandoned call may continue before its connection is closed, which cancels the call.
     ///
-    /// Most end soon, and their connection is kept. Where work queues, or nothing has come for long,
-    /// the call takes a slot from those that are waited for: its connection is closed at once, which
-    /// cancels it.
+    /// Most calls end soon, and their connections are kept. The time is zero on a full or silent replica,
+    /// where the call would take a slot from others.
     pub fn abandoned_call_grace(&self, replica: &ReplicaId, now: Micros) -> Micros {
         let health = self.health.get(replica);
         let wanted_by_others = health.is_some_and(|health| health.is_full(now) || health.is_silent(now));
         if wanted_by_others { Micros(0) } else { ABANDONED_CALL_GRACE }
     }
 
-    /// The replica for the next call, of those not in `tried`.
+    /// Selects a replica for the next call, excluding those in `tried`.
     pub fn choose<R: Rng>(
         &self,
         candidates: &[RoutableReplica],
@@ -189,7 +187,7 @@
         best.map(|(_, _, index)| index)
     }
 
-    /// Whether one of the replicas not in `tried` would likely answer in good time.
+    /// Whether any replica not in `tried` is available, not silent, not backed off and not a last resort.
     pub fn has_fit(&self, candidates: &[RoutableReplica], tried: &[ReplicaId], now: Micros) -> bool {
         let untried = candidates.iter().filter(|candidate| !tried.contains(&candidate.replica.id));
         let mut usable =
@@ -197,8 +195,7 @@
         usable.any(|candidate| self.fitness(candidate, now) <= Fitness::BeyondShare)
     }
 
-    /// Whether work queues, or nothing moves, at every one of the replicas. Replicas of which nothing
-    /// is known count as free.
+    /// Whether every replica has a queue or is silent. Replicas without observations count as free.
     pub fn is_crowded(&self, candidates: &[RoutableReplica], now: Micros) -> bool {
         let is_busy = |candidate: &RoutableReplica| {
             let health = self.health.get(&candidate.replica.id);
--- a/crates/sablebay-dispatch/src/route_latency.rs
+++ b/crates/sablebay-dispatch/src/route_latency.rs
@@ -1,45 +1,41 @@
-//! How long the calls of one route take, and what follows for hedging.
+//! Call latencies of one route, and the hedge delay derived from them.
 
 use sablebay_model::Micros;
 use sablebay_query::LatencyWindow;
 
-/// The span that latencies are remembered for.
+/// Window of recorded latencies.
 const WINDOW: Micros = Micros::from_secs(8);
-/// The quantile that is usual.
 const USUAL_QUANTILE: f64 = 0.5;
-/// The quantile after which a call counts as slow.
+/// Quantile of the latency that is used as the hedge delay.
 const SLOW_QUANTILE: f64 = 0.9;
-/// The part of the target latency that a call is assumed to take before any was observed.
+/// Latency assumed before the first observation, as a fraction of the target latency.
 const ASSUMED_FRACTION: f64 = 0.2;
-/// Bounds of the hedge delay, as parts of the target latency.
+/// Minimum and maximum hedge delay, as fractions of the target latency.
 const HEDGE_BOUNDS: (f64, f64) = (0.12, 0.4);
-/// The target assumed of a route that names none.
+/// Target latency assumed for routes without one.
 const ASSUMED_TARGET: Micros = Micros::from_millis(500);
 
-/// The latencies of one route's calls.
 #[derive(Debug)]
 pub struct RouteLatency {
     window: LatencyWindow,
 }
 
 impl RouteLatency {
-    /// Without observations.
     pub fn new(now: Micros) -> Self {
         Self { window: LatencyWindow::new(WINDOW, now) }
     }
 
-    /// Records how long a call took.
     pub fn record(&mut self, latency: Micros, now: Micros) {
         self.window.record(latency, now);
     }
 
-    /// How long a call usually takes.
+    /// Usual latency of a call.
     pub fn usual(&mut self, target: Option<Micros>, now: Micros) -> Micros {
         let assumed = Micros((target.unwrap_or(ASSUMED_TARGET).0 as f64 * ASSUMED_FRACTION) as u64);
         self.window.quantile(USUAL_QUANTILE, now).unwrap_or(assumed)
     }
 
-    /// After how long a silent call is hedged.
+    /// Delay after which a call without an answer is hedged.
     pub fn hedge_delay(&mut self, target: Option<Micros>, now: Micros) -> Micros {
         let target = target.unwrap_or(ASSUMED_TARGET).0 as f64;
         let (lowest, highest) = HEDGE_BOUNDS;
--- a/crates/sablebay-dispatch/src/tenant_shares.rs
+++ b/crates/sablebay-dispatch/src/tenant_shares.rs
@@ -1,25 +1,22 @@
-//! Max-min fairness between tenants: who is refused, of what has to be refused.
+//! Max-min fairness between tenants for refusing requests under overload.
 //!
-//! What came in lately is counted by tenant, in work. Of a part of it that cannot be run, the tenants that ask for
-//! the most lose the most: their demands are cut down to one level, and a tenant below that level loses nothing
-//! (water-filling). Cut down like this, the refused part of the whole is the same as if all lost alike.
+//! Recent demand is measured per tenant in work (shards). If a part of it cannot be served, demands are
+//! capped at a common level (water-filling): tenants below the level lose nothing. The total refused work is
+//! the same as with equal refusal probabilities.
 //!
-//! This is for one tenant that sends many times its usual while back ends are short of capacity: without it, every
-//! tenant loses the same part, and the flood is paid for by those who did not send it.
+//! This protects other tenants when one tenant sends many times its usual load while capacity is short.
 
 use std::collections::{HashMap, VecDeque};
 
 use sablebay_model::Micros;
 use sablebay_tenants::TenantName;
 
-/// How far back demands are counted. Where each of many nodes sees a few requests a second, a shorter window holds
-/// one request of nearly everybody and tells nobody apart; a tenant that stops sending is forgotten as soon.
+/// Window over which demand is measured. Long enough for nodes with a few requests per second to tell tenants
+/// apart.
 const WINDOW: Micros = Micros::from_secs(10);
-/// Requests that are remembered at the most, so that memory and the time of a look are bounded. A flood shows among
-/// a few dozen; on busy nodes they span less than the window.
+/// Maximum number of recorded requests, to bound memory and lookup time.
 const MAX_ARRIVALS: usize = 64;
 
-/// One request that came in.
 #[derive(Clone, Debug)]
 struct Arrival {
     tenant: TenantName,
@@ -27,14 +24,14 @@
     at: Micros,
 }
 
-/// What tenants lately asked of the same back ends, as far as one node has seen.
+/// Recent demand of tenants on the same back ends, as seen by one node.
 #[derive(Clone, Debug, Default)]
 pub struct TenantShares {
     recent: VecDeque<Arrival>,
 }
 
 impl TenantShares {
-    /// Counts a request over so many shards. Those that are refused count as well: they are demand.
+    /// Counts a request over `shards` shards. Refused requests are counted too.
     pub fn note(&mut self, tenant: &TenantName, shards: usize, now: Micros) {
         self.expire(now);
         if self.recent.len() == MAX_ARRIVALS {
@@ -44,7 +41,7 @@
         self.recent.push_back(Arrival { tenant: tenant.clone(), work, at: now });
     }
 
-    /// What a tenant asked for beside the others; nothing of a tenant that was not seen.
+    /// Demand of a tenant in relation to the others; zero for an unknown tenant.
     pub fn demand_of(&self, tenant: &TenantName) -> TenantDemand {
         let mut by_tenant: HashMap<&TenantName, f64> = HashMap::new();
         for arrival in &self.recent {
@@ -56,7 +53,7 @@
         TenantDemand { own, ascending }
     }
 
-    /// Requests that are remembered.
+    /// Number of recorded requests.
     pub fn remembered(&self) -> usize {
         self.recent.len()
     }
@@ -68,33 +65,32 @@
     }
 }
 
-/// What one tenant asked for, beside what everybody did.
+/// Demand of one tenant in relation to all tenants.
 #[derive(Clone, Debug, Default)]
 pub struct TenantDemand {
     own: f64,
-    /// Everybody's, the smallest first.
+    /// Demands of all tenants in ascending order.
     ascending: Vec<f64>,
 }
 
 impl TenantDemand {
-    /// The part of the tenant's requests to refuse where `surplus`, a part of everybody's work, cannot be run.
+    /// Fraction of the tenant's requests to refuse if the fraction `surplus` of all work cannot be served.
     pub fn refusal_fraction(&self, surplus: f64) -> f64 {
         self.fraction_above(self.level(surplus))
     }
 
-    /// The same, but nothing of what is within an equal part of everybody's work: 0 where all ask for the same,
-    /// whatever the surplus.
+    /// Like [`Self::refusal_fraction`], but only for demand above an equal share; 0 if all demands are equal.
     pub fn excess_refusal_fraction(&self, surplus: f64) -> f64 {
         self.fraction_above(self.level(surplus).max(self.equal_share()))
     }
 
-    /// The tenant's part of everybody's work, from 0 to 1.
+    /// The tenant's share of all work, from 0 to 1.
     pub fn share(&self) -> f64 {
         let all = self.all();
         if all > 0.0 { self.own / all } else { 0.0 }
     }
 
-    /// Whether the tenant asks for more than an equal part of everybody's work.
+    /// Whether the tenant's demand exceeds an equal share of all work.
     pub fn exceeds_equal_share(&self) -> bool {
         self.own > self.equal_share()
     }
@@ -111,7 +107,7 @@
         if self.own > level { 1.0 - level / self.own } else { 0.0 }
     }
 
-    /// What everybody keeps at the most, so that all together lose the surplus.
+    /// Highest demand that is served in full, such that the demand above it adds up to the surplus.
     fn level(&self, surplus: f64) -> f64 {
         if surplus <= 0.0 {
             return f64::INFINITY;
--- a/crates/sablebay-dispatch/src/weighted_choice.rs
+++ b/crates/sablebay-dispatch/src/weighted_choice.rs
@@ -1,9 +1,10 @@
-//! A split of requests by weight that keeps to its shares over short runs too.
+//! Weighted distribution of requests that keeps the ratio over short sequences as well.
 
 use sablebay_catalogue::{ServiceName, WeightedService};
 
-/// Smooth weighted round robin: each turn every part earns its weight, the richest part is taken
-/// and pays the sum of all weights. Over any run the shares are off by less than one request a part.
+/// Smooth weighted round robin: each turn every service gains its weight as credit; the service with the
+/// highest credit is selected and pays the sum of all weights. Over any sequence each share deviates by less
+/// than one request per service.
 #[derive(Debug)]
 pub struct WeightedChoice {
     parts: Vec<WeightedService>,
@@ -11,11 +12,11 @@
 }
 
 impl WeightedChoice {
-    /// A split that starts anywhere in its cycle: `phase` (0 to 1) keeps nodes that start together
-    /// from choosing alike.
+    /// Creates a distribution at a position `phase` (0 to 1) of its cycle, so that nodes that start at the
+    /// same time do not select the same services.
     pub fn new(parts: Vec<WeightedService>, phase: f64) -> Self {
         let mut choice = Self { credit: vec![0.0; parts.len()], parts };
-        /// Turns that the longest usual cycle has.
+        /// Number of turns of the longest common cycle.
         const CYCLE_TURNS: f64 = 100.0;
         for _ in 0..(phase * CYCLE_TURNS) as usize {
             choice.next();
@@ -23,13 +24,12 @@
         choice
     }
 
-    /// The parts that the split is made of.
     pub fn parts(&self) -> &[WeightedService] {
         &self.parts
     }
 
-    /// The service of the next request; none when no part has a weight.
-    #[expect(clippy::should_implement_trait, reason = "a split is endless, and no iterator is wanted")]
+    /// Service of the next request; none if all weights are zero.
+    #[expect(clippy::should_implement_trait, reason = "the sequence is endless and not used as an iterator")]
     pub fn next(&mut self) -> Option<ServiceName> {
         let total: f64 = self.parts.iter().map(|part| part.weight).sum();
         for (credit, part) in self.credit.iter_mut().zip(&self.parts) {
