--- a/crates/sablebay-dispatch/tests/admission.rs
+++ b/crates/sablebay-dispatch/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which requests are refused at once.
+//! Guards against refusing requests too early, too late, or in the wrong order under overload.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -21,7 +21,7 @@
 fn the_refused_part_grows_with_the_crowd_and_never_to_the_whole() {
     let refused: Vec<f64> = (0..=20).map(|crowded| refusal_probability(&inputs(crowded))).collect();
     assert!(refused.is_sorted());
-    assert!(refused[20] > 0.5 && refused[20] < 1.0, "some are let in, to learn of the queues");
+    assert!(refused[20] > 0.5 && refused[20] < 1.0, "some requests are admitted to refresh the load hints");
 }
 
 #[test]
@@ -43,7 +43,7 @@
 fn a_caller_that_comes_back_is_known_by_its_patience() {
     let mut usual = TypicalTimeout::default();
     for number in 0..40u64 {
-        // A few callers wait much longer than the others.
+        // A few callers have much longer timeouts than the others.
         let timeout = if number % 20 == 7 { 9_000 } else { 2_000 };
         assert!(!usual.note(Micros::from_millis(timeout)));
     }
@@ -54,7 +54,7 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(11), ..Config::default() })]
 
-    /// A refused caller is told to come back while it still has most of its time.
+    /// `retry_after` leaves the caller most of its timeout for the retry.
     #[test]
     fn a_refused_caller_can_come_back_in_time(
         crowded in 0usize..=20,
--- a/crates/sablebay-dispatch/tests/answer_lag.rs
+++ b/crates/sablebay-dispatch/tests/answer_lag.rs
@@ -1,11 +1,11 @@
-//! How early an answer is planned for.
+//! Guards against late answers on slow nodes, and against giving shards too little time on fast ones.
 
 use sablebay_dispatch::AnswerLag;
 use sablebay_model::Micros;
 
 const TARGET: Micros = Micros::from_millis(100);
 
-/// A node whose answers get ready so much later than planned, one every 10 ms.
+/// An estimate after `answers` answers, one every 10 ms, each `lag_ms` later than planned.
 fn node_with_lag(lag_ms: u64, answers: u64) -> (AnswerLag, Micros) {
     let mut now = Micros::from_secs(10);
     let mut lag = AnswerLag::default();
--- a/crates/sablebay-dispatch/tests/cold_rate.rs
+++ b/crates/sablebay-dispatch/tests/cold_rate.rs
@@ -1,5 +1,4 @@
-//! What a cold replica gets stays within what it bears, over all nodes together, whatever each believes of
-//! who is there.
+//! Guards against overloading cold replicas while the membership views of the nodes differ.
 
 use std::sync::Arc;
 
@@ -79,7 +78,7 @@
         let nodes = names(size);
         for number in 0..200 {
             let replica = ReplicaId::new(format!("r{number}"));
-            // All were told how many there are, and know none by name.
+            // Each node knows the number of nodes but none of their names.
             let sum: u32 = nodes.iter().map(|own| share(&replica, own, &[], size)).sum();
             assert!(f64::from(sum) <= CAPACITY.bound(), "{sum} at {size} nodes, replica {number}");
         }
@@ -107,15 +106,15 @@
         if chosen == Some(0) && table.take_cold_call(&cold, now) {
             taken.push(now);
         }
-        assert!(chosen.is_some(), "the warm one is there");
+        assert!(chosen.is_some(), "the warm replica is available");
         now = now.plus(Micros::from_millis(7));
     }
     for begin in &taken {
         let within = taken.iter().filter(|at| *at >= begin && at.since(*begin) <= Micros::from_secs(1));
         assert!(within.count() <= 2);
     }
-    assert!(taken.len() >= 4, "it gets its share");
-    assert!(table.take_cold_call(&cold, now.plus(Micros::from_secs(1))), "it is warm by then");
+    assert!(taken.len() >= 4, "the cold replica gets its share");
+    assert!(table.take_cold_call(&cold, now.plus(Micros::from_secs(1))), "the replica is warm by then");
 }
 
 #[test]
--- a/crates/sablebay-dispatch/tests/evacuation.rs
+++ b/crates/sablebay-dispatch/tests/evacuation.rs
@@ -1,5 +1,5 @@
-//! A request that came in before a zone was evacuated sends nothing new there afterwards, and what cannot
-//! be served is refused before anything is sent.
+//! Guards against calls to an evacuated zone from requests that started before the evacuation, and against
+//! sending requests that cannot reach their minimum number of shards.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -56,7 +56,7 @@
     }
 }
 
-/// A request, and what its steps work with.
+/// Dependencies of a fan-out under test.
 struct Harness {
     table: ReplicaTable,
     budgets: RetryBudgets,
@@ -150,7 +150,7 @@
         Fanout::new(settings(2), targets(&[&["b", "c"], &["b"], &["c"]])).delegating(vec![delegated]);
     let actions = harness.step(START, |turn| fanout.start(turn));
     let [FanoutAction::Delegate { delegated, .. }] = &actions[..] else {
-        panic!("one node is asked: {actions:?}");
+        panic!("expected one delegation, got {actions:?}");
     };
     assert_eq!(delegated.shards, [0, 2]);
     assert!(fanout.is_closed(1));
--- a/crates/sablebay-dispatch/tests/hot_tenant.rs
+++ b/crates/sablebay-dispatch/tests/hot_tenant.rs
@@ -1,5 +1,5 @@
-//! The load of a hot tenant: one of many tenants sends 7.5 times its usual while the back ends are short of
-//! capacity. What the other tenants get, with a look at tenants and without.
+//! Simulates a tenant that sends 7.5 times its usual load while capacity is short. Guards against other
+//! tenants paying for the flood; compares admission with and without tenant fairness.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -9,33 +9,33 @@
 use sablebay_tenants::TenantName;
 
 const TENANTS: usize = 81;
-/// A few tenants are large, and one of these is the hot one.
+/// A few tenants are large; the hot tenant is one of them.
 const LARGE_TENANTS: usize = 4;
 const LARGE_WEIGHT: f64 = 8.0;
 const HOT: usize = 0;
 const HOT_FACTOR: f64 = 7.5;
 const NODES: usize = 77;
-/// Nodes that gather a part of a request's shards for the one that took it, and so learn of the request.
+/// Nodes that gather a part of a request's shards and therefore count the request.
 const GATHERERS: usize = 10;
 const USUAL_PER_S: f64 = 48.0;
 const FLOOD: Micros = Micros::from_secs(8);
 const TIMEOUT: Micros = Micros::from_millis(1_000);
-/// A backlog at which every replica has a round of work waiting.
+/// Backlog at which every replica has queued requests.
 const CROWDED_BACKLOG_S: f64 = 0.5;
-/// What part of the requests that come in at a crowded share is answered in time (docs/design/012-overload.md).
+/// Fraction of requests answered in time by crowded share, interpolated linearly.
 const IN_TIME: [(f64, f64); 6] = [(0.0, 1.0), (0.1, 1.0), (0.4, 0.82), (0.6, 0.55), (0.9, 0.19), (1.0, 0.07)];
 
-/// The deployment that the load meets.
+/// Simulated deployment and load.
 #[derive(Clone, Copy)]
 struct Load {
     shards: usize,
-    /// What the back ends can run, against the usual load.
+    /// Back-end capacity relative to the usual load.
     capacity: f64,
     hot_factor: f64,
     fair: bool,
 }
 
-/// Served and sent requests of one group of tenants.
+/// Request counts of one group of tenants.
 #[derive(Clone, Copy, Debug, Default)]
 struct Served {
     sent: usize,
@@ -78,7 +78,7 @@
     TENANTS - 1
 }
 
-/// One try of a request.
+/// One attempt of a request.
 #[derive(Clone, Copy)]
 struct Attempt {
     at: Micros,
@@ -92,7 +92,7 @@
     at_low + (at_high - at_low) * (crowded_share - low) / (high - low)
 }
 
-/// The first tries of callers; those that are refused come back once.
+/// Initial attempts of all callers; a refused request is retried once.
 fn initial_attempts(load: &Load, from: Micros, until: Micros, random: &mut SmallRng) -> Vec<Attempt> {
     let usual: f64 = (0..TENANTS).map(|tenant| weight(tenant, 1.0)).sum();
     let mut attempts = Vec::new();
@@ -110,7 +110,7 @@
     }
 }
 
-/// Plays the flood once: all nodes, one queue for the back ends.
+/// Simulates one flood: all nodes, with a single queue for the back ends.
 fn simulate(load: &Load, seed: u64) -> Outcome {
     let random = &mut SmallRng::seed_from_u64(seed);
     let names: Vec<TenantName> = (0..TENANTS).map(|tenant| TenantName::new(format!("t-{tenant}"))).collect();
@@ -120,7 +120,8 @@
     let mut backlog_s = 0.0f64;
     let mut last = Micros(0);
     while !attempts.is_empty() {
-        let next = (0..attempts.len()).min_by_key(|index| attempts[*index].at).expect("there are some");
+        let next =
+            (0..attempts.len()).min_by_key(|index| attempts[*index].at).expect("the list is not empty");
         let attempt = attempts.swap_remove(next);
         backlog_s = (backlog_s - attempt.at.since(last).as_secs_f64()).max(0.0);
         last = attempt.at;
@@ -142,7 +143,7 @@
             false => admit(&inputs, draw, spread),
         };
         match admission {
-            // A full back end sheds what a single-shard request brings.
+            // A full back end rejects single-shard requests.
             Admission::Admitted if load.shards == 1 && crowded_share >= 1.0 => {
                 if !attempt.returning {
                     let at = attempt.at.plus(Micros::from_millis(225));
@@ -169,7 +170,7 @@
     outcome
 }
 
-/// Many floods together.
+/// Sums of the results over many seeds.
 fn simulate_many(load: &Load) -> Outcome {
     let mut sum = Outcome::default();
     for seed in 0..40 {
@@ -208,9 +209,9 @@
     for (capacity, others_gain) in [(0.7, 0.005), (0.85, 0.005), (1.0, 0.05), (1.2, 0.3), (1.3, 0.3)] {
         let (unfair, fair) = compare(Load { shards: 90, capacity, hot_factor: HOT_FACTOR, fair: false });
         assert!(fair.others.share() > unfair.others.share() + others_gain);
-        assert!(fair.others.share() > fair.hot.share(), "who floods loses more");
-        assert!(fair.share_of_all() > unfair.share_of_all() - 0.005, "the whole loses nothing by it");
-        assert!(fair.hot.share() > 0.5 * fair.share_of_all(), "the hot tenant is not starved either");
+        assert!(fair.others.share() > fair.hot.share(), "the hot tenant loses more than the others");
+        assert!(fair.share_of_all() > unfair.share_of_all() - 0.005, "the total does not decrease");
+        assert!(fair.hot.share() > 0.5 * fair.share_of_all(), "the hot tenant is not starved");
     }
 }
 
@@ -227,8 +228,8 @@
     assert_eq!(fair.hot.refused + fair.others.refused, 0);
 }
 
-/// A full back end turns away whoever comes, so that a flood costs everybody the same part, and refusing the flood
-/// when it is full changes nothing: the hot tenant's callers come back as the others do.
+/// Full back ends reject requests of all tenants alike, so a flood costs every tenant the same fraction, and
+/// single-shard requests are not refused at admission.
 #[test]
 fn on_single_back_ends_a_flood_is_left_to_them() {
     for capacity in [0.7, 1.0, 1.3] {
--- a/crates/sablebay-dispatch/tests/quarantine.rs
+++ b/crates/sablebay-dispatch/tests/quarantine.rs
@@ -1,5 +1,5 @@
-//! Requests that back ends end under: what counts against them, what takes it back, and what a fleet of nodes that
-//! lose messages makes of it.
+//! Guards against crash-inducing requests spreading over the back ends, and against quarantining innocent
+//! requests, also when notices between nodes are lost.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -41,7 +41,7 @@
     }
 }
 
-/// The same as another node saw it, whose clock is an hour behind, and as was heard so much later.
+/// The same run as reported by another node, whose clock is one hour behind, after `delay_ms`.
 fn remote(run: CrashedRun, observer: u64, delay_ms: u64) -> CrashedRun {
     let behind = |moment: Micros| moment.since(Micros::from_secs(3_600));
     CrashedRun {
@@ -62,7 +62,7 @@
     history
 }
 
-/// A table that knows of so many strikes in a row, each a tenth of a second after the one before.
+/// A table with `strikes` sequential crashes of one request, 100 ms apart.
 fn with_strikes(strikes: u64) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for strike in 0..strikes {
@@ -102,9 +102,9 @@
 fn word_that_comes_late_does_not_make_runs_follow_one_another() {
     let early = remote(crash(0, 0, 40), 2, 1);
     let late = remote(crash(1, 30, 60), 2, 200);
-    assert_eq!(history(&[early.clone(), late.clone()]).strikes(), 1, "one node saw both");
+    assert_eq!(history(&[early.clone(), late.clone()]).strikes(), 1, "same observer");
     let of_another = remote(crash(1, 30, 60), 3, 200);
-    assert_eq!(history(&[early, of_another]).strikes(), 1, "two nodes saw one each");
+    assert_eq!(history(&[early, of_another]).strikes(), 1, "different observers");
 }
 
 #[test]
@@ -124,15 +124,15 @@
 #[test]
 fn a_good_run_that_was_begun_later_takes_back_what_was_held_against_the_request_at_its_service() {
     let mut known = history(&[crash(0, 0, 40), crash(1, 50, 90)]);
-    assert!(!known.record_success(&service(0), at(39)), "it was under way when the back end ended");
+    assert!(!known.record_success(&service(0), at(39)), "the run was in progress during the crash");
     assert_eq!(known.strikes(), 2);
     assert!(known.record_success(&service(0), at(95)));
     assert!(!known.has_crash_at(&service(0)));
-    assert!(known.has_crash_at(&service(1)), "what the other service says stands");
+    assert!(known.has_crash_at(&service(1)), "the crash at the other service still counts");
     assert!(known.succeeded_since_last_crash());
     assert!(known.record_success(&service(1), at(95)));
     assert_eq!(known.strikes(), 0);
-    assert!(!known.record_crash(crash(0, 0, 40)), "what is told late was taken back already");
+    assert!(!known.record_crash(crash(0, 0, 40)), "a late notice of a cleared crash is ignored");
 }
 
 #[test]
@@ -159,7 +159,7 @@
     RunId { node: ObserverId(node), call }
 }
 
-/// A run on a route whose calls usually take 12 ms.
+/// A lease request for a route whose calls usually take 12 ms.
 fn wanted(run: RunId) -> LeaseRequest {
     LeaseRequest { run, duration: lease_duration(Micros::from_millis(12)) }
 }
@@ -168,9 +168,9 @@
 fn several_that_end_beside_those_in_a_row_count_once_more() {
     let mut known = history(&(0..3).map(|replica| crash(replica, 0, 40 + replica)).collect::<Vec<_>>());
     assert_eq!(known.strikes(), 2);
-    assert!(known.record_success(&service(3), at(50)), "a run that was begun later ended well");
+    assert!(known.record_success(&service(3), at(50)), "a later run succeeded");
     known.record_crash(crash(7, 60, 90));
-    assert_eq!(known.strikes(), 1, "what ended together before no longer counts");
+    assert_eq!(known.strikes(), 1, "concurrent crashes before the success no longer count");
 }
 
 #[test]
@@ -207,7 +207,7 @@
 
 #[test]
 fn slow_routes_keep_others_waiting_for_longer_and_none_for_ever() {
-    assert!(lease_duration(Micros::from_millis(90)) >= Micros::from_millis(360), "slow from its start");
+    assert!(lease_duration(Micros::from_millis(90)) >= Micros::from_millis(360), "allows for a cold replica");
     assert!(lease_duration(Micros::from_secs(60)) <= Micros::from_secs(2));
     assert!(lease_duration(Micros(0)) > Micros(0));
 }
@@ -217,7 +217,7 @@
     let mut quarantine = with_strikes(1);
     assert!(quarantine.grant(&digest(1), wanted(run(1, 1)), at(60)));
     assert!(quarantine.grant(&digest(1), wanted(run(1, 2)), at(60).plus(wanted(run(1, 1)).duration)));
-    assert!(!quarantine.release_lease(&digest(1), run(1, 1)), "it is the second that others wait for");
+    assert!(!quarantine.release_lease(&digest(1), run(1, 1)), "the second run holds the lease");
 }
 
 #[test]
@@ -270,15 +270,17 @@
     }
     assert!(matches!(other.status(&digest(1), at(300)), QuarantineStatus::Quarantined { .. }));
     assert!(quarantine.release(&digest(1), at(400)));
-    assert!(!quarantine.release(&digest(7), at(400)), "it is not known");
+    assert!(!quarantine.release(&digest(7), at(400)), "the request is not tracked");
     let news = quarantine.take_updates(at(400));
     assert_eq!(news.len(), 1);
     assert_eq!(news[0].1, Audience::AllNodes);
     other.merge_notice(&news[0].0, true, at(400));
     assert_eq!(other.status(&digest(1), at(400)), QuarantineStatus::Clear);
-    let old = with_strikes(u64::from(QUARANTINE_STRIKES)).notice(&digest(1), at(500)).expect("it is known");
+    let old = with_strikes(u64::from(QUARANTINE_STRIKES))
+        .notice(&digest(1), at(500))
+        .expect("the request is tracked");
     other.merge_notice(&old, false, at(500));
-    assert_eq!(other.status(&digest(1), at(500)), QuarantineStatus::Clear, "an older word does not count");
+    assert_eq!(other.status(&digest(1), at(500)), QuarantineStatus::Clear, "an older notice is ignored");
 }
 
 #[test]
@@ -332,28 +334,28 @@
     let mut quarantine = with_strikes(1);
     assert!(quarantine.record_success(&digest(1), &service(0), at(60)));
     quarantine.expire(at(1_000));
-    let late = with_strikes(1).notice(&digest(1), at(1_000)).expect("it is known");
+    let late = with_strikes(1).notice(&digest(1), at(1_000)).expect("the request is tracked");
     quarantine.merge_notice(&late, false, at(1_000));
     assert_eq!(
         quarantine.status(&digest(1), at(1_000)),
         QuarantineStatus::Clear,
-        "late word of what was taken back"
+        "a late notice of a cleared crash is ignored"
     );
     quarantine.expire(at(40_000));
     assert!(quarantine.is_empty());
 }
 
-/// A node of the simulated fleet.
+/// A simulated node.
 #[derive(Default)]
 struct Node {
     quarantine: Quarantine,
-    /// Before this time it loses every message.
+    /// Until this time the node loses every message.
     partitioned_until: u64,
-    /// Since when it has been up and reached, without a break.
+    /// Start of the current period in which the node is running and reachable.
     connected_since: u64,
 }
 
-/// Word on its way.
+/// A message in flight.
 struct Message {
     arrives_at: u64,
     to: usize,
@@ -361,18 +363,18 @@
     is_broadcast: bool,
 }
 
-/// One attempt of a search in progress. All of its back ends end under it.
+/// An attempt to run the request; every back end that runs it crashes.
 struct Attempt {
     node: usize,
     began_at: u64,
-    /// Calls that are still to be made; a shard has two.
+    /// Pending calls; each shard has two.
     waiting: Vec<u64>,
-    /// Calls that run, with when they were begun and when their back ends end.
+    /// Running calls: call, start, crash time, and the run if it holds the lease.
     running: Vec<(u64, u64, u64, Option<RunId>)>,
     reached: bool,
 }
 
-/// A fleet whose messages get lost, and the back ends in front of it.
+/// A fleet with a lossy network, and the number of crashed back ends.
 struct Fleet {
     nodes: Vec<Node>,
     loss_percent: u64,
@@ -382,9 +384,9 @@
     messages: Vec<Message>,
 }
 
-/// The node that gives out the lease of the request.
+/// The node that grants the lease of the request.
 const FIRST_KEEPER: usize = 0;
-/// How long an attempt may take.
+/// Timeout of an attempt.
 const ATTEMPT_MS: u64 = 1_500;
 
 impl Fleet {
@@ -434,7 +436,7 @@
         }
     }
 
-    /// Each node compares with one other.
+    /// Anti-entropy: each node exchanges notices with one other node.
     fn compare(&mut self, now: u64) {
         for node in 0..self.nodes.len() {
             let other = self.draw(self.nodes.len() as u64) as usize;
@@ -455,17 +457,18 @@
         }
     }
 
-    /// Whether a run may begin: the first keeper gives out the lease, and is asked over the same bad network.
+    /// Whether a run may start; the keeper is asked over the lossy network. `None` means quarantined.
     fn may_run(&mut self, node: usize, shard: u64, run: RunId, now: u64) -> Option<bool> {
         match self.nodes[node].quarantine.permit(&digest(1), &service(shard), at(now)) {
             RunPermit::Free => Some(true),
             RunPermit::Refused { .. } => None,
             RunPermit::NeedsLease if !self.arrives(node, FIRST_KEEPER, now) => Some(false),
             RunPermit::NeedsLease => {
-                let notice = self.nodes[node].quarantine.notice(&digest(1), at(now)).expect("it is suspect");
+                let notice =
+                    self.nodes[node].quarantine.notice(&digest(1), at(now)).expect("the request is suspect");
                 let keeper = &mut self.nodes[FIRST_KEEPER].quarantine;
                 keeper.merge_notice(&notice, false, at(now));
-                let known = keeper.notice(&digest(1), at(now)).expect("it was just heard of");
+                let known = keeper.notice(&digest(1), at(now)).expect("the notice was just merged");
                 let granted = keeper.grant(&digest(1), wanted(run), at(now));
                 let own = &mut self.nodes[node].quarantine;
                 own.merge_notice(&known, false, at(now));
@@ -475,7 +478,7 @@
         }
     }
 
-    /// Plays one millisecond of an attempt. Returns whether it is over.
+    /// Advances an attempt by one millisecond. Returns whether it is finished.
     fn step(&mut self, attempt: &mut Attempt, shards: u64, now: u64) -> bool {
         let node = attempt.node;
         let (over, running): (Vec<_>, Vec<_>) =
@@ -496,7 +499,10 @@
             if let Some(run) = leased_run
                 && self.arrives(node, FIRST_KEEPER, now)
             {
-                let notice = self.nodes[node].quarantine.notice(&digest(1), at(now)).expect("it struck");
+                let notice = self.nodes[node]
+                    .quarantine
+                    .notice(&digest(1), at(now))
+                    .expect("the crash was just recorded");
                 let keeper = &mut self.nodes[FIRST_KEEPER].quarantine;
                 keeper.merge_notice(&notice, false, at(now));
                 keeper.release_lease(&digest(1), run);
@@ -506,7 +512,7 @@
         let first = now == attempt.began_at;
         let running: Vec<u64> = attempt.running.iter().map(|(call, ..)| call % shards).collect();
         for call in std::mem::take(&mut attempt.waiting) {
-            // The second call of a shard is made when the first has failed.
+            // The second call of a shard starts after the first has failed.
             if (first && call >= shards) || running.contains(&(call % shards)) {
                 attempt.waiting.push(call);
                 continue;
@@ -533,8 +539,8 @@
         (held || late || attempt.waiting.is_empty()) && attempt.running.is_empty()
     }
 
-    /// Plays attempts that come in together, each at a node. Returns which of them reached back ends, and when
-    /// all were over.
+    /// Runs concurrent attempts. Returns which of them reached back ends, and the time at which all were
+    /// finished.
     fn play(&mut self, mut begun: Vec<Attempt>, shards: u64, now: u64) -> (Vec<(usize, bool)>, u64) {
         let mut now = now;
         let mut done = Vec::new();
@@ -555,7 +561,6 @@
     }
 }
 
-/// The same cases at every run.
 fn settings() -> ProptestConfig {
     ProptestConfig { cases: 48, rng_seed: RngSeed::Fixed(33), ..ProptestConfig::default() }
 }
@@ -563,8 +568,8 @@
 proptest! {
     #![proptest_config(settings())]
 
-    /// From four seconds after the third back end has ended, no more than three attempts reach any, from nodes
-    /// that have been up and reached for four seconds: however many attempts come in at once.
+    /// Later than four seconds after the third crash, at most three attempts reach back ends through nodes
+    /// that have been connected for four seconds, regardless of the number of concurrent attempts.
     #[test]
     fn a_request_that_ends_back_ends_is_contained(
         size in prop::sample::select(vec![8_usize, 64, 300]),
@@ -584,7 +589,7 @@
                 fleet.compare(compared.max(now));
             }
             now = next;
-            // Now and then a node starts anew, or is cut off for a while.
+            // Occasionally a node restarts or is partitioned.
             let unlucky = fleet.draw(size as u64) as usize;
             match fleet.draw(6) {
                 0 => fleet.nodes[unlucky] = Node { connected_since: now, ..Node::default() },
@@ -611,12 +616,12 @@
                 third_at.get_or_insert(now);
             }
         }
-        prop_assert!(late <= 3, "{late} late attempts, {} ended", fleet.ended);
-        // Six attempts may meet two back ends of each shard before anything is known; later ones cost few.
-        prop_assert!(fleet.ended <= shards * 12 + 40, "{} ended", fleet.ended);
+        prop_assert!(late <= 3, "{late} late attempts, {} crashes", fleet.ended);
+        // Six attempts may each reach two back ends per shard before any crash is known.
+        prop_assert!(fleet.ended <= shards * 12 + 40, "{} crashes", fleet.ended);
     }
 
-    /// Whatever order word comes in, every node counts the same.
+    /// The number of strikes does not depend on the order in which notices arrive.
     #[test]
     fn strikes_do_not_depend_on_the_order_of_news(
         spans in prop::collection::vec((0_u64..500, 1_u64..60), 1..KEPT_CRASHES),
@@ -634,7 +639,7 @@
         prop_assert_eq!(history(&runs).strikes(), strikes);
     }
 
-    /// However many runs are kept, those that were begun one after the other are.
+    /// Evicting crashes beyond the limit keeps the sequential ones.
     #[test]
     fn dropping_what_is_beyond_the_bound_loses_no_strike(
         beside in prop::collection::vec(0_u64..60, 0..40),
@@ -647,8 +652,8 @@
         prop_assert!(u64::from(known.strikes()) >= row, "{} of {row}", known.strikes());
     }
 
-    /// A request that is asked often is not held back when back ends end for reasons of their own, however many
-    /// at a time and however often: the runs between tell that it is not the cause.
+    /// A frequent request is not quarantined when back ends crash for other reasons, since its successful
+    /// runs clear it.
     #[test]
     fn an_innocent_request_is_not_held_back(
         waves in prop::collection::vec((200_u64..3_000, 1_u64..40), 1..12),
@@ -686,14 +691,14 @@
                     fleet.nodes[FIRST_KEEPER].quarantine.release_lease(&digest(1), asked);
                     fleet.send_updates(node, now);
                 }
-                // Asked at one of 40 back ends, through one of three nodes.
+                // The request goes to one of 40 back ends through one of three nodes.
                 key += 1;
                 let (node, back_end) = (fleet.draw(3) as usize, fleet.draw(BACK_ENDS));
                 let asks = RunId { node: ObserverId(node as u64), call: key };
                 match fleet.may_run(node, back_end % 4, asks, now) {
                     Some(true) => running.push((node, asks, back_end, now)),
                     Some(false) => {}
-                    None => prop_assert!(false, "held back at {now}"),
+                    None => prop_assert!(false, "quarantined at {now} ms"),
                 }
                 fleet.deliver(now);
             }
--- a/crates/sablebay-dispatch/tests/replica_choice.rs
+++ b/crates/sablebay-dispatch/tests/replica_choice.rs
@@ -1,4 +1,4 @@
-//! Which replica gets a call.
+//! Guards against calls to slow, silent, failed or overloaded replicas while better ones are available.
 
 use std::sync::Arc;
 
@@ -35,7 +35,7 @@
     ReplicaTable::new(ZoneName::new("z"))
 }
 
-/// How often each of two replicas is chosen in a hundred draws.
+/// Number of times each of two replicas is chosen in 100 draws.
 fn draws(table: &ReplicaTable, candidates: &[RoutableReplica], now: Micros) -> (usize, usize) {
     let mut random = SmallRng::seed_from_u64(5);
     let first = (0..100).filter(|_| table.choose(candidates, &[], now, &mut random) == Some(0)).count();
@@ -50,7 +50,7 @@
     let silent = START.plus(Micros::from_millis(70));
     assert_eq!(draws(&table, &candidates, silent).0, 0);
     assert!(!table.has_fit(&candidates[..1], &[], silent));
-    // Its answer comes after the pause: it is used again.
+    // The replica answers after the pause and is used again.
     table.answered(&candidates[0].replica.id, CallKey(1), None, silent);
     let later = silent.plus(Micros::from_secs(6));
     assert!(draws(&table, &candidates, later).0 > 20);
@@ -84,7 +84,7 @@
     assert_eq!(draws(&table, &candidates, START).0, 0);
     let mut random = SmallRng::seed_from_u64(5);
     let only = table.choose(&candidates[..1], &[], START, &mut random);
-    assert_eq!(only, Some(0), "it is still better than nothing");
+    assert_eq!(only, Some(0), "a backed-off replica is better than none");
 }
 
 #[test]
@@ -135,12 +135,12 @@
     assert!(table.abandoned_call_grace(id, START) > Micros(0), "a slot is free");
     table.sent(id, CallKey(2), USUAL, START);
     table.answered(id, CallKey(2), told(2, 3), START);
-    assert_eq!(table.abandoned_call_grace(id, START), Micros(0), "others wait for the slot");
+    assert_eq!(table.abandoned_call_grace(id, START), Micros(0), "other calls are queued");
     let later = START.plus(Micros::from_secs(1));
-    assert!(table.abandoned_call_grace(id, later) > Micros(0), "what was told long ago is not believed");
+    assert!(table.abandoned_call_grace(id, later) > Micros(0), "the load hint has expired");
     table.sent(id, CallKey(3), USUAL, later);
     let silent = later.plus(Micros::from_millis(90));
-    assert_eq!(table.abandoned_call_grace(id, silent), Micros(0), "it stands still, and work queues there");
+    assert_eq!(table.abandoned_call_grace(id, silent), Micros(0), "the replica is silent");
 }
 
 #[test]
@@ -153,10 +153,10 @@
         table.answered(id, CallKey(1), Some(LoadHint { running: 2, waiting, slots: 2 }), now);
         table.is_crowded(&candidates, now)
     };
-    assert!(!tell(0, 2, START), "of the other one nothing is known");
-    assert!(!tell(1, 1, START), "the other one has room soon");
+    assert!(!tell(0, 2, START), "nothing is known of the other replica");
+    assert!(!tell(1, 1, START), "the queue of the other replica is short");
     assert!(tell(1, 2, START));
-    assert!(!table.is_crowded(&candidates, START.plus(Micros::from_secs(1))), "that was long ago");
+    assert!(!table.is_crowded(&candidates, START.plus(Micros::from_secs(1))), "the load hints have expired");
     assert!(!table.is_crowded(&[], START));
 }
 
@@ -170,10 +170,10 @@
     table.note_ended([(candidates[1].replica.id.clone(), START)], START);
     assert_eq!(table.choose(&candidates, &[], START, &mut SmallRng::seed_from_u64(5)), None);
     table.retain(|id| *id == candidates[1].replica.id);
-    assert!(table.takes_work(&candidates[0]), "its entry has gone, and what is known of it with it");
+    assert!(table.takes_work(&candidates[0]), "the record is removed with the catalogue entry");
     let later = START.plus(Micros::from_secs(10));
     table.expire_ended(later);
-    assert!(table.takes_work(&candidates[1]), "its entry stays: it merely refused a connection");
+    assert!(table.takes_work(&candidates[1]), "the record expires while the entry is still listed");
     table.note_ended([(candidates[1].replica.id.clone(), START)], later);
-    assert!(table.takes_work(&candidates[1]), "old word does not count");
+    assert!(table.takes_work(&candidates[1]), "an expired report is ignored");
 }
--- a/crates/sablebay-dispatch/tests/shares.rs
+++ b/crates/sablebay-dispatch/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Shares of what is bounded for the whole fleet: extra calls, connections, and weights.
+//! Guards against exceeding fleet-wide limits: retry budgets, connections and weights.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -27,8 +27,8 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(31), cases: 200, ..Config::default() })]
 
-    /// In every window, wherever it begins, the fleet's extra calls stay within what its requests of
-    /// that window and of the one before earn, and the fixed part.
+    /// In every window, the fleet's extra calls stay within the fixed part plus what its requests earn in
+    /// that window and the one before.
     #[test]
     fn the_fleet_stays_within_its_budget_in_every_window(
         events in (1usize..8).prop_flat_map(|nodes| (Just(nodes), proptest::collection::vec(event(nodes), 1..400))),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// All shares together never exceed what a replica takes, unless each node has just one.
+    /// All shares together never exceed a replica's limit, unless each node has a single connection.
     #[test]
     fn connection_shares_fit(maximum in 1u32..500, nodes in 1usize..300) {
         let share = connection_share(maximum, nodes);
@@ -69,8 +69,8 @@
         prop_assert!(share == 1 || share * nodes <= maximum as usize);
     }
 
-    /// Nodes that keep to their own replicas never exceed what a replica takes; every node has a
-    /// replica. Nodes and replicas stand in zones as they come.
+    /// Nodes connected to their own replicas never exceed a replica's limit, and every node has a replica,
+    /// for any placement of nodes and replicas in zones.
     #[test]
     fn own_replicas_fit(
         maximum in 1u32..200,
@@ -108,11 +108,11 @@
             sorted.len() == replicas
         };
         let enough_room = nodes.div_ceil(replicas) as f64 <= 0.85 * f64::from(maximum);
-        // The part that is not given out covers what the rotation leaves uneven.
+        // The unallocated fraction covers the imbalance of the rotation.
         prop_assert!(!enough_room || !zones_differ || most as f64 <= 1.3 * f64::from(maximum) + 4.0, "{most} of {maximum}");
     }
 
-    /// Over any run the shares are off by less than one request a part.
+    /// Over any sequence each share deviates by less than one request per service.
     #[test]
     fn weights_are_kept_over_short_runs(
         weights in proptest::collection::vec(0u32..10, 1..5),
@@ -128,8 +128,8 @@
         let mut choice = WeightedChoice::new(parts.clone(), phase);
         let mut counts = vec![0usize; parts.len()];
         for _ in 0..turns {
-            let chosen = choice.next().expect("a part has a weight");
-            let index = parts.iter().position(|part| part.service == chosen).expect("a known part");
+            let chosen = choice.next().expect("a service has a weight");
+            let index = parts.iter().position(|part| part.service == chosen).expect("the service is in the list");
             counts[index] += 1;
         }
         for (count, weight) in counts.iter().zip(&weights) {
@@ -139,23 +139,23 @@
     }
 }
 
-/// Seen on a recorded day (inc-89a1): all nodes lost power; each took the share of two or three that
-/// it had met, eleven connections of 26, and the replicas reset what was too many.
+/// Guards against nodes taking too many connections after a simultaneous restart, when each has discovered
+/// only a few others.
 #[test]
 fn a_node_that_has_just_started_takes_no_more_than_it_must() {
     let just_started = FleetSize { discovered: 2, reported: None, running_for: Micros::from_millis(300) };
     assert_eq!(connection_share(26, just_started.sharing(64)), 1);
     let told = FleetSize { reported: Some(8), ..just_started };
-    assert_eq!(connection_share(26, told.sharing(64)), 1, "it has not met them all");
+    assert_eq!(connection_share(26, told.sharing(64)), 1, "not all nodes are discovered yet");
     let met = FleetSize { discovered: 8, ..told };
-    assert_eq!(met.sharing(64), 8, "it has met as many as a peer that knows the fleet");
+    assert_eq!(met.sharing(64), 8, "as many nodes are discovered as the peer reported");
     let settled = FleetSize { discovered: 8, reported: None, running_for: SETTLING_TIME };
     assert_eq!(settled.sharing(64), 8);
     let alone = FleetSize { discovered: 1, reported: None, running_for: SETTLING_TIME };
-    assert_eq!(alone.sharing(64), 64, "a lone node may have been cut off from many");
+    assert_eq!(alone.sharing(64), 64, "a lone node may be partitioned from the others");
 }
 
-/// The grown deployment: 64 nodes in four zones, three replicas in three of them, 54 connections each.
+/// 64 nodes in four zones, with a replica in three of the zones that accepts 54 connections.
 #[test]
 fn nodes_keep_to_the_replica_of_their_zone_and_all_fit() {
     let mut of_replica = [0usize; 3];
@@ -173,7 +173,7 @@
             own_zone_nodes: 16,
             other_zones: &other_zones,
         });
-        assert!(zone == 3 || own[zone], "the replica of the node's own zone is its own");
+        assert!(zone == 3 || own[zone], "a node uses the replica in its zone");
         for (count, own) in of_replica.iter_mut().zip(own) {
             *count += usize::from(own);
         }
@@ -189,8 +189,8 @@
     assert_eq!(WeightedChoice::new(vec![part("a", 0.0)], 0.0).next(), None);
 }
 
-/// The shares of owners and others in the fixed part come to no more than the whole, and every node keeps one
-/// call of its own where there are enough for all.
+/// The shares of owners and bystanders never exceed the fixed budget, and every node keeps one call where the
+/// budget suffices for all.
 #[test]
 fn owners_and_others_share_the_fixed_part() {
     for (nodes, owners, fixed) in [(8, 6, 54.0), (76, 12, 192.0), (300, 18, 630.0), (2_700, 18, 630.0)] {
@@ -203,8 +203,8 @@
         assert!(owner >= all, "{owner} against {all} at {nodes} nodes");
         let mut window = RetryWindow::default();
         let granted = window.spend(&allowance, BudgetShare::Bystander { owners }, Micros::from_secs(100));
-        assert_eq!(granted, nodes <= 300, "a call for a node that others are of no use to");
+        assert_eq!(granted, nodes <= 300, "every node keeps one call where the budget suffices");
     }
     let allowance = RetryAllowance { ratio: 0.2, fixed: 54.0, window: WINDOW, nodes: 6 };
-    assert_eq!(BudgetShare::Owner { owners: 6 }.of_fixed(&allowance), 9.0, "all are owners");
+    assert_eq!(BudgetShare::Owner { owners: 6 }.of_fixed(&allowance), 9.0, "all nodes are owners");
 }
--- a/crates/sablebay-dispatch/tests/tenant_shares.rs
+++ b/crates/sablebay-dispatch/tests/tenant_shares.rs
@@ -1,4 +1,4 @@
-//! Max-min fairness between tenants: who loses what has to be refused.
+//! Guards against small tenants being refused because of the demand of large ones.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
     TenantName::new(format!("tenant-{number}"))
 }
 
-/// The shares after these requests: the number of each one's tenant, and its shards.
+/// Shares after `requests`, given as pairs of tenant number and shards.
 fn shares(requests: &[(usize, usize)]) -> TenantShares {
     let mut shares = TenantShares::default();
     for (number, (who, shards)) in requests.iter().enumerate() {
@@ -43,7 +43,7 @@
     let mut requests = vec![(0, 20); 8];
     requests.extend((1..9).map(|small| (small, 20)));
     let shares = shares(&requests);
-    // Of 16 requests 4 are to be refused: all of them out of the eight of one tenant.
+    // 4 of 16 requests are to be refused, all of them from the tenant with eight.
     assert!((shares.demand_of(&tenant(0)).refusal_fraction(0.25) - 0.5).abs() < 1e-9);
     assert_eq!(shares.demand_of(&tenant(1)).refusal_fraction(0.25), 0.0);
 }
@@ -79,7 +79,7 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(11), ..Config::default() })]
 
-    /// Whoever asks for no more than an equal part of what can be run loses nothing, whatever the others ask for.
+    /// A tenant whose demand is at most an equal share of the capacity loses nothing.
     #[test]
     fn nobody_below_an_equal_part_loses(requests in requests(), surplus in 0.0f64..1.0) {
         let shares = shares(&requests);
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Who asks for more loses a larger part, and keeps no less than who asks for less.
+    /// A larger demand loses a larger fraction, but keeps at least as much as a smaller one.
     #[test]
     fn what_is_kept_is_max_min_fair(requests in requests(), surplus in 0.0f64..1.0) {
         let shares = shares(&requests);
@@ -108,7 +108,7 @@
         }
     }
 
-    /// No more and no less is refused than without a look at tenants.
+    /// The refused work in total equals the surplus.
     #[test]
     fn the_refused_part_of_the_whole_is_the_surplus(requests in requests(), surplus in 0.0f64..1.0) {
         let shares = shares(&requests);
@@ -119,7 +119,7 @@
         prop_assert!((refused - surplus * all).abs() < 1e-6 * all);
     }
 
-    /// While nothing is crowded, nobody is refused.
+    /// No request is refused while no shard is crowded.
     #[test]
     fn nobody_is_refused_while_nothing_is_crowded(
         requests in requests(),
