--- a/crates/sablebay-dispatch/src/quarantine.rs
+++ b/crates/sablebay-dispatch/src/quarantine.rs
@@ -4,7 +4,7 @@
 //! - A request is quarantined only after several sequential crashes ([`crash_history`]) without a successful
 //!   run in between.
 //! - After its first crash, a request runs on one back end at a time across all nodes until a run succeeds.
-//!   The lease for that run is granted by one of the request's keeper nodes.
+//!   The lease for that run is granted by one of the request's owner nodes.
 //! - After the quarantine, the request is retried with a single run under the same lease.
 //! - Memory is bounded regardless of what callers send.
 
@@ -44,7 +44,7 @@
 /// Maximum number of tracked requests, of about 600 bytes each. Those with the fewest strikes are evicted
 /// first, so that a flood of requests with one crash each does not evict a quarantined one.
 pub const MAXIMUM_REQUESTS: usize = 1_024;
-/// First strikes that are broadcast to all nodes per second; further ones are sent to the keepers only, so
+/// First strikes that are broadcast to all nodes per second; further ones are sent to the owners only, so
 /// that simultaneous crashes of many back ends do not flood the fleet.
 const FIRST_STRIKE_BROADCASTS_PER_S: u32 = 16;
 /// Maximum number of requests reported in one message between nodes.
@@ -110,8 +110,8 @@
 /// Recipients of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Audience {
-    /// The keepers of the request: the few nodes responsible for its lease and history.
-    Keepers,
+    /// The owners of the request: the few nodes responsible for its lease and history.
+    Owners,
     AllNodes,
 }
 
@@ -138,7 +138,7 @@
     lease: Option<HeldLease>,
     /// Number of strikes last broadcast to all nodes.
     broadcast_strikes: u32,
-    /// Whether the history changed since the last update to the keepers.
+    /// Whether the history changed since the last update to the owners.
     has_unsent_update: bool,
 }
 
@@ -224,7 +224,7 @@
     }
 
     /// Grants the lease of a request to a run; returns false while another run holds it. All nodes ask the
-    /// same keeper, so that concurrent attempts on several nodes cost one back end.
+    /// same owner, so that concurrent attempts on several nodes cost one back end.
     pub fn grant(&mut self, digest: &RequestDigest, wanted: LeaseRequest, now: Micros) -> bool {
         let Some(entry) = self.requests.get_mut(digest) else {
             // No crash is known here: the notice that came with the lease request was merged before.
@@ -279,9 +279,9 @@
         let Some(entry) = self.requests.get_mut(digest) else {
             return false;
         };
-        let updates = entry.history.record_success(service, started_at);
-        entry.has_unsent_update |= updates;
-        updates
+        let changed = entry.history.record_success(service, started_at);
+        entry.has_unsent_update |= changed;
+        changed
     }
 
     /// Releases a request from quarantine on behalf of an operator. Returns whether the request is tracked
@@ -310,11 +310,11 @@
         if entry.route.is_empty() {
             entry.route = notice.route.clone();
         }
-        let updates = notice.merge_into(&mut entry.history, now);
+        let changed = notice.merge_into(&mut entry.history, now);
         if is_broadcast {
             entry.broadcast_strikes = entry.history.strikes();
         }
-        updates
+        changed
     }
 
     /// Returns pending updates with their recipients. Each update is returned once; nodes that miss it catch
@@ -339,7 +339,7 @@
                 continue;
             }
             entry.has_unsent_update = false;
-            let audience = if to_all { Audience::AllNodes } else { Audience::Keepers };
+            let audience = if to_all { Audience::AllNodes } else { Audience::Owners };
             if to_all {
                 entry.broadcast_strikes = strikes;
             }
--- a/crates/sablebay-dispatch/tests/quarantine.rs
+++ b/crates/sablebay-dispatch/tests/quarantine.rs
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn many_first_strikes_at_once_are_told_to_keepers_alone() {
+fn many_first_strikes_at_once_are_sent_to_owners_alone() {
     let mut quarantine = Quarantine::default();
     for number in 0..200 {
         let run = CrashedRun { replica: ReplicaId::new(format!("i-{number}")), ..crash(0, 0, 40) };
@@ -385,7 +385,7 @@
 }
 
 /// The node that grants the lease of the request.
-const FIRST_KEEPER: usize = 0;
+const FIRST_OWNER: usize = 0;
 /// Timeout of an attempt.
 const ATTEMPT_MS: u64 = 1_500;
 
@@ -457,19 +457,19 @@
         }
     }
 
-    /// Whether a run may start; the keeper is asked over the lossy network. `None` means quarantined.
+    /// Whether a run may start; the owner is asked over the lossy network. `None` means quarantined.
     fn may_run(&mut self, node: usize, shard: u64, run: RunId, now: u64) -> Option<bool> {
         match self.nodes[node].quarantine.permit(&digest(1), &service(shard), at(now)) {
             RunPermit::Free => Some(true),
             RunPermit::Refused { .. } => None,
-            RunPermit::NeedsLease if !self.arrives(node, FIRST_KEEPER, now) => Some(false),
+            RunPermit::NeedsLease if !self.arrives(node, FIRST_OWNER, now) => Some(false),
             RunPermit::NeedsLease => {
                 let notice =
                     self.nodes[node].quarantine.notice(&digest(1), at(now)).expect("the request is suspect");
-                let keeper = &mut self.nodes[FIRST_KEEPER].quarantine;
-                keeper.merge_notice(&notice, false, at(now));
-                let known = keeper.notice(&digest(1), at(now)).expect("the notice was just merged");
-                let granted = keeper.grant(&digest(1), wanted(run), at(now));
+                let owner = &mut self.nodes[FIRST_OWNER].quarantine;
+                owner.merge_notice(&notice, false, at(now));
+                let known = owner.notice(&digest(1), at(now)).expect("the notice was just merged");
+                let granted = owner.grant(&digest(1), wanted(run), at(now));
                 let own = &mut self.nodes[node].quarantine;
                 own.merge_notice(&known, false, at(now));
                 let held = matches!(own.status(&digest(1), at(now)), QuarantineStatus::Quarantined { .. });
@@ -497,15 +497,15 @@
             };
             self.nodes[node].quarantine.record_crash(digest(1), ROUTE, crashed, at(now));
             if let Some(run) = leased_run
-                && self.arrives(node, FIRST_KEEPER, now)
+                && self.arrives(node, FIRST_OWNER, now)
             {
                 let notice = self.nodes[node]
                     .quarantine
                     .notice(&digest(1), at(now))
                     .expect("the crash was just recorded");
-                let keeper = &mut self.nodes[FIRST_KEEPER].quarantine;
-                keeper.merge_notice(&notice, false, at(now));
-                keeper.release_lease(&digest(1), run);
+                let owner = &mut self.nodes[FIRST_OWNER].quarantine;
+                owner.merge_notice(&notice, false, at(now));
+                owner.release_lease(&digest(1), run);
             }
         }
         self.send_updates(node, now);
@@ -686,9 +686,9 @@
                         quarantine.record_crash(digest(1), ROUTE, run, at(now));
                     }
                     if let Some(notice) = quarantine.notice(&digest(1), at(now)) {
-                        fleet.nodes[FIRST_KEEPER].quarantine.merge_notice(&notice, false, at(now));
+                        fleet.nodes[FIRST_OWNER].quarantine.merge_notice(&notice, false, at(now));
                     }
-                    fleet.nodes[FIRST_KEEPER].quarantine.release_lease(&digest(1), asked);
+                    fleet.nodes[FIRST_OWNER].quarantine.release_lease(&digest(1), asked);
                     fleet.send_updates(node, now);
                 }
                 // The request goes to one of 40 back ends through one of three nodes.
--- a/crates/sablebay-gateway/src/quarantine.rs
+++ b/crates/sablebay-gateway/src/quarantine.rs
@@ -135,7 +135,7 @@
     for (notice, audience) in news {
         match audience {
             Audience::AllNodes => for_everyone.push(notice),
-            Audience::Keepers => {
+            Audience::Owners => {
                 let keepers = context.fleet.lock().keepers_of(&notice.digest);
                 for address in keepers.into_iter().flatten() {
                     tell(context, address, vec![notice.clone()], false);
