--- a/crates/sablebay-dispatch/tests/hot_tenant.rs
+++ b/crates/sablebay-dispatch/tests/hot_tenant.rs
@@ -83,7 +83,7 @@
 struct Attempt {
     at: Micros,
     tenant: usize,
-    returning: bool,
+    is_retry: bool,
 }
 
 fn in_time(crowded_share: f64) -> f64 {
@@ -106,7 +106,7 @@
         if at >= until {
             return attempts;
         }
-        attempts.push(Attempt { at, tenant: draw_tenant(random, hot_factor), returning: false });
+        attempts.push(Attempt { at, tenant: draw_tenant(random, hot_factor), is_retry: false });
     }
 }
 
@@ -126,13 +126,13 @@
         backlog_s = (backlog_s - attempt.at.since(last).as_secs_f64()).max(0.0);
         last = attempt.at;
         let group = if attempt.tenant == HOT { &mut outcome.hot } else { &mut outcome.others };
-        group.sent += usize::from(!attempt.returning);
+        group.sent += usize::from(!attempt.is_retry);
         let crowded_share = (backlog_s / CROWDED_BACKLOG_S).min(1.0);
         let inputs = AdmissionInputs {
             shards: load.shards,
             crowded: (crowded_share * load.shards as f64) as usize,
             rank: 0,
-            is_retry: attempt.returning,
+            is_retry: attempt.is_retry,
             timeout: TIMEOUT,
         };
         let node = &mut nodes[random.random_range(0..NODES)];
@@ -145,9 +145,9 @@
         match admission {
             // A full back end rejects single-shard requests.
             Admission::Admitted if load.shards == 1 && crowded_share >= 1.0 => {
-                if !attempt.returning {
+                if !attempt.is_retry {
                     let at = attempt.at.plus(Micros::from_millis(225));
-                    attempts.push(Attempt { at, returning: true, ..attempt });
+                    attempts.push(Attempt { at, is_retry: true, ..attempt });
                 }
             }
             Admission::Admitted => {
@@ -161,8 +161,8 @@
             }
             Admission::Refused { retry_after } => {
                 group.refused += 1;
-                if !attempt.returning {
-                    attempts.push(Attempt { at: attempt.at.plus(retry_after), returning: true, ..attempt });
+                if !attempt.is_retry {
+                    attempts.push(Attempt { at: attempt.at.plus(retry_after), is_retry: true, ..attempt });
                 }
             }
         }
--- a/crates/sablebay-dispatch/tests/shares.rs
+++ b/crates/sablebay-dispatch/tests/shares.rs
@@ -145,10 +145,10 @@
 fn a_node_that_has_just_started_takes_no_more_than_it_must() {
     let just_started = FleetSize { discovered: 2, reported: None, running_for: Micros::from_millis(300) };
     assert_eq!(connection_share(26, just_started.sharing(64)), 1);
-    let told = FleetSize { reported: Some(8), ..just_started };
-    assert_eq!(connection_share(26, told.sharing(64)), 1, "not all nodes are discovered yet");
-    let met = FleetSize { discovered: 8, ..told };
-    assert_eq!(met.sharing(64), 8, "as many nodes are discovered as the peer reported");
+    let reported = FleetSize { reported: Some(8), ..just_started };
+    assert_eq!(connection_share(26, reported.sharing(64)), 1, "not all nodes are discovered yet");
+    let discovered = FleetSize { discovered: 8, ..reported };
+    assert_eq!(discovered.sharing(64), 8, "as many nodes are discovered as the peer reported");
     let settled = FleetSize { discovered: 8, reported: None, running_for: SETTLING_TIME };
     assert_eq!(settled.sharing(64), 8);
     let alone = FleetSize { discovered: 1, reported: None, running_for: SETTLING_TIME };
@@ -189,7 +189,7 @@
     assert_eq!(WeightedChoice::new(vec![part("a", 0.0)], 0.0).next(), None);
 }
 
-/// The shares of owners and bystanders never exceed the fixed budget, and every node keeps one call where the
+/// The shares of owners and non-owners never exceed the fixed budget, and every node keeps one call where the
 /// budget suffices for all.
 #[test]
 fn owners_and_others_share_the_fixed_part() {
