--- a/crates/sablebay-dispatch/src/quarantine.rs
+++ b/crates/sablebay-dispatch/src/quarantine.rs
@@ -1,14 +1,14 @@
-//! Requests that end the back ends which run them: kept from the rest before they have ended them all.
+//! Quarantine of requests that crash the back ends that run them.
 //!
-//! Invariants kept here:
-//! - a request is held back only after several back ends in a row ended under it, each begun after the one before had
-//!   ended ([`evidence`]), without a good run in between;
-//! - a request that one back end ended under is sent to one back end at a time until a run of it ends well: by all
-//!   nodes together, which ask the one of them that keeps account of it first;
-//! - a request whose quarantine is over is tried in the same way, with one call;
-//! - what is kept is bounded, whatever callers send.
-
-mod evidence;
+//! Invariants:
+//! - A request is quarantined only after several sequential crashes ([`crash_history`]) without a successful
+//!   run in between.
+//! - After its first crash, a request runs on one back end at a time across all nodes until a run succeeds.
+//!   The lease for that run is granted by one of the request's owner nodes.
+//! - After the quarantine, the request is retried with a single run under the same lease.
+//! - Memory is bounded regardless of what callers send.
+
+mod crash_history;
 mod notice;
 
 use std::collections::HashMap;
@@ -19,118 +19,113 @@
 use sablebay_catalogue::{ReplicaId, ServiceName};
 use sablebay_model::{Micros, RequestDigest};
 
-pub use evidence::{CrashedRun, Evidence, KEPT_CRASHES, ObserverId};
+pub use crash_history::{CrashHistory, CrashedRun, KEPT_CRASHES, ObserverId};
 pub use notice::{CrashNotice, QuarantineNotice};
 
-/// Back ends that end one after the other under a request before it is held back. Two in a row happen to requests
-/// that merely stood where others struck twice; with three no innocent request was held back in the property tests.
-pub const STRIKES: u32 = 3;
-/// How long a request is held back after the last strike that it needs for that. One attempt costs a back end
-/// that is gone for seconds, so that a minute keeps the loss below a tenth of one back end.
+/// Sequential crashes before a request is quarantined. Two can hit an innocent request that ran beside the
+/// cause.
+pub const QUARANTINE_STRIKES: u32 = 3;
+/// Duration of the first quarantine, counted from the last crash. Limits the loss from retries: each attempt
+/// takes one back end down for some seconds.
 pub const FIRST_HOLD: Micros = Micros::from_secs(60);
-/// Each further strike makes the next quarantine longer by this factor.
+/// Factor by which each further strike extends the quarantine.
 const HOLD_GROWTH: u64 = 4;
-/// The longest quarantine: a release of the service that bears the request is tried within this time.
+/// Maximum duration of a quarantine, so that a fixed release of the service is tried within this time.
 pub const LONGEST_HOLD: Micros = Micros::from_secs(3_600);
-/// How long what speaks against a request is remembered beyond that.
-const MEMORY: Micros = Micros::from_secs(600);
-/// How long it is remembered that nothing speaks against a request any more: word of what was taken back may
-/// still be on its way.
-const CLEARED_MEMORY: Micros = Micros::from_secs(30);
-/// How long one run keeps the others of a suspect request waiting, in multiples of what a call of its route
-/// usually takes: a back end that ends under it does so sooner, also while it is slow from its start, and one
-/// that is silent says nothing.
-const ALONE_CALLS: u64 = 8;
-/// Bounds of that.
-const ALONE_LIMITS: [Micros; 2] = [Micros::from_millis(300), Micros::from_millis(2_000)];
-/// Requests that are remembered, of some 600 bytes each. Those with the fewest strikes are forgotten first, so
-/// that a flood of requests which end one back end each does not set a known one free.
+/// Retention of an entry after its last event and the end of its quarantine.
+const RETENTION: Micros = Micros::from_secs(600);
+/// Retention of an entry without strikes, to ignore late notices of crashes that are already cleared.
+const CLEARED_RETENTION: Micros = Micros::from_secs(30);
+/// Maximum lease duration in multiples of the route's usual call latency. A run that crashes its back end
+/// does so sooner, also on a cold replica.
+const LEASE_CALL_DURATIONS: u64 = 8;
+/// Minimum and maximum lease duration.
+const LEASE_BOUNDS: [Micros; 2] = [Micros::from_millis(300), Micros::from_millis(2_000)];
+/// Maximum number of tracked requests, of about 600 bytes each. Those with the fewest strikes are evicted
+/// first, so that a flood of requests with one crash each does not evict a quarantined one.
 pub const MAXIMUM_REQUESTS: usize = 1_024;
-/// First strikes that are told to every node within a second; keepers alone are told of more. One request that
-/// ends its back ends is known everywhere at once; many that stood at back ends which ended together do not
-/// flood the fleet.
-const FIRST_STRIKES_TOLD_PER_S: u32 = 16;
-/// Requests that one message between nodes tells of.
+/// First strikes that are broadcast to all nodes per second; further ones are sent to the owners only, so
+/// that simultaneous crashes of many back ends do not flood the fleet.
+const FIRST_STRIKE_BROADCASTS_PER_S: u32 = 16;
+/// Maximum number of requests reported in one message between nodes.
 pub const NOTICES_PER_MESSAGE: usize = 256;
 
-/// How long one run of a suspect request keeps the others waiting, of a route whose calls usually take `usual`.
-pub fn alone_limit(usual: Micros) -> Micros {
-    let [least, most] = ALONE_LIMITS;
-    Micros(usual.0.saturating_mul(ALONE_CALLS)).clamp(least, most)
+/// Maximum lease duration of one run, for a route whose calls usually take `usual`.
+pub fn lease_duration(usual: Micros) -> Micros {
+    let [least, most] = LEASE_BOUNDS;
+    Micros(usual.0.saturating_mul(LEASE_CALL_DURATIONS)).clamp(least, most)
 }
 
-/// Names a run among those of all nodes.
+/// Identifies a run across all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RunId {
-    /// The node that would begin it.
+    /// Node that starts the run.
     pub node: ObserverId,
-    /// The call among all of that node.
+    /// Call number, unique on that node.
     pub call: u64,
 }
 
-/// A run that wants the lease of its suspect request, which one run at a time has over all nodes.
+/// Request of a run for the fleet-wide exclusive lease of its suspect request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct LeaseRequest {
-    /// The run.
     pub run: RunId,
-    /// How long it keeps others waiting at the most; see [`alone_limit`].
-    pub lasts: Micros,
+    /// Time after which the lease expires; see [`lease_duration`].
+    pub duration: Micros,
 }
 
-/// What may be done with a request now.
+/// Quarantine state of a request.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Standing {
-    /// Nothing speaks against it.
+pub enum QuarantineStatus {
+    /// No crashes count against the request.
     #[display("clear")]
     Clear,
-    /// Back ends ended under it: it goes to one at a time.
+    /// Back ends crashed while running the request: it runs on one back end at a time.
     #[display("suspect")]
     Suspect,
-    /// Nothing of it is sent until then.
+    /// The request is not sent to any back end.
     #[display("held back")]
-    Held {
-        /// When its quarantine is over.
+    Quarantined {
+        /// End of the quarantine.
         until: Micros,
     },
-    /// Its quarantine is over: it goes to one back end, and is held back for longer when that ends too.
+    /// The quarantine is over: the request runs on one back end, and another crash extends the quarantine.
     #[display("on trial")]
-    OnTrial,
+    Probation,
 }
 
-/// Whether a run of a request may begin.
+/// Whether a run of a request may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunPermit {
-    /// It may.
+    /// No restriction.
     Free,
-    /// It may once it has the request's lease; see [`Quarantine::grant`].
-    Alone,
-    /// Not before this time has passed.
+    /// The run needs the lease of its request; see [`Quarantine::grant`].
+    NeedsLease,
+    /// The request is quarantined.
     Refused {
-        /// The time until it may be tried again.
+        /// Time until the next attempt is allowed.
         retry_after: Micros,
     },
 }
 
-/// Who is told of what became known here.
+/// Recipients of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Audience {
-    /// The few nodes that keep account of the request.
-    Keepers,
-    /// Every node.
-    Everyone,
+    /// The owners of the request: the few nodes responsible for its lease and history.
+    Owners,
+    AllNodes,
 }
 
-/// The run that has the lease of a request.
+/// The current lease of a request.
 #[derive(Clone, Copy, Debug)]
 struct HeldLease {
     run: RunId,
-    /// When another may have it although this one is not over.
+    /// Expiry of the lease.
     until: Micros,
 }
 
-/// First strikes that every node was told of within a second.
+/// First strikes broadcast to all nodes within the current second.
 #[derive(Clone, Copy, Debug, Default)]
-struct ToldStrikes {
+struct BroadcastCount {
     second: u64,
     count: u32,
 }
@@ -138,254 +133,269 @@
 #[derive(Clone, Debug, Default)]
 struct Entry {
     route: String,
-    evidence: Evidence,
-    /// The run that has the lease. Kept by the node that is asked for it.
+    history: CrashHistory,
+    /// The current lease, if this node granted it.
     lease: Option<HeldLease>,
-    /// The strikes that every node was told of.
-    told_everyone: u32,
-    /// Whether something was learnt that the keepers were not told.
-    untold: bool,
+    /// Number of strikes last broadcast to all nodes.
+    broadcast_strikes: u32,
+    /// Whether the history changed since the last update to the owners.
+    has_unsent_update: bool,
 }
 
-/// What a node knows of requests that back ends ended under.
+/// Crash histories of requests, as known to one node.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     requests: HashMap<RequestDigest, Entry>,
-    told: ToldStrikes,
+    broadcasts: BroadcastCount,
 }
 
-/// A request that something speaks against, for operators.
+/// A request with strikes, for operators.
 #[derive(Clone, Debug)]
 pub struct Suspect<'a> {
-    /// The request.
     pub digest: RequestDigest,
-    /// Its route.
     pub route: &'a str,
-    /// What is known of it.
-    pub evidence: &'a Evidence,
-    /// What may be done with it.
-    pub standing: Standing,
+    pub history: &'a CrashHistory,
+    pub status: QuarantineStatus,
 }
 
 impl Entry {
-    fn standing(&self, now: Micros) -> Standing {
-        match self.evidence.strikes() {
-            0 => Standing::Clear,
-            strikes if strikes < STRIKES => Standing::Suspect,
+    fn status(&self, now: Micros) -> QuarantineStatus {
+        match self.history.strikes() {
+            0 => QuarantineStatus::Clear,
+            strikes if strikes < QUARANTINE_STRIKES => QuarantineStatus::Suspect,
             strikes => {
-                let until = self.evidence.last_end().plus(hold(strikes));
-                if now < until { Standing::Held { until } } else { Standing::OnTrial }
+                let until = self.history.last_crash_at().plus(hold(strikes));
+                if now < until {
+                    QuarantineStatus::Quarantined { until }
+                } else {
+                    QuarantineStatus::Probation
+                }
             }
         }
     }
 
-    /// Whether a run at a service may go beside others: one has ended well since the last strike, and, from the
-    /// second strike on, nothing speaks against the request at that service.
-    fn may_run_beside_others(&self, service: &ServiceName) -> bool {
-        let strikes = self.evidence.strikes();
-        self.evidence.survived_since() && (strikes <= 1 || !self.evidence.is_held_against(service))
+    /// Whether a run at `service` may start without a lease: a run succeeded since the last crash and, from
+    /// the second strike on, no crash at `service` counts against the request.
+    fn allows_concurrent_run(&self, service: &ServiceName) -> bool {
+        let strikes = self.history.strikes();
+        self.history.succeeded_since_last_crash() && (strikes <= 1 || !self.history.has_crash_at(service))
     }
 
-    /// Whether nothing of it matters any more.
-    fn is_outdated(&self, now: Micros) -> bool {
-        let strikes = self.evidence.strikes();
-        let held = if strikes >= STRIKES { hold(strikes) } else { Micros(0) };
-        let memory = if strikes == 0 { CLEARED_MEMORY } else { MEMORY };
-        now > self.evidence.last_event().plus(held).plus(memory)
+    /// Whether the entry can be removed.
+    fn is_expired(&self, now: Micros) -> bool {
+        let strikes = self.history.strikes();
+        let held = if strikes >= QUARANTINE_STRIKES { hold(strikes) } else { Micros(0) };
+        let retention = if strikes == 0 { CLEARED_RETENTION } else { RETENTION };
+        now > self.history.last_event().plus(held).plus(retention)
     }
 }
 
-/// How long a request with so many strikes is held back.
+/// Duration of the quarantine for a number of strikes.
 fn hold(strikes: u32) -> Micros {
-    let growth = HOLD_GROWTH.saturating_pow(strikes.saturating_sub(STRIKES));
+    let growth = HOLD_GROWTH.saturating_pow(strikes.saturating_sub(QUARANTINE_STRIKES));
     Micros(FIRST_HOLD.0.saturating_mul(growth)).min(LONGEST_HOLD)
 }
 
 impl Quarantine {
-    /// What may be done with a request.
-    pub fn standing(&self, digest: &RequestDigest, now: Micros) -> Standing {
-        self.requests.get(digest).map_or(Standing::Clear, |entry| entry.standing(now))
+    pub fn status(&self, digest: &RequestDigest, now: Micros) -> QuarantineStatus {
+        self.requests.get(digest).map_or(QuarantineStatus::Clear, |entry| entry.status(now))
     }
 
-    /// Whether anything is known of any request.
+    /// Whether no request is tracked.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Whether a run at a service may begin now.
+    /// Whether a run at `service` may start now.
     pub fn permit(&self, digest: &RequestDigest, service: &ServiceName, now: Micros) -> RunPermit {
         let Some(entry) = self.requests.get(digest) else {
             return RunPermit::Free;
         };
-        match entry.standing(now) {
-            Standing::Clear => RunPermit::Free,
-            Standing::Held { until } => RunPermit::Refused { retry_after: until.since(now) },
-            Standing::Suspect | Standing::OnTrial if entry.may_run_beside_others(service) => RunPermit::Free,
-            Standing::Suspect | Standing::OnTrial => RunPermit::Alone,
+        match entry.status(now) {
+            QuarantineStatus::Clear => RunPermit::Free,
+            QuarantineStatus::Quarantined { until } => RunPermit::Refused { retry_after: until.since(now) },
+            QuarantineStatus::Suspect | QuarantineStatus::Probation
+                if entry.allows_concurrent_run(service) =>
+            {
+                RunPermit::Free
+            }
+            QuarantineStatus::Suspect | QuarantineStatus::Probation => RunPermit::NeedsLease,
         }
     }
 
-    /// Gives a run the lease of its request; false while another has it. All nodes ask one of them, so
-    /// that attempts which come in at several at once cost one back end.
+    /// Grants the lease of a request to a run; returns false while another run holds it. All nodes ask the
+    /// same owner, so that concurrent attempts on several nodes cost one back end.
     pub fn grant(&mut self, digest: &RequestDigest, wanted: LeaseRequest, now: Micros) -> bool {
         let Some(entry) = self.requests.get_mut(digest) else {
-            // Nothing speaks against it here; what the asker knows was told before.
+            // No crash is known here: the notice that came with the lease request was merged before.
             return true;
         };
         let taken = entry.lease.is_some_and(|lease| lease.run != wanted.run && now < lease.until);
         if !taken {
-            entry.lease = Some(HeldLease { run: wanted.run, until: now.plus(wanted.lasts) });
+            entry.lease = Some(HeldLease { run: wanted.run, until: now.plus(wanted.duration) });
         }
         !taken
     }
 
-    /// A run is over: another may begin. Returns whether it had the lease.
-    pub fn over(&mut self, digest: &RequestDigest, run: RunId) -> bool {
+    /// Releases the lease of a finished run. Returns whether the run held it.
+    pub fn release_lease(&mut self, digest: &RequestDigest, run: RunId) -> bool {
         let Some(entry) = self.requests.get_mut(digest) else {
             return false;
         };
-        let had = entry.lease.is_some_and(|lease| lease.run == run);
-        if had {
+        let held_lease = entry.lease.is_some_and(|lease| lease.run == run);
+        if held_lease {
             entry.lease = None;
         }
-        had
+        held_lease
     }
 
-    /// A back end ended under a run. Returns what the request's standing was before.
-    pub fn crashed(&mut self, digest: RequestDigest, route: &str, run: CrashedRun, now: Micros) -> Standing {
-        let before = self.standing(&digest, now);
+    /// Records a crash of a back end during a run. Returns the status of the request before the crash.
+    pub fn record_crash(
+        &mut self,
+        digest: RequestDigest,
+        route: &str,
+        run: CrashedRun,
+        now: Micros,
+    ) -> QuarantineStatus {
+        let before = self.status(&digest, now);
         if !self.requests.contains_key(&digest) {
-            self.make_room(now);
+            self.evict_if_full(now);
         }
         let entry = self.requests.entry(digest).or_default();
         if entry.route.is_empty() {
             entry.route = route.to_string();
         }
-        entry.untold |= entry.evidence.crashed(run);
+        entry.has_unsent_update |= entry.history.record_crash(run);
         before
     }
 
-    /// A run ended well. Returns whether that takes something back.
-    pub fn survived(&mut self, digest: &RequestDigest, service: &ServiceName, started_at: Micros) -> bool {
+    /// Records a successful run. Returns whether the history changed.
+    pub fn record_success(
+        &mut self,
+        digest: &RequestDigest,
+        service: &ServiceName,
+        started_at: Micros,
+    ) -> bool {
         let Some(entry) = self.requests.get_mut(digest) else {
             return false;
         };
-        let news = entry.evidence.survived(service, started_at);
-        entry.untold |= news;
-        news
+        let changed = entry.history.record_success(service, started_at);
+        entry.has_unsent_update |= changed;
+        changed
     }
 
-    /// An operator releases a request. Returns whether it is known here.
+    /// Releases a request from quarantine on behalf of an operator. Returns whether the request is tracked
+    /// here.
     pub fn release(&mut self, digest: &RequestDigest, now: Micros) -> bool {
         let Some(entry) = self.requests.get_mut(digest) else {
             return false;
         };
-        entry.evidence.released(now);
-        entry.untold = true;
-        // Also nodes that heard of it on other ways.
-        entry.told_everyone = entry.told_everyone.max(1);
+        entry.history.record_release(now);
+        entry.has_unsent_update = true;
+        // Broadcast the release, since any node may have learned of the crashes from its peers.
+        entry.broadcast_strikes = entry.broadcast_strikes.max(1);
         true
     }
 
-    /// Another node told of a request; `to_everyone` says that it told every node. Returns whether anything
-    /// was news.
-    pub fn heard(&mut self, notice: &QuarantineNotice, to_everyone: bool, now: Micros) -> bool {
+    /// Merges a notice from another node; `is_broadcast` means that it was sent to all nodes. Returns whether
+    /// the history changed.
+    pub fn merge_notice(&mut self, notice: &QuarantineNotice, is_broadcast: bool, now: Micros) -> bool {
         if !self.requests.contains_key(&notice.digest) {
             if notice.crashes.is_empty() {
                 return false;
             }
-            self.make_room(now);
+            self.evict_if_full(now);
         }
         let entry = self.requests.entry(notice.digest).or_default();
         if entry.route.is_empty() {
             entry.route = notice.route.clone();
         }
-        let news = notice.merge_into(&mut entry.evidence, now);
-        if to_everyone {
-            entry.told_everyone = entry.evidence.strikes();
+        let changed = notice.merge_into(&mut entry.history, now);
+        if is_broadcast {
+            entry.broadcast_strikes = entry.history.strikes();
         }
-        news
+        changed
     }
 
-    /// What became known here and is still to be told, and to whom. Each is given out once: nodes that do not get it
-    /// hear of it when they compare what they know with another.
-    pub fn take_news(&mut self, now: Micros) -> Vec<(QuarantineNotice, Audience)> {
-        let mut news = Vec::new();
+    /// Returns pending updates with their recipients. Each update is returned once; nodes that miss it catch
+    /// up by anti-entropy.
+    pub fn take_updates(&mut self, now: Micros) -> Vec<(QuarantineNotice, Audience)> {
+        let mut updates = Vec::new();
         let second = now.0 / 1_000_000;
-        if self.told.second != second {
-            self.told = ToldStrikes { second, count: 0 };
+        if self.broadcasts.second != second {
+            self.broadcasts = BroadcastCount { second, count: 0 };
         }
         for (digest, entry) in &mut self.requests {
-            let strikes = entry.evidence.strikes();
-            // What everyone was told is taken back before everyone.
-            let mut everyone = (strikes >= 2 && strikes > entry.told_everyone)
-                || (strikes < entry.told_everyone && entry.untold);
-            let is_first = strikes == 1 && entry.told_everyone == 0 && entry.untold;
-            if is_first && self.told.count < FIRST_STRIKES_TOLD_PER_S {
-                self.told.count += 1;
-                everyone = true;
+            let strikes = entry.history.strikes();
+            // Strikes that were broadcast are also withdrawn by broadcast.
+            let mut to_all = (strikes >= 2 && strikes > entry.broadcast_strikes)
+                || (strikes < entry.broadcast_strikes && entry.has_unsent_update);
+            let is_first = strikes == 1 && entry.broadcast_strikes == 0 && entry.has_unsent_update;
+            if is_first && self.broadcasts.count < FIRST_STRIKE_BROADCASTS_PER_S {
+                self.broadcasts.count += 1;
+                to_all = true;
             }
-            if !everyone && !entry.untold {
+            if !to_all && !entry.has_unsent_update {
                 continue;
             }
-            entry.untold = false;
-            let audience = if everyone { Audience::Everyone } else { Audience::Keepers };
-            if everyone {
-                entry.told_everyone = strikes;
+            entry.has_unsent_update = false;
+            let audience = if to_all { Audience::AllNodes } else { Audience::Owners };
+            if to_all {
+                entry.broadcast_strikes = strikes;
             }
-            news.push((QuarantineNotice::of(*digest, &entry.route, &entry.evidence, now), audience));
+            updates.push((QuarantineNotice::of(*digest, &entry.route, &entry.history, now), audience));
         }
-        news
+        updates
     }
 
-    /// What is known of one request, as it is told to a node that is handed a part of it.
+    /// Notice about one request, for a node to which a part of the request is delegated.
     pub fn notice(&self, digest: &RequestDigest, now: Micros) -> Option<QuarantineNotice> {
         let entry = self.requests.get(digest)?;
-        Some(QuarantineNotice::of(*digest, &entry.route, &entry.evidence, now))
+        Some(QuarantineNotice::of(*digest, &entry.route, &entry.history, now))
     }
 
-    /// What is known, for another node to compare with; of many, those with the most strikes.
+    /// Notices for anti-entropy with another node, limited to the requests with the most strikes.
     pub fn notices(&self, now: Micros) -> Vec<QuarantineNotice> {
         let mut known: Vec<(&RequestDigest, &Entry)> = self.requests.iter().collect();
-        known.sort_by_key(|(digest, entry)| (std::cmp::Reverse(entry.evidence.strikes()), **digest));
+        known.sort_by_key(|(digest, entry)| (std::cmp::Reverse(entry.history.strikes()), **digest));
         let notice = |(digest, entry): &(&RequestDigest, &Entry)| {
-            QuarantineNotice::of(**digest, &entry.route, &entry.evidence, now)
+            QuarantineNotice::of(**digest, &entry.route, &entry.history, now)
         };
         known.iter().take(NOTICES_PER_MESSAGE).map(notice).collect()
     }
 
-    /// The requests that something speaks against, for operators.
+    /// Requests with strikes, for operators.
     pub fn suspects<'a>(&'a self, now: Micros) -> Vec<Suspect<'a>> {
         let suspect = |(digest, entry): (&RequestDigest, &'a Entry)| Suspect {
             digest: *digest,
             route: &entry.route,
-            evidence: &entry.evidence,
-            standing: entry.standing(now),
+            history: &entry.history,
+            status: entry.status(now),
         };
         let mut suspects: Vec<Suspect<'a>> = self.requests.iter().map(suspect).collect();
-        suspects.retain(|suspect| suspect.standing != Standing::Clear);
-        suspects.sort_by_key(|suspect| (std::cmp::Reverse(suspect.evidence.strikes()), suspect.digest));
+        suspects.retain(|suspect| suspect.status != QuarantineStatus::Clear);
+        suspects.sort_by_key(|suspect| (std::cmp::Reverse(suspect.history.strikes()), suspect.digest));
         suspects
     }
 
-    /// Back ends that ended under requests, of those that are kept, and when.
+    /// Replicas with a recorded crash, and when the crash became known.
     pub fn ended_replicas(&self) -> Vec<(ReplicaId, Micros)> {
-        let crashes = self.requests.values().flat_map(|entry| entry.evidence.crashes());
+        let crashes = self.requests.values().flat_map(|entry| entry.history.crashes());
         crashes.map(|run| (run.replica.clone(), run.known_at)).collect()
     }
 
-    /// Requests that are remembered.
+    /// Number of tracked requests.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Forgets what is outdated.
+    /// Removes expired entries.
     pub fn expire(&mut self, now: Micros) {
-        self.requests.retain(|_, entry| !entry.is_outdated(now));
+        self.requests.retain(|_, entry| !entry.is_expired(now));
     }
 
-    /// Makes room for one more request.
-    fn make_room(&mut self, now: Micros) {
+    /// Evicts the entry with the fewest strikes if the table is full.
+    fn evict_if_full(&mut self, now: Micros) {
         if self.requests.len() < MAXIMUM_REQUESTS {
             return;
         }
@@ -396,7 +406,7 @@
         let least = self
             .requests
             .iter()
-            .min_by_key(|(digest, entry)| (entry.evidence.strikes(), entry.evidence.last_event(), **digest));
+            .min_by_key(|(digest, entry)| (entry.history.strikes(), entry.history.last_event(), **digest));
         if let Some(digest) = least.map(|(digest, _)| *digest) {
             self.requests.remove(&digest);
         }
