--- a/crates/sablebay-node/src/partial_search.rs
+++ b/crates/sablebay-node/src/partial_search.rs
@@ -40,12 +40,8 @@
     if plan.partitions() != partial.partitions {
         return refuse(Reason::NoReplica, "the index map in force here lacks some of the partitions");
     }
-    let request = SearchRequest {
-        deadline,
-        limit: partial.limit as usize,
-        order: partial.order,
-        may_plan_again: false,
-    };
+    let request =
+        SearchRequest { deadline, limit: partial.limit as usize, order: partial.order, may_replan: false };
     let search = Search::new(request, plan, partial.version);
     let result = drive(shared, service.direct_route(), outgoing, search).await;
     let versions = service.direct.lock().versions_for(&partial.partitions);
--- a/crates/sablebay-node/src/root_search.rs
+++ b/crates/sablebay-node/src/root_search.rs
@@ -146,7 +146,7 @@
         coalesce: Micros(settings.coalesce_us),
         batch: settings.batch as usize,
     });
-    let request = SearchRequest { deadline, limit: input.limit, order: input.sort, may_plan_again: true };
+    let request = SearchRequest { deadline, limit: input.limit, order: input.sort, may_replan: true };
     let route = if state.uses_peers() {
         ensure_peer_versions(shared, state, deadline).await;
         state.peer_route()
--- a/crates/sablebay-node/src/search_driver.rs
+++ b/crates/sablebay-node/src/search_driver.rs
@@ -9,8 +9,8 @@
 use sablebay_model::{CallId, Micros, PartitionSet, SnapshotVersion};
 use sablebay_protocol::peer::{PartialSearch, PeerRequest, PeerResponse};
 use sablebay_query::{
-    Action, AttemptNumber, CallFailure, Coverage, LoadReport, ReplicaIndex, Search, SearchResult,
-    ShardAnswer, Target, Turn,
+    Action, AttemptNumber, CallFailure, Coverage, LoadReport, ReplicaIndex, Search, SearchContext,
+    SearchResult, ShardAnswer, Target,
 };
 
 use crate::fleet_task::note_leaf;
@@ -65,7 +65,7 @@
         draining_seen: Vec::new(),
     };
     let mut actions = Vec::new();
-    search.start(&mut Turn {
+    search.start(&mut SearchContext {
         routing: &mut route.routing.lock(),
         now: shared.clock.now(),
         random: &mut random,
@@ -84,7 +84,7 @@
         let now = shared.clock.now();
         {
             let routing = &mut route.routing.lock();
-            let mut turn = Turn { routing, now, random: &mut random, actions: &mut actions };
+            let mut turn = SearchContext { routing, now, random: &mut random, actions: &mut actions };
             for event in events.drain(..) {
                 driver.note(&event);
                 feed(search, event, &mut turn);
@@ -99,7 +99,7 @@
     guard.search.take().expect("the search is taken once").into_result()
 }
 
-fn feed(search: &mut Search, event: CallEvent, turn: &mut Turn<'_, SmallRng>) {
+fn feed(search: &mut Search, event: CallEvent, turn: &mut SearchContext<'_, SmallRng>) {
     match event.outcome {
         Ok(answer) => {
             search.on_answer(event.attempt, answer, turn);
@@ -127,7 +127,7 @@
         };
         let mut actions = Vec::new();
         let now = self.driver.shared.clock.now();
-        search.abandon(&mut Turn {
+        search.abandon(&mut SearchContext {
             routing: &mut self.driver.route.routing.lock(),
             now,
             random: &mut SmallRng::seed_from_u64(0),
--- a/crates/sablebay-node/src/service_state.rs
+++ b/crates/sablebay-node/src/service_state.rs
@@ -325,6 +325,6 @@
         }
         let mut queue = self.state.admission.lock();
         queue.waiting.remove(&self.id);
-        queue.machine.give_up(self.id);
+        queue.machine.cancel(self.id);
     }
 }
--- a/crates/sablebay-query/src/admission.rs
+++ b/crates/sablebay-query/src/admission.rs
@@ -106,7 +106,7 @@
     }
 
     /// A waiter gives up. Harmless when it has started in the meantime or is gone.
-    pub fn give_up(&mut self, id: WaiterId) {
+    pub fn cancel(&mut self, id: WaiterId) {
         self.waiting.retain(|waiter| waiter.id != id);
     }
 
--- a/crates/sablebay-query/src/coverage.rs
+++ b/crates/sablebay-query/src/coverage.rs
@@ -64,7 +64,7 @@
     }
 
     /// Whether this divides exactly `asked` into answered and missing partitions, each once.
-    pub fn divides(&self, asked: &PartitionSet) -> bool {
+    pub fn covers_exactly(&self, asked: &PartitionSet) -> bool {
         let mut whole = self.answered.clone();
         for gap in &self.missing {
             if whole.intersects(&gap.partitions) {
--- a/crates/sablebay-query/src/lib.rs
+++ b/crates/sablebay-query/src/lib.rs
@@ -20,6 +20,6 @@
 pub use replica::{LoadReport, ReplicaIndex, ReplicaState, Target};
 pub use routing::{Mechanisms, RoutingSettings, ServiceRouting};
 pub use search::{
-    Action, AttemptKind, AttemptNumber, CallFailure, Search, SearchRequest, SearchResult, ShardAnswer, Turn,
-    Work,
+    Action, AttemptKind, AttemptNumber, CallFailure, Search, SearchContext, SearchRequest, SearchResult,
+    ShardAnswer, Work,
 };
--- a/crates/sablebay-query/src/routing.rs
+++ b/crates/sablebay-query/src/routing.rs
@@ -131,7 +131,7 @@
     }
 
     /// Notes whether a first call was answered within its expected time.
-    pub fn record_timeliness(&mut self, late: bool) {
+    pub fn record_lateness(&mut self, late: bool) {
         let observed = f64::from(u8::from(late));
         self.late_share += LATE_SHARE_WEIGHT * (observed - self.late_share);
     }
--- a/crates/sablebay-query/src/search.rs
+++ b/crates/sablebay-query/src/search.rs
@@ -35,7 +35,7 @@
 const HEDGE_RECHECK: Micros = Micros(5_000);
 
 /// What a step of the machine works with.
-pub struct Turn<'a, R> {
+pub struct SearchContext<'a, R> {
     /// The service's state.
     pub routing: &'a mut ServiceRouting,
     /// Now.
@@ -89,7 +89,7 @@
     }
 
     /// Sends the first call for each shard.
-    pub fn start<R: Rng>(&mut self, turn: &mut Turn<'_, R>) {
+    pub fn start<R: Rng>(&mut self, turn: &mut SearchContext<'_, R>) {
         self.plans += 1;
         if turn.now >= self.request.deadline {
             self.finish_all(GapReason::Late, turn);
@@ -104,7 +104,7 @@
         self.after_change(turn);
     }
 
-    fn set_hedge_time<R: Rng>(&mut self, turn: &mut Turn<'_, R>) {
+    fn set_hedge_time<R: Rng>(&mut self, turn: &mut SearchContext<'_, R>) {
         if self.plan.through_peers {
             let remaining = self.request.deadline.since(turn.now).0 as f64;
             self.hedge_at = turn.now.plus(Micros((remaining * PEER_PATIENCE) as u64));
@@ -119,7 +119,7 @@
     }
 
     /// Sends one call for a shard; false when no replica is left.
-    fn dispatch<R: Rng>(&mut self, shard: usize, kind: AttemptKind, turn: &mut Turn<'_, R>) -> bool {
+    fn dispatch<R: Rng>(&mut self, shard: usize, kind: AttemptKind, turn: &mut SearchContext<'_, R>) -> bool {
         let planned = &self.plan.shards[shard];
         let tried = &self.shards[shard].tried;
         let replica = if turn.routing.settings.mechanisms.observation {
@@ -153,7 +153,11 @@
     }
 
     /// The attempt, if it is open and of the present plan. Anything else is late or repeated.
-    fn take_open<R: Rng>(&mut self, number: AttemptNumber, turn: &mut Turn<'_, R>) -> Option<Attempt> {
+    fn take_open<R: Rng>(
+        &mut self,
+        number: AttemptNumber,
+        turn: &mut SearchContext<'_, R>,
+    ) -> Option<Attempt> {
         let attempt = self.attempts.get_mut(number.0 as usize)?;
         if !attempt.open {
             return None;
@@ -173,7 +177,7 @@
         &mut self,
         number: AttemptNumber,
         answer: ShardAnswer,
-        turn: &mut Turn<'_, R>,
+        turn: &mut SearchContext<'_, R>,
     ) -> bool {
         if self.finished {
             return false;
@@ -193,7 +197,7 @@
             return false;
         }
         let asked = &self.plan.shards[attempt.shard].partitions;
-        if mechanisms.partition_check && !answer.coverage.divides(asked) {
+        if mechanisms.partition_check && !answer.coverage.covers_exactly(asked) {
             self.work.discarded += 1;
             self.on_refusal(attempt, CallFailure::Mismatched, turn);
             return false;
@@ -208,7 +212,7 @@
         }
         if turn.now < self.expected_by {
             turn.routing.budget.earn();
-            turn.routing.record_timeliness(false);
+            turn.routing.record_lateness(false);
         }
         self.work += answer.work;
         self.accept(attempt.shard, answer.coverage, answer.hits, turn);
@@ -216,7 +220,13 @@
         true
     }
 
-    fn accept<R: Rng>(&mut self, shard: usize, coverage: Coverage, hits: Vec<Hit>, turn: &mut Turn<'_, R>) {
+    fn accept<R: Rng>(
+        &mut self,
+        shard: usize,
+        coverage: Coverage,
+        hits: Vec<Hit>,
+        turn: &mut SearchContext<'_, R>,
+    ) {
         self.hits.extend(hits);
         self.coverage_parts.push(coverage);
         let progress = &mut self.shards[shard];
@@ -230,7 +240,11 @@
     }
 
     /// Cancels open attempts of the present plan that `selected` picks.
-    fn cancel_attempts<R: Rng>(&mut self, turn: &mut Turn<'_, R>, selected: impl Fn(&Attempt) -> bool) {
+    fn cancel_attempts<R: Rng>(
+        &mut self,
+        turn: &mut SearchContext<'_, R>,
+        selected: impl Fn(&Attempt) -> bool,
+    ) {
         let first = self.first_attempt_of_plan as usize;
         for (offset, attempt) in self.attempts[first..].iter_mut().enumerate() {
             if !attempt.open || !selected(attempt) {
@@ -251,7 +265,7 @@
         number: AttemptNumber,
         failure: CallFailure,
         report: Option<crate::replica::LoadReport>,
-        turn: &mut Turn<'_, R>,
+        turn: &mut SearchContext<'_, R>,
     ) {
         if self.finished {
             return;
@@ -265,8 +279,13 @@
         self.on_refusal(attempt, failure, turn);
     }
 
-    fn on_refusal<R: Rng>(&mut self, attempt: Attempt, failure: CallFailure, turn: &mut Turn<'_, R>) {
-        if failure.blames_replica() {
+    fn on_refusal<R: Rng>(
+        &mut self,
+        attempt: Attempt,
+        failure: CallFailure,
+        turn: &mut SearchContext<'_, R>,
+    ) {
+        if failure.counts_against_replica() {
             turn.routing.balancer.failed(attempt.replica, turn.now);
         }
         let progress = &mut self.shards[attempt.shard];
@@ -278,7 +297,7 @@
     }
 
     /// Sends the work of a failed call to another replica, or closes the shard.
-    fn replace_call<R: Rng>(&mut self, shard: usize, failure: CallFailure, turn: &mut Turn<'_, R>) {
+    fn replace_call<R: Rng>(&mut self, shard: usize, failure: CallFailure, turn: &mut SearchContext<'_, R>) {
         let progress = &self.shards[shard];
         if progress.open_attempts > 0 {
             return;
@@ -289,7 +308,7 @@
         // An aggregator whose connection broke is gone, and its leaf calls with it: whatever was
         // in flight there is sent once more, which no budget for slow days could pay.
         let lost_aggregator = self.plan.through_peers && failure == CallFailure::Broken;
-        let free = failure.is_free_to_repeat() || lost_aggregator;
+        let free = failure.is_budget_exempt() || lost_aggregator;
         let paid = allowed && (free || turn.routing.spend_extra(turn.now));
         if paid && self.dispatch(shard, AttemptKind::Retry, turn) {
             return;
@@ -310,7 +329,7 @@
     }
 
     /// Time has passed. Hedges what is slow; at the deadline closes what is open.
-    pub fn on_wake<R: Rng>(&mut self, turn: &mut Turn<'_, R>) {
+    pub fn on_wake<R: Rng>(&mut self, turn: &mut SearchContext<'_, R>) {
         if self.finished {
             return;
         }
@@ -323,7 +342,7 @@
         }
     }
 
-    fn hedge_slow_shards<R: Rng>(&mut self, turn: &mut Turn<'_, R>) {
+    fn hedge_slow_shards<R: Rng>(&mut self, turn: &mut SearchContext<'_, R>) {
         let mut refused = false;
         for shard in 0..self.shards.len() {
             let progress = &self.shards[shard];
@@ -335,7 +354,7 @@
             };
             if !self.shards[shard].noted_late {
                 self.shards[shard].noted_late = true;
-                turn.routing.record_timeliness(true);
+                turn.routing.record_lateness(true);
             }
             if !self.has_untried_replica(shard, turn) {
                 self.shards[shard].hedged = true;
@@ -356,7 +375,7 @@
         self.hedge_at = if refused { turn.now.plus(HEDGE_RECHECK) } else { Micros::MAX };
     }
 
-    fn has_untried_replica<R: Rng>(&self, shard: usize, turn: &mut Turn<'_, R>) -> bool {
+    fn has_untried_replica<R: Rng>(&self, shard: usize, turn: &mut SearchContext<'_, R>) -> bool {
         let planned = &self.plan.shards[shard];
         let tried = &self.shards[shard].tried;
         turn.routing.balancer.choose(&planned.replicas, tried, self.version, turn.now, turn.random).is_some()
@@ -369,7 +388,7 @@
     }
 
     /// The deadline has come: every open call counts as a failure of its replica.
-    fn expire<R: Rng>(&mut self, turn: &mut Turn<'_, R>) {
+    fn expire<R: Rng>(&mut self, turn: &mut SearchContext<'_, R>) {
         let first = self.first_attempt_of_plan as usize;
         let silent: Vec<ReplicaIndex> =
             self.attempts[first..].iter().filter(|attempt| attempt.open).map(|a| a.replica).collect();
@@ -379,7 +398,7 @@
         self.finish_all(GapReason::Late, turn);
     }
 
-    fn finish_all<R: Rng>(&mut self, reason: GapReason, turn: &mut Turn<'_, R>) {
+    fn finish_all<R: Rng>(&mut self, reason: GapReason, turn: &mut SearchContext<'_, R>) {
         self.cancel_attempts(turn, |_| true);
         for shard in 0..self.shards.len() {
             self.close_shard(shard, reason);
@@ -388,7 +407,7 @@
     }
 
     /// Plans again when the version vanished, or finishes when no shard is open.
-    fn after_change<R: Rng>(&mut self, turn: &mut Turn<'_, R>) {
+    fn after_change<R: Rng>(&mut self, turn: &mut SearchContext<'_, R>) {
         if self.finished {
             return;
         }
@@ -406,14 +425,13 @@
     fn should_plan_again(&self, routing: &ServiceRouting, now: Micros) -> bool {
         let worthwhile =
             routing.settings.coverage_first || (self.open_shards == 0 && self.coverage_parts.is_empty());
-        let possible =
-            self.request.may_plan_again && self.plans < MAXIMUM_PLANS && now < self.request.deadline;
+        let possible = self.request.may_replan && self.plans < MAXIMUM_PLANS && now < self.request.deadline;
         let plan_changed = !Arc::ptr_eq(&self.plan, &routing.plan);
         let other_version = routing.best_version(None).is_some_and(|version| version != self.version);
         worthwhile && possible && (plan_changed || other_version)
     }
 
-    fn plan_again<R: Rng>(&mut self, turn: &mut Turn<'_, R>) {
+    fn plan_again<R: Rng>(&mut self, turn: &mut SearchContext<'_, R>) {
         self.cancel_attempts(turn, |_| true);
         self.version = turn.routing.best_version(None).unwrap_or(self.version);
         self.plan = turn.routing.plan.clone();
@@ -423,7 +441,7 @@
         self.hits.clear();
         self.coverage_parts.clear();
         self.version_gone = false;
-        self.work.plans_again += 1;
+        self.work.replans += 1;
         self.start(turn);
     }
 
@@ -443,7 +461,7 @@
     }
 
     /// The caller went away: cancels what is open.
-    pub fn abandon<R: Rng>(&mut self, turn: &mut Turn<'_, R>) {
+    pub fn abandon<R: Rng>(&mut self, turn: &mut SearchContext<'_, R>) {
         self.cancel_attempts(turn, |_| true);
         self.finished = true;
     }
--- a/crates/sablebay-query/src/search/attempt.rs
+++ b/crates/sablebay-query/src/search/attempt.rs
@@ -51,12 +51,12 @@
 
 impl CallFailure {
     /// Whether the replica's own fitness is in doubt.
-    pub fn blames_replica(self) -> bool {
+    pub fn counts_against_replica(self) -> bool {
         matches!(self, CallFailure::NotSent | CallFailure::Broken | CallFailure::Mismatched)
     }
 
     /// Whether repeating the call elsewhere adds no load: it is known that it did not run.
-    pub fn is_free_to_repeat(self) -> bool {
+    pub fn is_budget_exempt(self) -> bool {
         matches!(self, CallFailure::NotSent | CallFailure::NotHeld | CallFailure::Draining)
     }
 
--- a/crates/sablebay-query/src/search/request.rs
+++ b/crates/sablebay-query/src/search/request.rs
@@ -23,7 +23,7 @@
     pub order: SortOrder,
     /// Whether the query may start again at another version. An aggregator's part may not: the
     /// root pins the version.
-    pub may_plan_again: bool,
+    pub may_replan: bool,
 }
 
 /// What the shell has to do.
@@ -80,7 +80,8 @@
     /// Answers that were late, repeated or did not fit, and were discarded.
     pub discarded: u64,
     /// Times the whole query was planned again at another version.
-    pub plans_again: u64,
+    #[serde(rename = "plans_again")]
+    pub replans: u64,
 }
 
 /// The result of a query.
--- a/crates/sablebay-query/tests/search_properties.rs
+++ b/crates/sablebay-query/tests/search_properties.rs
@@ -11,7 +11,7 @@
 use sablebay_model::{Hit, LeafId, Micros, PartitionSet, Revision, SnapshotVersion, SortOrder, ZoneName};
 use sablebay_query::{
     Action, AttemptNumber, CallFailure, Coverage, LoadReport, Mechanisms, PlannedShard, RoutingSettings,
-    Search, SearchRequest, SearchResult, ServiceRouting, ShardAnswer, ShardPlan, Target, Turn, Work,
+    Search, SearchContext, SearchRequest, SearchResult, ServiceRouting, ShardAnswer, ShardPlan, Target, Work,
 };
 
 const SHARDS: u32 = 4;
@@ -131,12 +131,17 @@
     let mut routing = routing(world.coverage_first, mechanisms, now);
     let mut random = SmallRng::seed_from_u64(world.seed);
     let request =
-        SearchRequest { deadline: DEADLINE, limit: 100, order: SortOrder::Descending, may_plan_again: true };
+        SearchRequest { deadline: DEADLINE, limit: 100, order: SortOrder::Descending, may_replan: true };
     let mut search = Search::new(request, routing.plan.clone(), SnapshotVersion(2));
     let mut actions = Vec::new();
     let mut pending: Vec<(Micros, Event)> = Vec::new();
     let (mut dispatched_at, mut step) = (Vec::new(), 0);
-    search.start(&mut Turn { routing: &mut routing, now, random: &mut random, actions: &mut actions });
+    search.start(&mut SearchContext {
+        routing: &mut routing,
+        now,
+        random: &mut random,
+        actions: &mut actions,
+    });
     while !search.is_finished() {
         for action in actions.drain(..) {
             let Action::Dispatch { attempt, partitions, version, .. } = action else { continue };
@@ -153,7 +158,8 @@
             now = now.plus(Micros::from_millis(pause_ms));
         }
         step += 1;
-        let mut turn = Turn { routing: &mut routing, now, random: &mut random, actions: &mut actions };
+        let mut turn =
+            SearchContext { routing: &mut routing, now, random: &mut random, actions: &mut actions };
         if search.next_wake() <= now {
             search.on_wake(&mut turn);
         } else {
@@ -237,7 +243,7 @@
     fn coverage_is_true_and_nothing_is_doubled(world in world()) {
         let run = run(&world, Mechanisms::default());
         let whole = PartitionSet::all(SHARDS * PARTITIONS_PER_SHARD);
-        prop_assert!(run.result.coverage.divides(&whole), "{:?}", run.result.coverage);
+        prop_assert!(run.result.coverage.covers_exactly(&whole), "{:?}", run.result.coverage);
         prop_assert!(hits_fit_coverage(&run.result));
     }
 
@@ -286,13 +292,19 @@
     let mut routing = routing(true, Mechanisms::default(), now);
     let mut random = SmallRng::seed_from_u64(1);
     let request =
-        SearchRequest { deadline: DEADLINE, limit: 100, order: SortOrder::Descending, may_plan_again: true };
+        SearchRequest { deadline: DEADLINE, limit: 100, order: SortOrder::Descending, may_replan: true };
     let mut search = Search::new(request, routing.plan.clone(), SnapshotVersion(2));
     let mut actions = Vec::new();
-    search.start(&mut Turn { routing: &mut routing, now, random: &mut random, actions: &mut actions });
+    search.start(&mut SearchContext {
+        routing: &mut routing,
+        now,
+        random: &mut random,
+        actions: &mut actions,
+    });
     for _ in 0..100 {
         let Some(Action::Dispatch { attempt, partitions, version, .. }) = actions.pop() else { continue };
-        let mut turn = Turn { routing: &mut routing, now, random: &mut random, actions: &mut actions };
+        let mut turn =
+            SearchContext { routing: &mut routing, now, random: &mut random, actions: &mut actions };
         if version == SnapshotVersion(2) && partitions.contains(0) {
             let report = LoadReport { versions: vec![SnapshotVersion(1)], slots: 4, ..LoadReport::default() };
             search.on_failure(attempt, CallFailure::NotHeld, Some(report), &mut turn);
@@ -307,7 +319,7 @@
     assert_eq!(result.version, SnapshotVersion(1));
     assert!(result.coverage.is_full());
     assert!(!is_mixed(&result));
-    assert_eq!(result.work.plans_again, 1);
+    assert_eq!(result.work.replans, 1);
 }
 
 /// An aggregator that is lost with a query in flight is replaced, also when the budget is empty;
@@ -321,19 +333,21 @@
         routing.plan = Arc::new(ShardPlan { through_peers, ..(*routing.plan).clone() });
         while routing.spend_extra(now) {}
         let mut random = SmallRng::seed_from_u64(1);
-        let request = SearchRequest {
-            deadline: DEADLINE,
-            limit: 100,
-            order: SortOrder::Descending,
-            may_plan_again: true,
-        };
+        let request =
+            SearchRequest { deadline: DEADLINE, limit: 100, order: SortOrder::Descending, may_replan: true };
         let mut search = Search::new(request, routing.plan.clone(), SnapshotVersion(2));
         let mut actions = Vec::new();
-        search.start(&mut Turn { routing: &mut routing, now, random: &mut random, actions: &mut actions });
+        search.start(&mut SearchContext {
+            routing: &mut routing,
+            now,
+            random: &mut random,
+            actions: &mut actions,
+        });
         let mut first = true;
         while let Some(action) = actions.pop() {
             let Action::Dispatch { attempt, partitions, version, .. } = action else { continue };
-            let mut turn = Turn { routing: &mut routing, now, random: &mut random, actions: &mut actions };
+            let mut turn =
+                SearchContext { routing: &mut routing, now, random: &mut random, actions: &mut actions };
             if std::mem::take(&mut first) {
                 search.on_failure(attempt, CallFailure::Broken, None, &mut turn);
             } else {
