--- a/crates/sablebay-query/src/admission.rs
+++ b/crates/sablebay-query/src/admission.rs
@@ -77,8 +77,8 @@
             return Arrival::Run;
         }
         let wait_us = self.expected_wait_us();
-        let in_vain = now.0 as f64 + wait_us >= deadline.0 as f64;
-        if self.waiting.len() >= self.queue as usize || in_vain {
+        let would_expire = now.0 as f64 + wait_us >= deadline.0 as f64;
+        if self.waiting.len() >= self.queue as usize || would_expire {
             let (lowest, highest) = RETRY_AFTER_LIMITS;
             let retry_after_ms = ((wait_us / 1_000.0) as u64).clamp(lowest, highest);
             return Arrival::Refuse { retry_after_ms };
--- a/crates/sablebay-query/src/budget.rs
+++ b/crates/sablebay-query/src/budget.rs
@@ -10,7 +10,7 @@
 pub struct ExtraLoadBudget {
     share: f64,
     tokens: f64,
-    last_trickle: Micros,
+    last_refill_at: Micros,
     first_calls: u64,
     extra_calls: u64,
     refused: u64,
@@ -21,7 +21,7 @@
 /// Tokens at the start: enough for the first failures of a service that has had no calls yet.
 const INITIAL_TOKENS: f64 = 1.0;
 /// Tokens a second whatever the traffic, so that a service with little of it can retry at all.
-const TRICKLE_PER_SECOND: f64 = 0.1;
+const REFILL_TOKENS_PER_SECOND: f64 = 0.1;
 
 impl ExtraLoadBudget {
     /// A budget of `percent` of first calls.
@@ -29,7 +29,7 @@
         Self {
             share: percent / 100.0,
             tokens: if percent > 0.0 { INITIAL_TOKENS } else { 0.0 },
-            last_trickle: now,
+            last_refill_at: now,
             first_calls: 0,
             extra_calls: 0,
             refused: 0,
@@ -53,7 +53,7 @@
 
     /// Takes one token for an extra call; false when there is none.
     pub fn spend(&mut self, now: Micros) -> bool {
-        self.trickle(now);
+        self.refill(now);
         if self.tokens < 1.0 {
             self.refused += 1;
             return false;
@@ -63,11 +63,11 @@
         true
     }
 
-    fn trickle(&mut self, now: Micros) {
-        let elapsed = now.since(self.last_trickle).as_secs_f64();
-        self.last_trickle = now;
+    fn refill(&mut self, now: Micros) {
+        let elapsed = now.since(self.last_refill_at).as_secs_f64();
+        self.last_refill_at = now;
         if self.share > 0.0 {
-            self.tokens = (self.tokens + elapsed * TRICKLE_PER_SECOND).min(MAXIMUM_TOKENS);
+            self.tokens = (self.tokens + elapsed * REFILL_TOKENS_PER_SECOND).min(MAXIMUM_TOKENS);
         }
     }
 
--- a/crates/sablebay-query/src/latency.rs
+++ b/crates/sablebay-query/src/latency.rs
@@ -10,7 +10,7 @@
     current: Histogram<u64>,
     previous: Histogram<u64>,
     half: Micros,
-    turned_at: Micros,
+    rotated_at: Micros,
     cached: Option<(f64, Micros, Micros)>,
 }
 
@@ -32,24 +32,24 @@
             current: empty_histogram(),
             previous: empty_histogram(),
             half: Micros((length.0 / 2).max(1)),
-            turned_at: now,
+            rotated_at: now,
             cached: None,
         }
     }
 
     /// Records one latency.
     pub fn record(&mut self, latency: Micros, now: Micros) {
-        self.turn(now);
+        self.rotate(now);
         self.current.saturating_record(latency.0.max(1));
     }
 
-    fn turn(&mut self, now: Micros) {
-        if now.since(self.turned_at) < self.half {
+    fn rotate(&mut self, now: Micros) {
+        if now.since(self.rotated_at) < self.half {
             return;
         }
         std::mem::swap(&mut self.current, &mut self.previous);
         self.current.reset();
-        self.turned_at = now;
+        self.rotated_at = now;
     }
 
     /// The `quantile` (0 to 1) over the window; nothing while there are too few observations.
--- a/crates/sablebay-query/src/replica.rs
+++ b/crates/sablebay-query/src/replica.rs
@@ -77,7 +77,7 @@
 const FAILURES_BEFORE_QUARANTINE: u32 = 2;
 /// Time over which an average that is not refreshed falls back by half: a replica that was slow
 /// gets new trials.
-const FORGIVENESS_HALF_LIFE: Micros = Micros::from_secs(1);
+const LATENCY_HALF_LIFE: Micros = Micros::from_secs(1);
 
 impl ReplicaState {
     /// A replica that was just seen for the first time.
@@ -152,24 +152,24 @@
 
     /// The expected cost of one more call; lower is better.
     pub fn cost(&self, now: Micros, last_answer_age: Micros) -> f64 {
-        let latency = self.remembered_latency(last_answer_age);
+        let latency = self.decayed_latency(last_answer_age);
         let reported = self.report.as_ref().filter(|(_, at)| now.since(*at) <= REPORT_LIFETIME);
         let pressure =
             reported.map_or(0.0, |(report, _)| f64::from(report.in_flight) / f64::from(report.slots.max(1)));
         let failures = 1.0 + f64::from(self.consecutive_failures);
-        latency * f64::from(self.in_flight + 1) * (1.0 + pressure) * failures / self.warmth(now)
+        latency * f64::from(self.in_flight + 1) * (1.0 + pressure) * failures / self.warm_up_weight(now)
     }
 
-    fn remembered_latency(&self, age: Micros) -> f64 {
+    fn decayed_latency(&self, age: Micros) -> f64 {
         if self.latency_us == 0.0 {
             return UNOBSERVED_LATENCY_US;
         }
-        let half_lives = age.as_secs_f64() / FORGIVENESS_HALF_LIFE.as_secs_f64();
+        let half_lives = age.as_secs_f64() / LATENCY_HALF_LIFE.as_secs_f64();
         (self.latency_us * 0.5f64.powf(half_lives)).max(UNOBSERVED_LATENCY_US.min(self.latency_us))
     }
 
     /// The share of its normal weight, from [`INITIAL_WEIGHT`] to one while it warms up.
-    fn warmth(&self, now: Micros) -> f64 {
+    fn warm_up_weight(&self, now: Micros) -> f64 {
         let age = now.since(self.warm_since).as_secs_f64() / WARM_UP.as_secs_f64();
         (INITIAL_WEIGHT + (1.0 - INITIAL_WEIGHT) * age).min(1.0)
     }
--- a/crates/sablebay-query/src/routing.rs
+++ b/crates/sablebay-query/src/routing.rs
@@ -70,8 +70,8 @@
     /// The shards.
     pub plan: Arc<ShardPlan>,
     recent: LatencyWindow,
-    lately: LatencyWindow,
-    usual: LatencyWindow,
+    hedge_window: LatencyWindow,
+    baseline: LatencyWindow,
     late_share: f64,
 }
 
@@ -80,21 +80,21 @@
 /// The window that the hedging quantile is taken over: a small service needs this long for a
 /// quantile near one to rest on more than a few calls.
 const HEDGE_WINDOW: Micros = Micros::from_secs(20);
-/// The window that tells what is usual for the service.
-const USUAL_WINDOW: Micros = Micros::from_secs(60);
+/// The window that tells what is baseline for the service.
+const BASELINE_WINDOW: Micros = Micros::from_secs(60);
 /// Hedge delay while there are too few observations.
 const INITIAL_HEDGE_DELAY: Micros = Micros::from_millis(50);
 /// The shortest hedge delay.
 const MINIMUM_HEDGE_DELAY: Micros = Micros(500);
-/// How many times the usual latency the recent median may be before hedging pauses: when the whole
+/// How many times the baseline latency the recent median may be before hedging pauses: when the whole
 /// service is slow, a second call is slow too.
 const BROWNOUT_FACTOR: u64 = 3;
 /// The share of late calls above which hedging pauses.
 const BROWNOUT_LATE_SHARE: f64 = 0.35;
 /// Weight of one more call in that share: a few late calls in a row are enough.
 const LATE_SHARE_WEIGHT: f64 = 0.25;
-/// What counts as usual: a low quantile, which a slow spell takes longer to move than the median.
-const USUAL_QUANTILE: f64 = 0.25;
+/// What counts as baseline: a low quantile, which a slow spell takes longer to move than the median.
+const BASELINE_QUANTILE: f64 = 0.25;
 
 impl ServiceRouting {
     /// The state of a service that was just configured.
@@ -105,8 +105,8 @@
             settings,
             plan: Arc::default(),
             recent: LatencyWindow::new(RECENT_WINDOW, now),
-            lately: LatencyWindow::new(HEDGE_WINDOW, now),
-            usual: LatencyWindow::new(USUAL_WINDOW, now),
+            hedge_window: LatencyWindow::new(HEDGE_WINDOW, now),
+            baseline: LatencyWindow::new(BASELINE_WINDOW, now),
             late_share: 0.0,
         }
     }
@@ -120,13 +120,13 @@
     /// Records the latency of an answered first call.
     pub fn record_latency(&mut self, latency: Micros, now: Micros) {
         self.recent.record(latency, now);
-        self.lately.record(latency, now);
-        self.usual.record(latency, now);
+        self.hedge_window.record(latency, now);
+        self.baseline.record(latency, now);
     }
 
     /// The time within which a call is expected to be answered: calls that take longer are late.
     pub fn expected_delay(&mut self, now: Micros) -> Micros {
-        let quantile = self.lately.quantile(self.settings.hedge_quantile, now);
+        let quantile = self.hedge_window.quantile(self.settings.hedge_quantile, now);
         quantile.unwrap_or(INITIAL_HEDGE_DELAY).max(MINIMUM_HEDGE_DELAY)
     }
 
@@ -136,7 +136,7 @@
         self.late_share += LATE_SHARE_WEIGHT * (observed - self.late_share);
     }
 
-    /// Whether a late call may be hedged. Not while the whole service is slower than usual.
+    /// Whether a late call may be hedged. Not while the whole service is slower than baseline.
     pub fn may_hedge(&mut self, now: Micros) -> bool {
         self.hedging_is_on() && (!self.settings.mechanisms.budget || !self.is_brownout(now))
     }
@@ -146,16 +146,16 @@
         self.settings.hedge && self.settings.mechanisms.hedging
     }
 
-    /// Whether the whole service is slower than usual: many calls in a row were late, or the
-    /// recent median is far above what is usual.
+    /// Whether the whole service is slower than baseline: many calls in a row were late, or the
+    /// recent median is far above what is baseline.
     fn is_brownout(&mut self, now: Micros) -> bool {
         if self.late_share > BROWNOUT_LATE_SHARE {
             return true;
         }
         let recent = self.recent.quantile(0.5, now);
-        let usual = self.usual.quantile(USUAL_QUANTILE, now);
-        match (recent, usual) {
-            (Some(recent), Some(usual)) => recent.0 > usual.0 * BROWNOUT_FACTOR,
+        let baseline = self.baseline.quantile(BASELINE_QUANTILE, now);
+        match (recent, baseline) {
+            (Some(recent), Some(baseline)) => recent.0 > baseline.0 * BROWNOUT_FACTOR,
             _ => false,
         }
     }
--- a/crates/sablebay-query/src/search.rs
+++ b/crates/sablebay-query/src/search.rs
@@ -30,9 +30,9 @@
 /// Attempts for one shard at the most, in one plan.
 const MAXIMUM_ATTEMPTS_PER_SHARD: usize = 4;
 /// The share of the remaining time after which a silent aggregator is replaced.
-const PEER_PATIENCE: f64 = 0.5;
+const PEER_HEDGE_FRACTION: f64 = 0.5;
 /// How soon a hedge that the budget refused is looked at again.
-const HEDGE_RECHECK: Micros = Micros(5_000);
+const HEDGE_RETRY_INTERVAL: Micros = Micros(5_000);
 
 /// What a step of the machine works with.
 pub struct SearchContext<'a, R> {
@@ -62,7 +62,7 @@
     hedge_at: Micros,
     expected_by: Micros,
     work: Work,
-    version_gone: bool,
+    version_unavailable: bool,
     finished: bool,
 }
 
@@ -83,47 +83,58 @@
             hedge_at: Micros::MAX,
             expected_by: Micros::MAX,
             work: Work::default(),
-            version_gone: false,
+            version_unavailable: false,
             finished: false,
         }
     }
 
     /// Sends the first call for each shard.
-    pub fn start<R: Rng>(&mut self, turn: &mut SearchContext<'_, R>) {
+    pub fn start<R: Rng>(&mut self, context: &mut SearchContext<'_, R>) {
         self.plans += 1;
-        if turn.now >= self.request.deadline {
-            self.finish_all(GapReason::Late, turn);
+        if context.now >= self.request.deadline {
+            self.finish_all(GapReason::Late, context);
             return;
         }
         for shard in 0..self.shards.len() {
-            if !self.dispatch(shard, AttemptKind::First, turn) {
+            if !self.dispatch(shard, AttemptKind::First, context) {
                 self.close_shard(shard, GapReason::Lost);
             }
         }
-        self.set_hedge_time(turn);
-        self.after_change(turn);
+        self.set_hedge_time(context);
+        self.after_change(context);
     }
 
-    fn set_hedge_time<R: Rng>(&mut self, turn: &mut SearchContext<'_, R>) {
+    fn set_hedge_time<R: Rng>(&mut self, context: &mut SearchContext<'_, R>) {
         if self.plan.through_peers {
-            let remaining = self.request.deadline.since(turn.now).0 as f64;
-            self.hedge_at = turn.now.plus(Micros((remaining * PEER_PATIENCE) as u64));
+            let remaining = self.request.deadline.since(context.now).0 as f64;
+            self.hedge_at = context.now.plus(Micros((remaining * PEER_HEDGE_FRACTION) as u64));
         } else {
-            self.hedge_at = turn.now.plus(turn.routing.expected_delay(turn.now));
+            self.hedge_at = context.now.plus(context.routing.expected_delay(context.now));
         }
         self.expected_by = self.hedge_at;
         // Without hedging nothing is due at that time, and a wide search need not be looked through.
-        if !self.plan.through_peers && !turn.routing.hedging_is_on() {
+        if !self.plan.through_peers && !context.routing.hedging_is_on() {
             self.hedge_at = Micros::MAX;
         }
     }
 
     /// Sends one call for a shard; false when no replica is left.
-    fn dispatch<R: Rng>(&mut self, shard: usize, kind: AttemptKind, turn: &mut SearchContext<'_, R>) -> bool {
+    fn dispatch<R: Rng>(
+        &mut self,
+        shard: usize,
+        kind: AttemptKind,
+        context: &mut SearchContext<'_, R>,
+    ) -> bool {
         let planned = &self.plan.shards[shard];
         let tried = &self.shards[shard].tried;
-        let replica = if turn.routing.settings.mechanisms.observation {
-            turn.routing.balancer.choose(&planned.replicas, tried, self.version, turn.now, turn.random)
+        let replica = if context.routing.settings.mechanisms.observation {
+            context.routing.balancer.choose(
+                &planned.replicas,
+                tried,
+                self.version,
+                context.now,
+                context.random,
+            )
         } else {
             planned.replicas.iter().find(|index| !tried.contains(index)).copied()
         };
@@ -131,18 +142,18 @@
             return false;
         };
         let number = AttemptNumber(self.attempts.len() as u32);
-        self.attempts.push(Attempt { shard, replica, kind, sent_at: turn.now, open: true });
+        self.attempts.push(Attempt { shard, replica, kind, sent_at: context.now, open: true });
         let progress = &mut self.shards[shard];
         progress.tried.push(replica);
         progress.open_attempts += 1;
-        turn.routing.balancer.dispatched(replica);
+        context.routing.balancer.dispatched(replica);
         match kind {
-            AttemptKind::First => turn.routing.budget.first_call(),
+            AttemptKind::First => context.routing.budget.first_call(),
             AttemptKind::Hedge => self.work.hedges += 1,
             AttemptKind::Retry => self.work.retries += 1,
         }
         self.work.leaf_calls += u64::from(!self.plan.through_peers);
-        turn.actions.push(Action::Dispatch {
+        context.actions.push(Action::Dispatch {
             attempt: number,
             replica,
             partitions: planned.partitions.clone(),
@@ -156,7 +167,7 @@
     fn take_open<R: Rng>(
         &mut self,
         number: AttemptNumber,
-        turn: &mut SearchContext<'_, R>,
+        context: &mut SearchContext<'_, R>,
     ) -> Option<Attempt> {
         let attempt = self.attempts.get_mut(number.0 as usize)?;
         if !attempt.open {
@@ -164,7 +175,7 @@
         }
         attempt.open = false;
         let attempt = *attempt;
-        turn.routing.balancer.released(attempt.replica);
+        context.routing.balancer.released(attempt.replica);
         if number.0 < self.first_attempt_of_plan {
             return None;
         }
@@ -177,46 +188,46 @@
         &mut self,
         number: AttemptNumber,
         answer: ShardAnswer,
-        turn: &mut SearchContext<'_, R>,
+        context: &mut SearchContext<'_, R>,
     ) -> bool {
         if self.finished {
             return false;
         }
-        let Some(attempt) = self.take_open(number, turn) else {
+        let Some(attempt) = self.take_open(number, context) else {
             self.work.discarded += 1;
             return false;
         };
-        let latency = turn.now.since(attempt.sent_at);
+        let latency = context.now.since(attempt.sent_at);
         if let Some(report) = answer.report {
-            turn.routing.balancer.reported(attempt.replica, report, turn.now);
+            context.routing.balancer.reported(attempt.replica, report, context.now);
         }
-        let mechanisms = turn.routing.settings.mechanisms;
+        let mechanisms = context.routing.settings.mechanisms;
         if mechanisms.version_check && answer.version != self.version {
             self.work.discarded += 1;
-            self.on_refusal(attempt, CallFailure::NotHeld, turn);
+            self.handle_failure(attempt, CallFailure::NotHeld, context);
             return false;
         }
         let asked = &self.plan.shards[attempt.shard].partitions;
         if mechanisms.partition_check && !answer.coverage.covers_exactly(asked) {
             self.work.discarded += 1;
-            self.on_refusal(attempt, CallFailure::Mismatched, turn);
+            self.handle_failure(attempt, CallFailure::Mismatched, context);
             return false;
         }
         if mechanisms.partition_check && self.shards[attempt.shard].closed.is_some() {
             self.work.discarded += 1;
             return false;
         }
-        turn.routing.balancer.answered(attempt.replica, latency, turn.now);
+        context.routing.balancer.answered(attempt.replica, latency, context.now);
         if attempt.kind == AttemptKind::First {
-            turn.routing.record_latency(latency, turn.now);
+            context.routing.record_latency(latency, context.now);
         }
-        if turn.now < self.expected_by {
-            turn.routing.budget.earn();
-            turn.routing.record_lateness(false);
+        if context.now < self.expected_by {
+            context.routing.budget.earn();
+            context.routing.record_lateness(false);
         }
         self.work += answer.work;
-        self.accept(attempt.shard, answer.coverage, answer.hits, turn);
-        self.after_change(turn);
+        self.accept(attempt.shard, answer.coverage, answer.hits, context);
+        self.after_change(context);
         true
     }
 
@@ -225,7 +236,7 @@
         shard: usize,
         coverage: Coverage,
         hits: Vec<Hit>,
-        turn: &mut SearchContext<'_, R>,
+        context: &mut SearchContext<'_, R>,
     ) {
         self.hits.extend(hits);
         self.coverage_parts.push(coverage);
@@ -235,14 +246,14 @@
             self.open_shards -= 1;
         }
         if progress.open_attempts > 0 {
-            self.cancel_attempts(turn, |attempt| attempt.shard == shard);
+            self.cancel_attempts(context, |attempt| attempt.shard == shard);
         }
     }
 
     /// Cancels open attempts of the present plan that `selected` picks.
     fn cancel_attempts<R: Rng>(
         &mut self,
-        turn: &mut SearchContext<'_, R>,
+        context: &mut SearchContext<'_, R>,
         selected: impl Fn(&Attempt) -> bool,
     ) {
         let first = self.first_attempt_of_plan as usize;
@@ -252,10 +263,14 @@
             }
             attempt.open = false;
             self.shards[attempt.shard].open_attempts -= 1;
-            turn.routing.balancer.released(attempt.replica);
-            turn.routing.balancer.overdue(attempt.replica, turn.now.since(attempt.sent_at), turn.now);
+            context.routing.balancer.released(attempt.replica);
+            context.routing.balancer.overdue(
+                attempt.replica,
+                context.now.since(attempt.sent_at),
+                context.now,
+            );
             let number = AttemptNumber((first + offset) as u32);
-            turn.actions.push(Action::Cancel { attempt: number, replica: attempt.replica });
+            context.actions.push(Action::Cancel { attempt: number, replica: attempt.replica });
         }
     }
 
@@ -265,52 +280,57 @@
         number: AttemptNumber,
         failure: CallFailure,
         report: Option<crate::replica::LoadReport>,
-        turn: &mut SearchContext<'_, R>,
+        context: &mut SearchContext<'_, R>,
     ) {
         if self.finished {
             return;
         }
-        let Some(attempt) = self.take_open(number, turn) else {
+        let Some(attempt) = self.take_open(number, context) else {
             return;
         };
         if let Some(report) = report {
-            turn.routing.balancer.reported(attempt.replica, report, turn.now);
+            context.routing.balancer.reported(attempt.replica, report, context.now);
         }
-        self.on_refusal(attempt, failure, turn);
+        self.handle_failure(attempt, failure, context);
     }
 
-    fn on_refusal<R: Rng>(
+    fn handle_failure<R: Rng>(
         &mut self,
         attempt: Attempt,
         failure: CallFailure,
-        turn: &mut SearchContext<'_, R>,
+        context: &mut SearchContext<'_, R>,
     ) {
         if failure.counts_against_replica() {
-            turn.routing.balancer.failed(attempt.replica, turn.now);
+            context.routing.balancer.failed(attempt.replica, context.now);
         }
         let progress = &mut self.shards[attempt.shard];
         progress.reasons.push(failure.gap_reason());
         if progress.closed.is_none() {
-            self.replace_call(attempt.shard, failure, turn);
+            self.replace_call(attempt.shard, failure, context);
         }
-        self.after_change(turn);
+        self.after_change(context);
     }
 
     /// Sends the work of a failed call to another replica, or closes the shard.
-    fn replace_call<R: Rng>(&mut self, shard: usize, failure: CallFailure, turn: &mut SearchContext<'_, R>) {
+    fn replace_call<R: Rng>(
+        &mut self,
+        shard: usize,
+        failure: CallFailure,
+        context: &mut SearchContext<'_, R>,
+    ) {
         let progress = &self.shards[shard];
         if progress.open_attempts > 0 {
             return;
         }
-        let in_time = turn.now < self.request.deadline;
+        let in_time = context.now < self.request.deadline;
         let attempts_left = progress.tried.len() < MAXIMUM_ATTEMPTS_PER_SHARD;
-        let allowed = in_time && attempts_left && turn.routing.settings.retry;
+        let allowed = in_time && attempts_left && context.routing.settings.retry;
         // An aggregator whose connection broke is gone, and its leaf calls with it: whatever was
         // in flight there is sent once more, which no budget for slow days could pay.
         let lost_aggregator = self.plan.through_peers && failure == CallFailure::Broken;
         let free = failure.is_budget_exempt() || lost_aggregator;
-        let paid = allowed && (free || turn.routing.spend_extra(turn.now));
-        if paid && self.dispatch(shard, AttemptKind::Retry, turn) {
+        let paid = allowed && (free || context.routing.spend_extra(context.now));
+        if paid && self.dispatch(shard, AttemptKind::Retry, context) {
             return;
         }
         let reason = self.shards[shard].gap_reason();
@@ -324,25 +344,25 @@
         self.shards[shard].closed = Some(Some(reason));
         self.open_shards -= 1;
         if reason == GapReason::NotHeld {
-            self.version_gone = true;
+            self.version_unavailable = true;
         }
     }
 
     /// Time has passed. Hedges what is slow; at the deadline closes what is open.
-    pub fn on_wake<R: Rng>(&mut self, turn: &mut SearchContext<'_, R>) {
+    pub fn on_wake<R: Rng>(&mut self, context: &mut SearchContext<'_, R>) {
         if self.finished {
             return;
         }
-        if turn.now >= self.request.deadline {
-            self.expire(turn);
+        if context.now >= self.request.deadline {
+            self.expire(context);
             return;
         }
-        if turn.now >= self.hedge_at {
-            self.hedge_slow_shards(turn);
+        if context.now >= self.hedge_at {
+            self.hedge_slow_shards(context);
         }
     }
 
-    fn hedge_slow_shards<R: Rng>(&mut self, turn: &mut SearchContext<'_, R>) {
+    fn hedge_slow_shards<R: Rng>(&mut self, context: &mut SearchContext<'_, R>) {
         let mut refused = false;
         for shard in 0..self.shards.len() {
             let progress = &self.shards[shard];
@@ -352,33 +372,37 @@
             let Some(replica) = progress.tried.last().copied() else {
                 continue;
             };
-            if !self.shards[shard].noted_late {
-                self.shards[shard].noted_late = true;
-                turn.routing.record_lateness(true);
+            if !self.shards[shard].recorded_late {
+                self.shards[shard].recorded_late = true;
+                context.routing.record_lateness(true);
             }
-            if !self.has_untried_replica(shard, turn) {
+            if !self.has_untried_replica(shard, context) {
                 self.shards[shard].hedged = true;
                 continue;
             }
-            if !self.plan.through_peers && !turn.routing.may_hedge(turn.now) {
+            if !self.plan.through_peers && !context.routing.may_hedge(context.now) {
                 refused = true;
                 break;
             }
-            if !turn.routing.spend_extra(turn.now) {
+            if !context.routing.spend_extra(context.now) {
                 refused = true;
                 break;
             }
-            turn.routing.balancer.overdue(replica, self.oldest_age(shard, turn.now), turn.now);
+            context.routing.balancer.overdue(replica, self.oldest_age(shard, context.now), context.now);
             self.shards[shard].hedged = true;
-            self.dispatch(shard, AttemptKind::Hedge, turn);
+            self.dispatch(shard, AttemptKind::Hedge, context);
         }
-        self.hedge_at = if refused { turn.now.plus(HEDGE_RECHECK) } else { Micros::MAX };
+        self.hedge_at = if refused { context.now.plus(HEDGE_RETRY_INTERVAL) } else { Micros::MAX };
     }
 
-    fn has_untried_replica<R: Rng>(&self, shard: usize, turn: &mut SearchContext<'_, R>) -> bool {
+    fn has_untried_replica<R: Rng>(&self, shard: usize, context: &mut SearchContext<'_, R>) -> bool {
         let planned = &self.plan.shards[shard];
         let tried = &self.shards[shard].tried;
-        turn.routing.balancer.choose(&planned.replicas, tried, self.version, turn.now, turn.random).is_some()
+        context
+            .routing
+            .balancer
+            .choose(&planned.replicas, tried, self.version, context.now, context.random)
+            .is_some()
     }
 
     fn oldest_age(&self, shard: usize, now: Micros) -> Micros {
@@ -388,18 +412,18 @@
     }
 
     /// The deadline has come: every open call counts as a failure of its replica.
-    fn expire<R: Rng>(&mut self, turn: &mut SearchContext<'_, R>) {
+    fn expire<R: Rng>(&mut self, context: &mut SearchContext<'_, R>) {
         let first = self.first_attempt_of_plan as usize;
         let silent: Vec<ReplicaIndex> =
             self.attempts[first..].iter().filter(|attempt| attempt.open).map(|a| a.replica).collect();
         for replica in silent {
-            turn.routing.balancer.failed(replica, turn.now);
+            context.routing.balancer.failed(replica, context.now);
         }
-        self.finish_all(GapReason::Late, turn);
+        self.finish_all(GapReason::Late, context);
     }
 
-    fn finish_all<R: Rng>(&mut self, reason: GapReason, turn: &mut SearchContext<'_, R>) {
-        self.cancel_attempts(turn, |_| true);
+    fn finish_all<R: Rng>(&mut self, reason: GapReason, context: &mut SearchContext<'_, R>) {
+        self.cancel_attempts(context, |_| true);
         for shard in 0..self.shards.len() {
             self.close_shard(shard, reason);
         }
@@ -407,12 +431,12 @@
     }
 
     /// Plans again when the version vanished, or finishes when no shard is open.
-    fn after_change<R: Rng>(&mut self, turn: &mut SearchContext<'_, R>) {
+    fn after_change<R: Rng>(&mut self, context: &mut SearchContext<'_, R>) {
         if self.finished {
             return;
         }
-        if self.version_gone && self.should_plan_again(turn.routing, turn.now) {
-            self.plan_again(turn);
+        if self.version_unavailable && self.should_replan(context.routing, context.now) {
+            self.replan(context);
             return;
         }
         if self.open_shards == 0 {
@@ -422,7 +446,7 @@
 
     /// Whether the whole query is worth starting again at another version: when coverage goes
     /// first, or when nothing was answered at this one.
-    fn should_plan_again(&self, routing: &ServiceRouting, now: Micros) -> bool {
+    fn should_replan(&self, routing: &ServiceRouting, now: Micros) -> bool {
         let worthwhile =
             routing.settings.coverage_first || (self.open_shards == 0 && self.coverage_parts.is_empty());
         let possible = self.request.may_replan && self.plans < MAXIMUM_PLANS && now < self.request.deadline;
@@ -431,18 +455,18 @@
         worthwhile && possible && (plan_changed || other_version)
     }
 
-    fn plan_again<R: Rng>(&mut self, turn: &mut SearchContext<'_, R>) {
-        self.cancel_attempts(turn, |_| true);
-        self.version = turn.routing.best_version(None).unwrap_or(self.version);
-        self.plan = turn.routing.plan.clone();
+    fn replan<R: Rng>(&mut self, context: &mut SearchContext<'_, R>) {
+        self.cancel_attempts(context, |_| true);
+        self.version = context.routing.best_version(None).unwrap_or(self.version);
+        self.plan = context.routing.plan.clone();
         self.shards = vec![ShardProgress::default(); self.plan.shards.len()];
         self.open_shards = self.plan.shards.len();
         self.first_attempt_of_plan = self.attempts.len() as u32;
         self.hits.clear();
         self.coverage_parts.clear();
-        self.version_gone = false;
+        self.version_unavailable = false;
         self.work.replans += 1;
-        self.start(turn);
+        self.start(context);
     }
 
     /// When [`Search::on_wake`] is next due.
@@ -461,8 +485,8 @@
     }
 
     /// The caller went away: cancels what is open.
-    pub fn abandon<R: Rng>(&mut self, turn: &mut SearchContext<'_, R>) {
-        self.cancel_attempts(turn, |_| true);
+    pub fn abandon<R: Rng>(&mut self, context: &mut SearchContext<'_, R>) {
+        self.cancel_attempts(context, |_| true);
         self.finished = true;
     }
 
--- a/crates/sablebay-query/src/search/attempt.rs
+++ b/crates/sablebay-query/src/search/attempt.rs
@@ -87,7 +87,7 @@
     pub tried: SmallVec<[ReplicaIndex; 4]>,
     pub open_attempts: u32,
     pub hedged: bool,
-    pub noted_late: bool,
+    pub recorded_late: bool,
     pub reasons: Vec<GapReason>,
     /// `Some(None)`: answered. `Some(Some(reason))`: missing.
     pub closed: Option<Option<GapReason>>,
--- a/crates/sablebay-query/tests/search_properties.rs
+++ b/crates/sablebay-query/tests/search_properties.rs
@@ -30,7 +30,7 @@
 
 /// What the network and a leaf do with one call.
 #[derive(Clone, Debug)]
-enum Fate {
+enum CallOutcome {
     Answer { delay_ms: u64, repeated: bool },
     WrongVersion { delay_ms: u64 },
     WrongPartitions { delay_ms: u64 },
@@ -38,7 +38,7 @@
     Silent,
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn outcome() -> impl Strategy<Value = CallOutcome> {
     let failure = prop_oneof![
         Just(CallFailure::NotSent),
         Just(CallFailure::Broken),
@@ -47,27 +47,28 @@
         Just(CallFailure::Shedding),
     ];
     prop_oneof![
-        6 => (0u64..150, any::<bool>()).prop_map(|(delay_ms, repeated)| Fate::Answer { delay_ms, repeated }),
-        1 => (0u64..50).prop_map(|delay_ms| Fate::WrongVersion { delay_ms }),
-        1 => (0u64..50).prop_map(|delay_ms| Fate::WrongPartitions { delay_ms }),
-        2 => (0u64..50, failure).prop_map(|(delay_ms, failure)| Fate::Fail { delay_ms, failure }),
-        1 => Just(Fate::Silent),
+        6 => (0u64..150, any::<bool>()).prop_map(|(delay_ms, repeated)| CallOutcome::Answer { delay_ms, repeated }),
+        1 => (0u64..50).prop_map(|delay_ms| CallOutcome::WrongVersion { delay_ms }),
+        1 => (0u64..50).prop_map(|delay_ms| CallOutcome::WrongPartitions { delay_ms }),
+        2 => (0u64..50, failure).prop_map(|(delay_ms, failure)| CallOutcome::Fail { delay_ms, failure }),
+        1 => Just(CallOutcome::Silent),
     ]
 }
 
 #[derive(Clone, Debug)]
-struct World {
-    fates: Vec<Fate>,
+struct Scenario {
+    outcomes: Vec<CallOutcome>,
     /// The process sleeps for this long before this many events.
     pause: Option<(usize, u64)>,
     coverage_first: bool,
     seed: u64,
 }
 
-fn world() -> impl Strategy<Value = World> {
+fn scenario() -> impl Strategy<Value = Scenario> {
     let pause = proptest::option::of((0usize..10, 1u64..300));
-    (proptest::collection::vec(fate(), 40), pause, any::<bool>(), any::<u64>())
-        .prop_map(|(fates, pause, coverage_first, seed)| World { fates, pause, coverage_first, seed })
+    (proptest::collection::vec(outcome(), 40), pause, any::<bool>(), any::<u64>()).prop_map(
+        |(outcomes, pause, coverage_first, seed)| Scenario { outcomes, pause, coverage_first, seed },
+    )
 }
 
 fn routing(coverage_first: bool, mechanisms: Mechanisms, now: Micros) -> ServiceRouting {
@@ -126,10 +127,10 @@
     ended_at: Micros,
 }
 
-fn run(world: &World, mechanisms: Mechanisms) -> Run {
+fn run(scenario: &Scenario, mechanisms: Mechanisms) -> Run {
     let mut now = Micros::from_millis(1_000_000);
-    let mut routing = routing(world.coverage_first, mechanisms, now);
-    let mut random = SmallRng::seed_from_u64(world.seed);
+    let mut routing = routing(scenario.coverage_first, mechanisms, now);
+    let mut random = SmallRng::seed_from_u64(scenario.seed);
     let request =
         SearchRequest { deadline: DEADLINE, limit: 100, order: SortOrder::Descending, may_replan: true };
     let mut search = Search::new(request, routing.plan.clone(), SnapshotVersion(2));
@@ -146,28 +147,28 @@
         for action in actions.drain(..) {
             let Action::Dispatch { attempt, partitions, version, .. } = action else { continue };
             dispatched_at.push(now);
-            let fate = &world.fates[attempt.0 as usize % world.fates.len()];
-            schedule(fate, attempt, &partitions, version, now, &mut pending);
+            let outcome = &scenario.outcomes[attempt.0 as usize % scenario.outcomes.len()];
+            schedule(outcome, attempt, &partitions, version, now, &mut pending);
         }
         pending.sort_by_key(|(at, _)| *at);
         let due = pending.first().map_or(Micros::MAX, |(at, _)| *at).min(search.next_wake());
         now = now.max(due);
-        if let Some((before, pause_ms)) = world.pause
+        if let Some((before, pause_ms)) = scenario.pause
             && step == before
         {
             now = now.plus(Micros::from_millis(pause_ms));
         }
         step += 1;
-        let mut turn =
+        let mut context =
             SearchContext { routing: &mut routing, now, random: &mut random, actions: &mut actions };
         if search.next_wake() <= now {
-            search.on_wake(&mut turn);
+            search.on_wake(&mut context);
         } else {
             match pending.remove(0).1 {
                 Event::Answer(attempt, answer) => {
-                    search.on_answer(attempt, answer, &mut turn);
+                    search.on_answer(attempt, answer, &mut context);
                 }
-                Event::Failure(attempt, failure) => search.on_failure(attempt, failure, None, &mut turn),
+                Event::Failure(attempt, failure) => search.on_failure(attempt, failure, None, &mut context),
             }
         }
         assert!(step < 10_000, "the search does not end");
@@ -183,7 +184,7 @@
 }
 
 fn schedule(
-    fate: &Fate,
+    outcome: &CallOutcome,
     attempt: AttemptNumber,
     partitions: &PartitionSet,
     version: SnapshotVersion,
@@ -191,28 +192,30 @@
     pending: &mut Vec<(Micros, Event)>,
 ) {
     let at = |delay_ms: u64| now.plus(Micros::from_millis(delay_ms));
-    match fate {
-        Fate::Answer { delay_ms, repeated } => {
+    match outcome {
+        CallOutcome::Answer { delay_ms, repeated } => {
             pending.push((at(*delay_ms), Event::Answer(attempt, answer(partitions, version))));
             if *repeated {
                 pending.push((at(delay_ms + 1), Event::Answer(attempt, answer(partitions, version))));
             }
         }
-        Fate::WrongVersion { delay_ms } => {
+        CallOutcome::WrongVersion { delay_ms } => {
             let other = SnapshotVersion(version.0 + 7);
             pending.push((at(*delay_ms), Event::Answer(attempt, answer(partitions, other))));
         }
-        Fate::WrongPartitions { delay_ms } => {
+        CallOutcome::WrongPartitions { delay_ms } => {
             let wider = partitions.union(&PartitionSet::range(0, SHARDS * PARTITIONS_PER_SHARD - 1));
             pending.push((at(*delay_ms), Event::Answer(attempt, answer(&wider, version))));
         }
-        Fate::Fail { delay_ms, failure } => pending.push((at(*delay_ms), Event::Failure(attempt, *failure))),
-        Fate::Silent => {}
+        CallOutcome::Fail { delay_ms, failure } => {
+            pending.push((at(*delay_ms), Event::Failure(attempt, *failure)))
+        }
+        CallOutcome::Silent => {}
     }
 }
 
 /// Hits of more than one version, or of another than the one reported.
-fn is_mixed(result: &SearchResult) -> bool {
+fn has_mixed_versions(result: &SearchResult) -> bool {
     result.hits.iter().any(|hit| {
         let (_, version): (u32, u64) = serde_json::from_str(hit.body.get()).unwrap();
         version != result.version.0
@@ -234,53 +237,57 @@
     #![proptest_config(settings())]
 
     #[test]
-    fn an_answer_comes_from_one_snapshot(world in world()) {
-        let run = run(&world, Mechanisms::default());
-        prop_assert!(!is_mixed(&run.result));
+    fn an_answer_comes_from_one_snapshot(scenario in scenario()) {
+        let run = run(&scenario, Mechanisms::default());
+        prop_assert!(!has_mixed_versions(&run.result));
     }
 
     #[test]
-    fn coverage_is_true_and_nothing_is_doubled(world in world()) {
-        let run = run(&world, Mechanisms::default());
+    fn coverage_is_true_and_nothing_is_doubled(scenario in scenario()) {
+        let run = run(&scenario, Mechanisms::default());
         let whole = PartitionSet::all(SHARDS * PARTITIONS_PER_SHARD);
         prop_assert!(run.result.coverage.covers_exactly(&whole), "{:?}", run.result.coverage);
         prop_assert!(hits_fit_coverage(&run.result));
     }
 
     #[test]
-    fn nothing_is_sent_at_or_after_the_deadline(world in world()) {
-        let run = run(&world, Mechanisms::default());
+    fn nothing_is_sent_at_or_after_the_deadline(scenario in scenario()) {
+        let run = run(&scenario, Mechanisms::default());
         prop_assert!(run.dispatched_at.iter().all(|at| *at < DEADLINE));
     }
 
     #[test]
-    fn every_hedge_is_paid_for(world in world()) {
-        let run = run(&world, Mechanisms::default());
+    fn every_hedge_is_paid_for(scenario in scenario()) {
+        let run = run(&scenario, Mechanisms::default());
         prop_assert!(run.extra_calls <= run.extra_paid);
     }
 
     #[test]
-    fn the_answer_does_not_wait_when_nothing_is_open(world in world()) {
+    fn the_answer_does_not_wait_when_nothing_is_open(scenario in scenario()) {
         // With every call refused at once there is nothing to wait for.
-        let fates = vec![Fate::Fail { delay_ms: 0, failure: CallFailure::Draining }; 40];
-        let run = run(&World { fates, pause: None, ..world }, Mechanisms::default());
+        let outcomes = vec![CallOutcome::Fail { delay_ms: 0, failure: CallFailure::Draining }; 40];
+        let run = run(&Scenario { outcomes, pause: None, ..scenario }, Mechanisms::default());
         prop_assert!(run.ended_at < DEADLINE);
     }
 }
 
-fn fixed(fates: Vec<Fate>) -> World {
-    World { fates, pause: None, coverage_first: false, seed: 1 }
+fn fixed(outcomes: Vec<CallOutcome>) -> Scenario {
+    Scenario { outcomes, pause: None, coverage_first: false, seed: 1 }
 }
 
 /// The checks above can fail: with a mechanism off they do.
 #[test]
 fn the_properties_fail_when_their_mechanism_is_off() {
-    let wrong_version =
-        fixed(vec![Fate::WrongVersion { delay_ms: 1 }, Fate::Answer { delay_ms: 2, repeated: false }]);
+    let wrong_version = fixed(vec![
+        CallOutcome::WrongVersion { delay_ms: 1 },
+        CallOutcome::Answer { delay_ms: 2, repeated: false },
+    ]);
     let off = Mechanisms { version_check: false, ..Mechanisms::default() };
-    assert!(is_mixed(&run(&wrong_version, off).result));
-    let wrong_partitions =
-        fixed(vec![Fate::WrongPartitions { delay_ms: 1 }, Fate::Answer { delay_ms: 2, repeated: false }]);
+    assert!(has_mixed_versions(&run(&wrong_version, off).result));
+    let wrong_partitions = fixed(vec![
+        CallOutcome::WrongPartitions { delay_ms: 1 },
+        CallOutcome::Answer { delay_ms: 2, repeated: false },
+    ]);
     let off = Mechanisms { partition_check: false, ..Mechanisms::default() };
     assert!(!hits_fit_coverage(&run(&wrong_partitions, off).result));
 }
@@ -303,13 +310,13 @@
     });
     for _ in 0..100 {
         let Some(Action::Dispatch { attempt, partitions, version, .. }) = actions.pop() else { continue };
-        let mut turn =
+        let mut context =
             SearchContext { routing: &mut routing, now, random: &mut random, actions: &mut actions };
         if version == SnapshotVersion(2) && partitions.contains(0) {
             let report = LoadReport { versions: vec![SnapshotVersion(1)], slots: 4, ..LoadReport::default() };
-            search.on_failure(attempt, CallFailure::NotHeld, Some(report), &mut turn);
+            search.on_failure(attempt, CallFailure::NotHeld, Some(report), &mut context);
         } else {
-            search.on_answer(attempt, answer(&partitions, version), &mut turn);
+            search.on_answer(attempt, answer(&partitions, version), &mut context);
         }
         if search.is_finished() {
             break;
@@ -318,7 +325,7 @@
     let result = search.into_result();
     assert_eq!(result.version, SnapshotVersion(1));
     assert!(result.coverage.is_full());
-    assert!(!is_mixed(&result));
+    assert!(!has_mixed_versions(&result));
     assert_eq!(result.work.replans, 1);
 }
 
@@ -346,12 +353,12 @@
         let mut first = true;
         while let Some(action) = actions.pop() {
             let Action::Dispatch { attempt, partitions, version, .. } = action else { continue };
-            let mut turn =
+            let mut context =
                 SearchContext { routing: &mut routing, now, random: &mut random, actions: &mut actions };
             if std::mem::take(&mut first) {
-                search.on_failure(attempt, CallFailure::Broken, None, &mut turn);
+                search.on_failure(attempt, CallFailure::Broken, None, &mut context);
             } else {
-                search.on_answer(attempt, answer(&partitions, version), &mut turn);
+                search.on_answer(attempt, answer(&partitions, version), &mut context);
             }
         }
         assert_eq!(search.into_result().coverage.is_full(), expected);
