--- a/crates/sablebay-query/src/admission.rs
+++ b/crates/sablebay-query/src/admission.rs
@@ -1,23 +1,24 @@
-//! Admission by concurrency, with a short queue whose wait counts against the deadline.
+//! Concurrency-limited admission with a bounded queue. Time in the queue counts against the
+//! deadline.
 
 use std::collections::VecDeque;
 
 use sablebay_model::Micros;
 
-/// Names one request that waits.
+/// Identifies a queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct WaiterId(pub u64);
 
-/// What becomes of a request that arrives.
+/// Result of an admission attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
-    /// It runs now.
+    /// The request runs immediately.
     Run,
-    /// It waits.
+    /// The request is queued.
     Wait(WaiterId),
-    /// It is refused; come back after this many milliseconds.
+    /// The request is refused.
     Refuse {
-        /// Milliseconds until a slot is likely to be free.
+        /// Estimated milliseconds until a slot is free.
         retry_after_ms: u64,
     },
 }
@@ -28,7 +29,7 @@
     deadline: Micros,
 }
 
-/// Slots of one service, or of a node.
+/// Concurrency limiter of a service or a node.
 #[derive(Debug)]
 pub struct Admission {
     slots: u32,
@@ -39,37 +40,34 @@
     mean_duration_us: f64,
 }
 
-/// Weight of one more duration in the mean.
+/// Smoothing factor of the mean request duration.
 const DURATION_WEIGHT: f64 = 0.05;
-/// Bounds of the advice on when to come back, in milliseconds.
+/// Minimum and maximum retry delay, in milliseconds.
 const RETRY_AFTER_LIMITS: (u64, u64) = (5, 5_000);
 
 impl Admission {
-    /// `slots` requests at once, `queue` more that wait.
+    /// Allows `slots` concurrent requests and `queue` queued ones.
     pub fn new(slots: u32, queue: u32) -> Self {
         Self { slots, queue, running: 0, waiting: VecDeque::new(), next_id: 0, mean_duration_us: 0.0 }
     }
 
-    /// Changes the limits. Requests that run or wait keep their places.
+    /// Changes the limits. Running and queued requests are not affected.
     pub fn set_limits(&mut self, slots: u32, queue: u32) {
         self.slots = slots;
         self.queue = queue;
     }
 
-    /// Requests that run.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Requests that wait.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// A request arrives.
+    /// Admits, queues or refuses a request.
     ///
-    /// A request that could not start before its deadline, by the mean duration of those before
-    /// it, is refused at once rather than left to wait in vain.
+    /// A request whose expected wait exceeds its deadline is refused immediately.
     pub fn arrive(&mut self, now: Micros, deadline: Micros) -> Arrival {
         self.drop_expired(now);
         if self.running < self.slots && self.waiting.is_empty() {
@@ -98,14 +96,14 @@
         self.waiting.retain(|waiter| waiter.deadline > now);
     }
 
-    /// A running request ends after `duration`. Returns the waiter that starts in its place.
+    /// Records the end of a running request. Returns the queued request to start in its place.
     pub fn leave(&mut self, now: Micros, duration: Micros) -> Option<WaiterId> {
         self.mean_duration_us += DURATION_WEIGHT * (duration.0 as f64 - self.mean_duration_us);
         self.running = self.running.saturating_sub(1);
         self.start_next(now)
     }
 
-    /// A waiter gives up. Harmless when it has started in the meantime or is gone.
+    /// Removes a request from the queue. Does nothing if the request has started or expired.
     pub fn cancel(&mut self, id: WaiterId) {
         self.waiting.retain(|waiter| waiter.id != id);
     }
--- a/crates/sablebay-query/src/balance.rs
+++ b/crates/sablebay-query/src/balance.rs
@@ -1,4 +1,4 @@
-//! Choice of a replica: the cheaper of two drawn at random.
+//! Replica selection by power of two random choices.
 
 use std::collections::HashMap;
 
@@ -8,7 +8,7 @@
 
 use crate::replica::{LoadReport, ReplicaIndex, ReplicaState, Target};
 
-/// All replicas of a service, as this node sees them.
+/// The replicas of a service as seen by this node.
 #[derive(Debug)]
 pub struct Balancer {
     excludes_leaving: bool,
@@ -17,7 +17,7 @@
     positions: HashMap<Target, ReplicaIndex>,
 }
 
-/// How well a replica fits a call; the first class that is not empty is drawn from.
+/// Eligibility class of a replica, best first. A replica is drawn from the best non-empty class.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Fit {
     UsableHolds,
@@ -26,12 +26,12 @@
 }
 
 impl Balancer {
-    /// A balancer without replicas. `excludes_leaving` is off in experiments alone.
+    /// Creates an empty balancer. Fault-injection tests disable `excludes_leaving`.
     pub fn new(excludes_leaving: bool) -> Self {
         Self { excludes_leaving, replicas: Vec::new(), last_answers: Vec::new(), positions: HashMap::new() }
     }
 
-    /// The position of a replica; a new one is added.
+    /// Returns the index of a replica, adding the replica if it is unknown.
     pub fn intern(&mut self, target: &Target, zone: &ZoneName, now: Micros) -> ReplicaIndex {
         if let Some(index) = self.positions.get(target) {
             return *index;
@@ -43,70 +43,68 @@
         index
     }
 
-    /// The position of a replica that is known.
+    /// Returns the index of a known replica.
     pub fn position(&self, target: &Target) -> Option<ReplicaIndex> {
         self.positions.get(target).copied()
     }
 
-    /// The state of a replica.
     pub fn replica(&self, index: ReplicaIndex) -> &ReplicaState {
         &self.replicas[index.0 as usize]
     }
 
-    /// All replicas.
     pub fn replicas(&self) -> impl Iterator<Item = &ReplicaState> {
         self.replicas.iter()
     }
 
-    /// Marks every replica warm: their service has run for long.
+    /// Skips the warm-up period of every replica.
     pub fn assume_warm(&mut self) {
         for replica in &mut self.replicas {
             replica.warm_since = Micros(0);
         }
     }
 
-    /// Records that a call was sent.
+    /// Records that a call was sent to the replica.
     pub fn dispatched(&mut self, index: ReplicaIndex) {
         self.replicas[index.0 as usize].in_flight += 1;
     }
 
-    /// Records that a call is no longer waited for.
+    /// Records that a call is no longer in flight.
     pub fn released(&mut self, index: ReplicaIndex) {
         let replica = &mut self.replicas[index.0 as usize];
         replica.in_flight = replica.in_flight.saturating_sub(1);
     }
 
-    /// Records an answer.
+    /// Records a successful answer and its latency.
     pub fn answered(&mut self, index: ReplicaIndex, latency: Micros, now: Micros) {
         self.replicas[index.0 as usize].answered(latency, now);
         self.last_answers[index.0 as usize] = now;
     }
 
-    /// Records that a call has already taken `so_far` without an answer.
+    /// Records a call that has been pending for `so_far`.
     pub fn overdue(&mut self, index: ReplicaIndex, so_far: Micros, now: Micros) {
         self.replicas[index.0 as usize].observe(so_far);
         self.last_answers[index.0 as usize] = now;
     }
 
-    /// Records a failure.
+    /// Records a failed call.
     pub fn failed(&mut self, index: ReplicaIndex, now: Micros) {
         self.replicas[index.0 as usize].failed(now);
     }
 
-    /// Records a replica's own report.
+    /// Records the load reported by the replica.
     pub fn reported(&mut self, index: ReplicaIndex, report: LoadReport, now: Micros) {
         self.replicas[index.0 as usize].reported(report, now);
     }
 
-    /// Records, from any source, whether a replica is leaving.
+    /// Records whether a replica is leaving.
     pub fn set_leaving(&mut self, target: &Target, leaving: bool) {
         if let Some(index) = self.position(target) {
             self.replicas[index.0 as usize].leaving = leaving;
         }
     }
 
-    /// Records whether a replica's zone is evacuated. A search in progress sends nothing more there. One whose
-    /// zone is taken back is warmed up like a new one.
+    /// Records whether the zone of a replica is evacuated. Searches in progress send no further
+    /// calls to an evacuated zone. A replica whose zone is restored warms up again.
     pub fn set_evacuated(&mut self, index: ReplicaIndex, evacuated: bool, now: Micros) {
         let replica = &mut self.replicas[index.0 as usize];
         if replica.evacuated && !evacuated {
@@ -115,10 +113,10 @@
         replica.evacuated = evacuated;
     }
 
-    /// Chooses a replica for a call at `version` among `candidates`, leaving out `tried`.
+    /// Chooses a replica for a call at `version` among `candidates`, excluding `tried`.
     ///
-    /// A leaving replica is never chosen, nor one of an evacuated zone. A quarantined one is chosen when nothing else is left.
-    /// A replica known not to hold the version is not chosen.
+    /// Replicas that are leaving, in an evacuated zone or known not to hold `version` are never
+    /// chosen. A quarantined replica is chosen only if no other is eligible.
     pub fn choose<R: Rng>(
         &self,
         candidates: &[ReplicaIndex],
@@ -156,7 +154,7 @@
         Some(if holds == Some(true) { Fit::UsableHolds } else { Fit::UsableUnknown })
     }
 
-    /// The expected cost of one more call to a replica.
+    /// Returns the expected cost of one more call to a replica; lower is better.
     pub fn cost(&self, index: ReplicaIndex, now: Micros) -> f64 {
         let age = now.since(self.last_answers[index.0 as usize]);
         self.replica(index).cost(now, age)
--- a/crates/sablebay-query/src/budget.rs
+++ b/crates/sablebay-query/src/budget.rs
@@ -1,11 +1,11 @@
-//! One budget of extra load for each service: hedges and retries are paid from it.
+//! Per-service budget for hedges and retries.
 
 use sablebay_model::Micros;
 
-/// A token bucket that first calls fill and extra calls empty.
+/// Token bucket for extra calls, filled by first calls.
 ///
-/// First calls that are answered in good time put in `share` of a token each. When every back end
-/// is slow nothing is put in, so that extra load falls towards zero just when it would hurt.
+/// Each first call answered in time adds `share` of a token. When all back ends are slow no tokens
+/// are added, which keeps extra calls from amplifying an overload.
 #[derive(Clone, Debug)]
 pub struct ExtraLoadBudget {
     share: f64,
@@ -16,15 +16,15 @@
     refused: u64,
 }
 
-/// Tokens that can be saved up at the most.
+/// Capacity of the bucket, in tokens.
 const MAXIMUM_TOKENS: f64 = 10.0;
-/// Tokens at the start: enough for the first failures of a service that has had no calls yet.
+/// Initial tokens, which allow a new service to retry its first failure.
 const INITIAL_TOKENS: f64 = 1.0;
-/// Tokens a second whatever the traffic, so that a service with little of it can retry at all.
+/// Minimum refill rate, which allows a service with little traffic to retry.
 const REFILL_TOKENS_PER_SECOND: f64 = 0.1;
 
 impl ExtraLoadBudget {
-    /// A budget of `percent` of first calls.
+    /// Creates a budget of `percent` of first calls.
     pub fn new(percent: f64, now: Micros) -> Self {
         Self {
             share: percent / 100.0,
@@ -36,22 +36,21 @@
         }
     }
 
-    /// Changes the percentage; what is saved up stays.
+    /// Changes the percentage. Accumulated tokens are kept.
     pub fn set_percent(&mut self, percent: f64) {
         self.share = percent / 100.0;
     }
 
-    /// Counts a first call.
     pub fn first_call(&mut self) {
         self.first_calls += 1;
     }
 
-    /// Puts in the share of one call that was answered in good time.
+    /// Adds the share of one call that was answered in time.
     pub fn earn(&mut self) {
         self.tokens = (self.tokens + self.share).min(MAXIMUM_TOKENS);
     }
 
-    /// Takes one token for an extra call; false when there is none.
+    /// Takes one token for an extra call. Returns false if none is available.
     pub fn spend(&mut self, now: Micros) -> bool {
         self.refill(now);
         if self.tokens < 1.0 {
@@ -71,17 +70,15 @@
         }
     }
 
-    /// First calls so far.
     pub fn first_calls(&self) -> u64 {
         self.first_calls
     }
 
-    /// Extra calls so far.
     pub fn extra_calls(&self) -> u64 {
         self.extra_calls
     }
 
-    /// Extra calls that were wanted and not allowed.
+    /// Returns the number of extra calls refused for lack of tokens.
     pub fn refused(&self) -> u64 {
         self.refused
     }
--- a/crates/sablebay-query/src/coverage.rs
+++ b/crates/sablebay-query/src/coverage.rs
@@ -1,4 +1,4 @@
-//! What an answer covers, and why the rest is missing.
+//! Partitions covered by an answer, and reasons for missing ones.
 
 use derive_more::Display;
 use musli::{Decode, Encode};
@@ -6,7 +6,7 @@
 
 use sablebay_model::PartitionSet;
 
-/// Why partitions are missing from an answer.
+/// Reason why partitions are missing from an answer.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
@@ -15,7 +15,7 @@
     /// No answer came before the deadline.
     #[display("late")]
     Late,
-    /// Every replica failed or could not be reached.
+    /// Every replica failed or was unreachable.
     #[display("lost")]
     Lost,
     /// Every replica refused the work.
@@ -26,26 +26,23 @@
     NotHeld,
 }
 
-/// Partitions that are missing for one reason.
+/// Partitions missing for the same reason.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub struct Gap {
-    /// The partitions.
     pub partitions: PartitionSet,
-    /// Why they are missing.
     pub reason: GapReason,
 }
 
-/// What an answer covers. `answered` and the gaps are disjoint, and together the whole index.
+/// Partitions covered by an answer. `answered` and all gaps are disjoint; their union is the set of
+/// requested partitions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub struct Coverage {
-    /// The partitions that the hits come from.
     pub answered: PartitionSet,
-    /// The partitions that are missing.
     pub missing: Vec<Gap>,
 }
 
 impl Coverage {
-    /// Adds a gap, joining it with others of the same reason.
+    /// Adds a gap, merging it with an existing one of the same reason.
     pub fn add_gap(&mut self, partitions: &PartitionSet, reason: GapReason) {
         match self.missing.iter_mut().find(|gap| gap.reason == reason) {
             Some(gap) => gap.partitions = gap.partitions.union(partitions),
@@ -53,17 +50,16 @@
         }
     }
 
-    /// How many partitions were asked for.
+    /// Returns the number of requested partitions.
     pub fn total(&self) -> u32 {
         self.answered.len() + self.missing.iter().map(|gap| gap.partitions.len()).sum::<u32>()
     }
 
-    /// Whether nothing is missing.
     pub fn is_full(&self) -> bool {
         self.missing.is_empty()
     }
 
-    /// Whether this divides exactly `asked` into answered and missing partitions, each once.
+    /// Returns whether the answered and missing partitions are disjoint and their union is `asked`.
     pub fn covers_exactly(&self, asked: &PartitionSet) -> bool {
         let mut whole = self.answered.clone();
         for gap in &self.missing {
--- a/crates/sablebay-query/src/latency.rs
+++ b/crates/sablebay-query/src/latency.rs
@@ -1,10 +1,10 @@
-//! Latency of a service's calls over the last seconds, and over the last minute.
+//! Latency quantiles over a sliding window.
 
 use hdrhistogram::Histogram;
 
 use sablebay_model::Micros;
 
-/// A histogram over a sliding window, made of two halves.
+/// Sliding-window histogram made of two rotating halves.
 #[derive(Debug)]
 pub struct LatencyWindow {
     current: Histogram<u64>,
@@ -14,11 +14,11 @@
     cached: Option<(f64, Micros, Micros)>,
 }
 
-/// The longest latency that is told apart, in microseconds.
+/// Highest latency that the histogram distinguishes, in microseconds.
 const MAXIMUM_LATENCY_US: u64 = 600_000_000;
-/// How long a computed quantile is kept.
+/// Lifetime of a cached quantile.
 const CACHE_LIFETIME: Micros = Micros::from_millis(50);
-/// Observations needed before a quantile is given.
+/// Minimum number of observations for a quantile.
 const MINIMUM_OBSERVATIONS: u64 = 20;
 
 fn empty_histogram() -> Histogram<u64> {
@@ -26,7 +26,7 @@
 }
 
 impl LatencyWindow {
-    /// A window over the last `length`.
+    /// Creates a window of the given length.
     pub fn new(length: Micros, now: Micros) -> Self {
         Self {
             current: empty_histogram(),
@@ -37,7 +37,6 @@
         }
     }
 
-    /// Records one latency.
     pub fn record(&mut self, latency: Micros, now: Micros) {
         self.rotate(now);
         self.current.saturating_record(latency.0.max(1));
@@ -52,7 +51,7 @@
         self.rotated_at = now;
     }
 
-    /// The `quantile` (0 to 1) over the window; nothing while there are too few observations.
+    /// Returns the `quantile` (0 to 1), or `None` if there are too few observations.
     pub fn quantile(&mut self, quantile: f64, now: Micros) -> Option<Micros> {
         if let Some((cached_quantile, at, value)) = self.cached
             && cached_quantile == quantile
--- a/crates/sablebay-query/src/lib.rs
+++ b/crates/sablebay-query/src/lib.rs
@@ -1,5 +1,7 @@
-//! Decision logic of the query path: which replica answers, when to hedge or retry, what an
-//! answer covers. No I/O, no clock, no ambient randomness: time and random draws are arguments.
+//! Decision logic of the query path: replica selection, hedging, retries and result coverage.
+//!
+//! Performs no I/O and reads no clock or global random state; time and random numbers are
+//! arguments.
 
 mod admission;
 mod balance;
--- a/crates/sablebay-query/src/plan.rs
+++ b/crates/sablebay-query/src/plan.rs
@@ -1,4 +1,4 @@
-//! The fixed part of a query's plan: which shards there are, and who can answer each.
+//! Shard plan of a service: its shards and the replicas of each.
 
 use std::sync::Arc;
 
@@ -6,41 +6,37 @@
 
 use crate::replica::ReplicaIndex;
 
-/// One shard of a plan.
 #[derive(Clone, Debug)]
 pub struct PlannedShard {
-    /// The partitions that one call asks for; shared, since every call names them.
+    /// The partitions of one call; shared by all calls for the shard.
     pub partitions: Arc<PartitionSet>,
-    /// The replicas that can answer, in order of preference.
+    /// Candidate replicas, in order of preference.
     pub replicas: Vec<ReplicaIndex>,
 }
 
-/// The shards of a service under one revision of the configuration.
-///
-/// Shards are disjoint; a query counts each of their partitions once.
+/// The shards of a service at one configuration revision. Shards are disjoint.
 #[derive(Clone, Debug, Default)]
 pub struct ShardPlan {
-    /// The revision that the plan was made from.
+    /// The configuration revision of the plan.
     pub revision: Revision,
-    /// The shards.
     pub shards: Vec<PlannedShard>,
-    /// Whether the replicas are peers that aggregate. Peers hedge and retry by themselves.
+    /// Whether the replicas are aggregating peers, which hedge and retry on their own.
     pub through_peers: bool,
 }
 
 impl ShardPlan {
-    /// Every partition of the plan.
+    /// Returns the partitions of all shards.
     pub fn partitions(&self) -> PartitionSet {
         let all = self.shards.iter().flat_map(|shard| shard.partitions.iter());
         all.collect()
     }
 
-    /// The same plan under another revision, for a change that does not touch it.
+    /// Returns a copy of the plan at another revision.
     pub fn at_revision(&self, revision: Revision) -> ShardPlan {
         ShardPlan { revision, ..self.clone() }
     }
 
-    /// The part of the plan that searches `wanted`.
+    /// Returns the plan restricted to the `wanted` partitions. Shards without any are omitted.
     pub fn restricted_to(&self, wanted: &PartitionSet) -> ShardPlan {
         let cut = |shard: &PlannedShard| {
             let partitions: Arc<PartitionSet> = if wanted.contains_all(&shard.partitions) {
--- a/crates/sablebay-query/src/replica.rs
+++ b/crates/sablebay-query/src/replica.rs
@@ -1,86 +1,79 @@
-//! What a node knows of one replica from its own calls, and what the replica reports of itself.
+//! Replica state from observed calls and reported load.
 
 use derive_more::Display;
 
 use sablebay_model::{LeafId, Micros, NodeId, SnapshotVersion, ZoneName};
 
-/// What a call goes to: a leaf, or a peer that aggregates leaves.
+/// Destination of a call: a leaf, or a peer that aggregates leaves.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Target {
-    /// A leaf.
     #[display("leaf {_0}")]
     Leaf(LeafId),
-    /// A node that calls leaves on this node's behalf.
+    /// A node that calls leaves on behalf of this node.
     #[display("peer {_0}")]
     Peer(NodeId),
 }
 
-/// The position of a replica in its service's table.
+/// Index of a replica in the table of its service.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaIndex(pub u32);
 
-/// What a replica says of itself with each answer.
+/// Load reported by a replica with each answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Calls that it is running, from all nodes.
+    /// Running calls, from all nodes.
     pub in_flight: u32,
-    /// Calls that it can run at once.
+    /// Maximum number of concurrent calls.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether the replica is leaving.
     pub draining: bool,
-    /// The index versions that it holds.
+    /// Index versions held by the replica.
     pub versions: Vec<SnapshotVersion>,
 }
 
-/// The state of one replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaState {
-    /// What it is.
     pub target: Target,
-    /// Its zone.
     pub zone: ZoneName,
-    /// This node's calls that it has not answered yet.
+    /// Calls from this node that are in flight.
     pub in_flight: u32,
-    /// Moving average of its latency, in microseconds. Zero: not observed.
+    /// Moving average of the latency, in microseconds; zero if never observed.
     pub latency_us: f64,
-    /// Failures since its last answer.
+    /// Failures since the last answer.
     pub consecutive_failures: u32,
-    /// When the last failure happened.
     pub last_failure_at: Micros,
-    /// When it was first seen, or came back; its weight grows from then on.
+    /// Start of the warm-up period: when the replica was discovered or recovered.
     pub warm_since: Micros,
-    /// Its own last report, with the time it came in.
+    /// Last load report and the time it was received.
     pub report: Option<(LoadReport, Micros)>,
-    /// Whether this node was told, by any path, that it is leaving.
+    /// Whether any source has reported that the replica is leaving.
     pub leaving: bool,
-    /// Whether its zone is evacuated.
+    /// Whether the zone of the replica is evacuated.
     pub evacuated: bool,
 }
 
-/// Weight of a new observation in the latency average.
+/// Smoothing factor of the latency average.
 const LATENCY_WEIGHT: f64 = 0.2;
-/// Weight of an observation that is slower than the average: slowness is believed sooner.
+/// Smoothing factor for observations above the average, so that slowdowns are detected sooner.
 const SLOWER_LATENCY_WEIGHT: f64 = 0.4;
-/// Latency assumed of a replica that was never observed, in microseconds.
+/// Assumed latency of a replica without observations, in microseconds.
 const UNOBSERVED_LATENCY_US: f64 = 1_000.0;
-/// How long a report is believed.
+/// Age at which a load report expires.
 const REPORT_LIFETIME: Micros = Micros::from_secs(2);
-/// How long a new replica is held back.
+/// Duration of the warm-up of a new replica.
 const WARM_UP: Micros = Micros::from_secs(5);
-/// The share of its normal weight that a new replica starts with.
+/// Initial fraction of the full weight of a new replica.
 const INITIAL_WEIGHT: f64 = 0.2;
-/// The first pause after repeated failures; doubles with each further one.
+/// Initial quarantine; doubles with each further failure.
 const FIRST_QUARANTINE: Micros = Micros::from_millis(100);
-/// The longest pause after repeated failures.
+/// Maximum quarantine.
 const MAXIMUM_QUARANTINE: Micros = Micros::from_secs(5);
-/// Failures in a row after which a replica is left alone for a while.
+/// Consecutive failures that quarantine a replica.
 const FAILURES_BEFORE_QUARANTINE: u32 = 2;
-/// Time over which an average that is not refreshed falls back by half: a replica that was slow
-/// gets new trials.
+/// Half-life of a latency average that is not refreshed, so that a slow replica is tried again.
 const LATENCY_HALF_LIFE: Micros = Micros::from_secs(1);
 
 impl ReplicaState {
-    /// A replica that was just seen for the first time.
     pub fn new(target: Target, zone: ZoneName, now: Micros) -> Self {
         Self {
             target,
@@ -96,7 +89,7 @@
         }
     }
 
-    /// Records an answer after `latency`.
+    /// Records a successful answer. Warm-up restarts after a quarantine.
     pub fn answered(&mut self, latency: Micros, now: Micros) {
         if self.consecutive_failures >= FAILURES_BEFORE_QUARANTINE {
             self.warm_since = now;
@@ -105,7 +98,7 @@
         self.observe(latency);
     }
 
-    /// Records that a call has taken at least `latency` so far.
+    /// Records a latency, or the elapsed time of a pending call.
     pub fn observe(&mut self, latency: Micros) {
         let observed = latency.0 as f64;
         if self.latency_us == 0.0 {
@@ -116,19 +109,19 @@
         }
     }
 
-    /// Records a call that failed or never came back.
+    /// Records a call that failed or timed out.
     pub fn failed(&mut self, now: Micros) {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.last_failure_at = now;
     }
 
-    /// Records the replica's own report.
+    /// Records the load reported by the replica.
     pub fn reported(&mut self, report: LoadReport, now: Micros) {
         self.leaving |= report.draining;
         self.report = Some((report, now));
     }
 
-    /// Until when the replica is left alone after failures.
+    /// Returns the end of the quarantine, or zero if the replica is not quarantined.
     pub fn quarantined_until(&self) -> Micros {
         if self.consecutive_failures < FAILURES_BEFORE_QUARANTINE {
             return Micros(0);
@@ -138,19 +131,20 @@
         self.last_failure_at.plus(pause)
     }
 
-    /// Whether calls may go to the replica now. Own failures outrank any healthy report.
+    /// Returns whether calls may be sent to the replica. Observed failures take precedence over
+    /// reported health. After a quarantine one trial call is allowed at a time.
     pub fn is_usable(&self, now: Micros) -> bool {
         let trial_running = self.consecutive_failures >= FAILURES_BEFORE_QUARANTINE && self.in_flight > 0;
         !trial_running && self.quarantined_until() <= now
     }
 
-    /// Whether the replica holds `version`, as far as is known.
+    /// Returns whether the replica holds `version`, or `None` if no report was received.
     pub fn holds(&self, version: SnapshotVersion) -> Option<bool> {
         let (report, _) = self.report.as_ref()?;
         Some(report.versions.contains(&version))
     }
 
-    /// The expected cost of one more call; lower is better.
+    /// Returns the expected cost of one more call; lower is better.
     pub fn cost(&self, now: Micros, last_answer_age: Micros) -> f64 {
         let latency = self.decayed_latency(last_answer_age);
         let reported = self.report.as_ref().filter(|(_, at)| now.since(*at) <= REPORT_LIFETIME);
@@ -168,7 +162,7 @@
         (self.latency_us * 0.5f64.powf(half_lives)).max(UNOBSERVED_LATENCY_US.min(self.latency_us))
     }
 
-    /// The share of its normal weight, from [`INITIAL_WEIGHT`] to one while it warms up.
+    /// Returns the fraction of the full weight: rises from [`INITIAL_WEIGHT`] to 1 during warm-up.
     fn warm_up_weight(&self, now: Micros) -> f64 {
         let age = now.since(self.warm_since).as_secs_f64() / WARM_UP.as_secs_f64();
         (INITIAL_WEIGHT + (1.0 - INITIAL_WEIGHT) * age).min(1.0)
--- a/crates/sablebay-query/src/routing.rs
+++ b/crates/sablebay-query/src/routing.rs
@@ -1,4 +1,4 @@
-//! What a node keeps for one service between queries.
+//! Per-service routing state that outlives a query.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,21 +10,20 @@
 use crate::latency::LatencyWindow;
 use crate::plan::ShardPlan;
 
-/// Mechanisms that an experiment can turn off, to show that its checker notices.
+/// Mechanisms that fault-injection tests can disable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mechanisms {
-    /// Hedging of slow calls.
     pub hedging: bool,
-    /// The extra-load budget. Off: every hedge and retry is allowed.
+    /// The extra-load budget. If disabled, every hedge and retry is allowed.
     pub budget: bool,
-    /// Rejection of answers at another version than the pinned one.
+    /// Rejection of answers at a version other than the pinned one.
     pub version_check: bool,
-    /// Rejection of answers for other partitions than those asked for, or for a shard that is
-    /// already answered.
+    /// Rejection of answers whose partitions differ from the requested ones, and of duplicate
+    /// answers for a shard.
     pub partition_check: bool,
-    /// Replica choice by observation. Off: the first untried candidate.
+    /// Replica selection by observed load. If disabled, the first untried candidate is chosen.
     pub observation: bool,
-    /// Leaving replicas get no new work.
+    /// Exclusion of leaving replicas.
     pub leaving: bool,
 }
 
@@ -41,33 +40,27 @@
     }
 }
 
-/// The settings of a service that matter to routing.
+/// Routing settings of a service.
 #[derive(Clone, Debug)]
 pub struct RoutingSettings {
-    /// Whether slow calls are hedged.
     pub hedge: bool,
-    /// The latency quantile after which a call is hedged.
+    /// Latency quantile after which a call is hedged.
     pub hedge_quantile: f64,
-    /// Hedges and retries in percent of first calls.
+    /// Limit on hedges and retries, in percent of first calls.
     pub extra_load_percent: f64,
-    /// Whether failed calls are retried.
     pub retry: bool,
-    /// Whether full coverage is worth planning again.
+    /// Whether to replan a query at another version to reach full coverage.
     pub coverage_first: bool,
-    /// Mechanisms that are on.
+    /// Mechanisms that fault-injection tests can disable.
     pub mechanisms: Mechanisms,
 }
 
-/// The state of one service on one node.
+/// Routing state of one service on one node.
 #[derive(Debug)]
 pub struct ServiceRouting {
-    /// The settings.
     pub settings: RoutingSettings,
-    /// The replicas.
     pub balancer: Balancer,
-    /// The extra-load budget.
     pub budget: ExtraLoadBudget,
-    /// The shards.
     pub plan: Arc<ShardPlan>,
     recent: LatencyWindow,
     hedge_window: LatencyWindow,
@@ -75,29 +68,26 @@
     late_share: f64,
 }
 
-/// The window that a brownout is seen in.
+/// Window for brownout detection.
 const RECENT_WINDOW: Micros = Micros::from_secs(4);
-/// The window that the hedging quantile is taken over: a small service needs this long for a
-/// quantile near one to rest on more than a few calls.
+/// Window of the hedging quantile; long enough for high quantiles of a service with little traffic.
 const HEDGE_WINDOW: Micros = Micros::from_secs(20);
-/// The window that tells what is baseline for the service.
+/// Window of the baseline latency.
 const BASELINE_WINDOW: Micros = Micros::from_secs(60);
-/// Hedge delay while there are too few observations.
+/// Hedge delay while there are too few observations for a quantile.
 const INITIAL_HEDGE_DELAY: Micros = Micros::from_millis(50);
-/// The shortest hedge delay.
 const MINIMUM_HEDGE_DELAY: Micros = Micros(500);
-/// How many times the baseline latency the recent median may be before hedging pauses: when the whole
-/// service is slow, a second call is slow too.
+/// Ratio of the recent median to the baseline above which hedging pauses.
 const BROWNOUT_FACTOR: u64 = 3;
-/// The share of late calls above which hedging pauses.
+/// Fraction of late calls above which hedging pauses.
 const BROWNOUT_LATE_SHARE: f64 = 0.35;
-/// Weight of one more call in that share: a few late calls in a row are enough.
+/// Smoothing factor of the fraction of late calls.
 const LATE_SHARE_WEIGHT: f64 = 0.25;
-/// What counts as baseline: a low quantile, which a slow spell takes longer to move than the median.
+/// Quantile used as the baseline; a low one reacts slowly to a temporary slowdown.
 const BASELINE_QUANTILE: f64 = 0.25;
 
 impl ServiceRouting {
-    /// The state of a service that was just configured.
+    /// Creates the state of a newly configured service.
     pub fn new(settings: RoutingSettings, now: Micros) -> Self {
         Self {
             budget: ExtraLoadBudget::new(settings.extra_load_percent, now),
@@ -111,7 +101,7 @@
         }
     }
 
-    /// Takes new settings; what was observed stays.
+    /// Applies new settings. Observations are kept.
     pub fn reconfigure(&mut self, settings: RoutingSettings) {
         self.budget.set_percent(settings.extra_load_percent);
         self.settings = settings;
@@ -124,30 +114,30 @@
         self.baseline.record(latency, now);
     }
 
-    /// The time within which a call is expected to be answered: calls that take longer are late.
+    /// Returns the delay after which a call is late.
     pub fn expected_delay(&mut self, now: Micros) -> Micros {
         let quantile = self.hedge_window.quantile(self.settings.hedge_quantile, now);
         quantile.unwrap_or(INITIAL_HEDGE_DELAY).max(MINIMUM_HEDGE_DELAY)
     }
 
-    /// Notes whether a first call was answered within its expected time.
+    /// Records whether a call exceeded its expected delay.
     pub fn record_lateness(&mut self, late: bool) {
         let observed = f64::from(u8::from(late));
         self.late_share += LATE_SHARE_WEIGHT * (observed - self.late_share);
     }
 
-    /// Whether a late call may be hedged. Not while the whole service is slower than baseline.
+    /// Returns whether a late call may be hedged. Hedging pauses during a brownout.
     pub fn may_hedge(&mut self, now: Micros) -> bool {
         self.hedging_is_on() && (!self.settings.mechanisms.budget || !self.is_brownout(now))
     }
 
-    /// Whether slow calls are hedged at all.
+    /// Returns whether hedging is enabled.
     pub fn hedging_is_on(&self) -> bool {
         self.settings.hedge && self.settings.mechanisms.hedging
     }
 
-    /// Whether the whole service is slower than baseline: many calls in a row were late, or the
-    /// recent median is far above what is baseline.
+    /// Returns whether the whole service is slow: many consecutive calls were late, or the recent
+    /// median is far above the baseline.
     fn is_brownout(&mut self, now: Micros) -> bool {
         if self.late_share > BROWNOUT_LATE_SHARE {
             return true;
@@ -160,14 +150,14 @@
         }
     }
 
-    /// Takes a token for an extra call.
+    /// Takes a token for an extra call. Returns false if the call is not allowed.
     pub fn spend_extra(&mut self, now: Micros) -> bool {
         let allowed = self.budget.spend(now);
         allowed || !self.settings.mechanisms.budget
     }
 
-    /// The newest version that full coverage can be had in, as learnt from answers; failing that
-    /// the one that most partitions can be had in. `avoid` is a version found wanting.
+    /// Returns the version reported for the most partitions, the newest if several tie, excluding
+    /// `avoid`.
     pub fn best_version(&self, avoid: Option<SnapshotVersion>) -> Option<SnapshotVersion> {
         let mut covered: BTreeMap<SnapshotVersion, u32> = BTreeMap::new();
         for shard in &self.plan.shards {
@@ -187,7 +177,7 @@
         usable.max_by_key(|(version, partitions)| (*partitions, *version)).map(|(version, _)| version)
     }
 
-    /// Whether some replica of every shard has reported which versions it holds.
+    /// Returns whether at least one replica of every shard has reported its versions.
     pub fn knows_versions(&self) -> bool {
         self.plan
             .shards
@@ -195,7 +185,7 @@
             .all(|shard| shard.replicas.iter().any(|index| self.balancer.replica(*index).report.is_some()))
     }
 
-    /// The versions that every one of `partitions` can be had in from some replica.
+    /// Returns the versions reported for all shards that intersect `partitions`.
     pub fn versions_for(&self, partitions: &PartitionSet) -> Vec<SnapshotVersion> {
         let mut common: Option<Vec<SnapshotVersion>> = None;
         for shard in self.plan.shards.iter().filter(|shard| shard.partitions.intersects(partitions)) {
--- a/crates/sablebay-query/src/search.rs
+++ b/crates/sablebay-query/src/search.rs
@@ -1,10 +1,11 @@
-//! One query: a state machine from answers, failures and the passing of time to calls.
+//! State machine of one query.
 //!
-//! Invariants kept here:
-//! - every accepted answer is at the version pinned at the start of the plan (one snapshot);
-//! - every shard is accepted once, for exactly the partitions asked for (true coverage);
-//! - nothing is dispatched at or after the deadline, also when the process was paused;
-//! - every extra call is paid from the service's budget, or replaces one that did not run.
+//! Invariants:
+//! - All accepted answers are at the version pinned by the plan.
+//! - Each shard is accepted once, for exactly the requested partitions.
+//! - No call is dispatched at or after the deadline, even if the process was paused.
+//! - Every extra call takes a token from the budget of the service or replaces a call that did not
+//!   run; a call lost with its aggregator is exempt.
 
 mod attempt;
 mod request;
@@ -25,28 +26,26 @@
 
 use attempt::{Attempt, ShardProgress};
 
-/// Plans that one query may go through: the first, and again when a version vanishes.
+/// Maximum number of plans per query, including the first.
 const MAXIMUM_PLANS: u32 = 3;
-/// Attempts for one shard at the most, in one plan.
+/// Maximum number of attempts per shard in one plan.
 const MAXIMUM_ATTEMPTS_PER_SHARD: usize = 4;
-/// The share of the remaining time after which a silent aggregator is replaced.
+/// Fraction of the remaining time after which a call to an aggregator is hedged.
 const PEER_HEDGE_FRACTION: f64 = 0.5;
-/// How soon a hedge that the budget refused is looked at again.
+/// Delay before a refused hedge is tried again.
 const HEDGE_RETRY_INTERVAL: Micros = Micros(5_000);
 
-/// What a step of the machine works with.
+/// Inputs and outputs of one step of the state machine.
 pub struct SearchContext<'a, R> {
-    /// The service's state.
+    /// Routing state of the service.
     pub routing: &'a mut ServiceRouting,
-    /// Now.
     pub now: Micros,
-    /// Random draws.
     pub random: &'a mut R,
-    /// Where actions are put.
+    /// Receives the resulting actions.
     pub actions: &'a mut Vec<Action>,
 }
 
-/// One query in progress.
+/// A query in progress.
 #[derive(Debug)]
 pub struct Search {
     request: SearchRequest,
@@ -67,7 +66,7 @@
 }
 
 impl Search {
-    /// A query at `version` over `plan`. Nothing is sent before [`Search::start`].
+    /// Creates a query at `version`. No call is sent before [`Search::start`].
     pub fn new(request: SearchRequest, plan: Arc<ShardPlan>, version: SnapshotVersion) -> Self {
         Self {
             shards: vec![ShardProgress::default(); plan.shards.len()],
@@ -88,7 +87,7 @@
         }
     }
 
-    /// Sends the first call for each shard.
+    /// Dispatches the first call for each shard.
     pub fn start<R: Rng>(&mut self, context: &mut SearchContext<'_, R>) {
         self.plans += 1;
         if context.now >= self.request.deadline {
@@ -112,13 +111,13 @@
             self.hedge_at = context.now.plus(context.routing.expected_delay(context.now));
         }
         self.expected_by = self.hedge_at;
-        // Without hedging nothing is due at that time, and a wide search need not be looked through.
+        // Without hedging no wake-up is needed before the deadline.
         if !self.plan.through_peers && !context.routing.hedging_is_on() {
             self.hedge_at = Micros::MAX;
         }
     }
 
-    /// Sends one call for a shard; false when no replica is left.
+    /// Dispatches a call for a shard. Returns false if no replica is left.
     fn dispatch<R: Rng>(
         &mut self,
         shard: usize,
@@ -163,7 +162,8 @@
         true
     }
 
-    /// The attempt, if it is open and of the present plan. Anything else is late or repeated.
+    /// Closes an attempt. Returns `None` if the answer is late, repeated or belongs to an earlier
+    /// plan.
     fn take_open<R: Rng>(
         &mut self,
         number: AttemptNumber,
@@ -183,7 +183,7 @@
         Some(attempt)
     }
 
-    /// A call was answered. Returns whether the answer was taken.
+    /// Handles an answer. Returns whether the answer was accepted.
     pub fn on_answer<R: Rng>(
         &mut self,
         number: AttemptNumber,
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Cancels open attempts of the present plan that `selected` picks.
+    /// Cancels the open attempts of the current plan that `selected` matches.
     fn cancel_attempts<R: Rng>(
         &mut self,
         context: &mut SearchContext<'_, R>,
@@ -274,7 +274,7 @@
         }
     }
 
-    /// A call failed, or was refused by the back end.
+    /// Handles a failed or refused call.
     pub fn on_failure<R: Rng>(
         &mut self,
         number: AttemptNumber,
@@ -311,7 +311,7 @@
         self.after_change(context);
     }
 
-    /// Sends the work of a failed call to another replica, or closes the shard.
+    /// Retries a failed call on another replica, or closes the shard.
     fn replace_call<R: Rng>(
         &mut self,
         shard: usize,
@@ -325,8 +325,8 @@
         let in_time = context.now < self.request.deadline;
         let attempts_left = progress.tried.len() < MAXIMUM_ATTEMPTS_PER_SHARD;
         let allowed = in_time && attempts_left && context.routing.settings.retry;
-        // An aggregator whose connection broke is gone, and its leaf calls with it: whatever was
-        // in flight there is sent once more, which no budget for slow days could pay.
+        // A broken connection means that the aggregator and its leaf calls are lost. The retry is
+        // exempt from the budget.
         let lost_aggregator = self.plan.through_peers && failure == CallFailure::Broken;
         let free = failure.is_budget_exempt() || lost_aggregator;
         let paid = allowed && (free || context.routing.spend_extra(context.now));
@@ -348,7 +348,7 @@
         }
     }
 
-    /// Time has passed. Hedges what is slow; at the deadline closes what is open.
+    /// Hedges late calls. At the deadline closes all open shards.
     pub fn on_wake<R: Rng>(&mut self, context: &mut SearchContext<'_, R>) {
         if self.finished {
             return;
@@ -411,7 +411,7 @@
         sent.map_or(Micros(0), |attempt| now.since(attempt.sent_at))
     }
 
-    /// The deadline has come: every open call counts as a failure of its replica.
+    /// Closes the query at the deadline. Each open call counts as a failure of its replica.
     fn expire<R: Rng>(&mut self, context: &mut SearchContext<'_, R>) {
         let first = self.first_attempt_of_plan as usize;
         let silent: Vec<ReplicaIndex> =
@@ -430,7 +430,7 @@
         self.finished = true;
     }
 
-    /// Plans again when the version vanished, or finishes when no shard is open.
+    /// Replans if the version is unavailable, or finishes if no shard is open.
     fn after_change<R: Rng>(&mut self, context: &mut SearchContext<'_, R>) {
         if self.finished {
             return;
@@ -444,8 +444,8 @@
         }
     }
 
-    /// Whether the whole query is worth starting again at another version: when coverage goes
-    /// first, or when nothing was answered at this one.
+    /// Returns whether to restart the query at another version: if full coverage is preferred, or
+    /// if no shard was answered at the current version.
     fn should_replan(&self, routing: &ServiceRouting, now: Micros) -> bool {
         let worthwhile =
             routing.settings.coverage_first || (self.open_shards == 0 && self.coverage_parts.is_empty());
@@ -469,28 +469,28 @@
         self.start(context);
     }
 
-    /// When [`Search::on_wake`] is next due.
+    /// Returns when [`Search::on_wake`] is due.
     pub fn next_wake(&self) -> Micros {
         self.hedge_at.min(self.request.deadline)
     }
 
-    /// Whether the result is final.
+    /// Returns whether the result is final.
     pub fn is_finished(&self) -> bool {
         self.finished
     }
 
-    /// The revision that the plan was made from.
+    /// Returns the configuration revision of the plan.
     pub fn revision(&self) -> sablebay_model::Revision {
         self.plan.revision
     }
 
-    /// The caller went away: cancels what is open.
+    /// Cancels all open calls after the caller has disconnected.
     pub fn abandon<R: Rng>(&mut self, context: &mut SearchContext<'_, R>) {
         self.cancel_attempts(context, |_| true);
         self.finished = true;
     }
 
-    /// The final result.
+    /// Returns the merged hits and their coverage.
     pub fn into_result(self) -> SearchResult {
         let mut coverage = Coverage::default();
         let answered = self.coverage_parts.iter().flat_map(|part| part.answered.iter());
--- a/crates/sablebay-query/src/search/attempt.rs
+++ b/crates/sablebay-query/src/search/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts at the shards of a query, and how they fail.
+//! Call attempts of a query and their failures.
 
 use derive_more::Display;
 use smallvec::SmallVec;
@@ -8,59 +8,59 @@
 use crate::coverage::GapReason;
 use crate::replica::ReplicaIndex;
 
-/// Numbers the calls of one query, over all its plans.
+/// Number of a call, unique within a query across replans.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub struct AttemptNumber(pub u32);
 
-/// Why a call was sent.
+/// Reason for sending a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptKind {
     /// The first call for its shard.
     First,
-    /// Another replica is slow.
+    /// Sent because another replica is slow.
     Hedge,
-    /// Another replica failed or refused.
+    /// Sent because another replica failed or refused.
     Retry,
 }
 
-/// How a call failed.
+/// Reason for the failure of a call.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum CallFailure {
-    /// No byte can have reached the replica.
+    /// No data reached the replica.
     #[display("not sent")]
     NotSent,
-    /// The connection failed after bytes were sent.
+    /// The connection failed after data was sent.
     #[display("broken")]
     Broken,
     /// The replica does not hold the version or a partition.
     #[display("not held")]
     NotHeld,
-    /// The replica is leaving and takes no new work.
+    /// The replica is leaving and refuses new work.
     #[display("draining")]
     Draining,
     /// The replica sheds load.
     #[display("shedding")]
     Shedding,
-    /// The replica gave up at the deadline it was given.
+    /// The replica exceeded the deadline of the call.
     #[display("too late")]
     TooLate,
-    /// The answer does not fit the call.
+    /// The answer does not match the call.
     #[display("mismatched")]
     Mismatched,
 }
 
 impl CallFailure {
-    /// Whether the replica's own fitness is in doubt.
+    /// Returns whether the failure counts towards quarantine of the replica.
     pub fn counts_against_replica(self) -> bool {
         matches!(self, CallFailure::NotSent | CallFailure::Broken | CallFailure::Mismatched)
     }
 
-    /// Whether repeating the call elsewhere adds no load: it is known that it did not run.
+    /// Returns whether a retry adds no load because the call did not run.
     pub fn is_budget_exempt(self) -> bool {
         matches!(self, CallFailure::NotSent | CallFailure::NotHeld | CallFailure::Draining)
     }
 
-    /// What a shard that fails for this reason is missing for.
+    /// Returns the gap reason of a shard that failed this way.
     pub fn gap_reason(self) -> GapReason {
         match self {
             CallFailure::NotSent | CallFailure::Broken | CallFailure::Mismatched => GapReason::Lost,
@@ -71,7 +71,6 @@
     }
 }
 
-/// One call.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
     pub shard: usize,
@@ -81,7 +80,7 @@
     pub open: bool,
 }
 
-/// How far one shard has come in the present plan.
+/// Progress of a shard in the current plan.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ShardProgress {
     pub tried: SmallVec<[ReplicaIndex; 4]>,
@@ -94,8 +93,8 @@
 }
 
 impl ShardProgress {
-    /// The reason to give for a shard that no replica answered: the last that is not "not held",
-    /// since a version is gone just when every replica says so.
+    /// Returns the gap reason of an unanswered shard: the last one other than `NotHeld`. `NotHeld`
+    /// is reported only if every replica returned it.
     pub fn gap_reason(&self) -> GapReason {
         let other = self.reasons.iter().rev().find(|reason| **reason != GapReason::NotHeld);
         other.or(self.reasons.last()).copied().unwrap_or(GapReason::Lost)
--- a/crates/sablebay-query/src/search/request.rs
+++ b/crates/sablebay-query/src/search/request.rs
@@ -1,4 +1,4 @@
-//! What goes into a query's state machine and what comes out.
+//! Inputs and outputs of the query state machine.
 
 use std::sync::Arc;
 
@@ -12,89 +12,74 @@
 use crate::coverage::Coverage;
 use crate::replica::{LoadReport, ReplicaIndex};
 
-/// What a query asks of the machine.
+/// Parameters of a query.
 #[derive(Clone, Debug)]
 pub struct SearchRequest {
-    /// When the answer is due.
     pub deadline: Micros,
-    /// Hits in the answer at the most.
+    /// Maximum number of hits.
     pub limit: usize,
-    /// Their order.
     pub order: SortOrder,
-    /// Whether the query may start again at another version. An aggregator's part may not: the
-    /// root pins the version.
+    /// Whether the query may restart at another version. Disabled on aggregators, where the root
+    /// pins the version.
     pub may_replan: bool,
 }
 
-/// What the shell has to do.
+/// An action for the caller of the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a call.
     Dispatch {
-        /// Names the call in what comes back.
+        /// Identifies the call in its answer.
         attempt: AttemptNumber,
-        /// Where to.
         replica: ReplicaIndex,
-        /// The partitions to search.
         partitions: Arc<PartitionSet>,
-        /// The version to search at.
         version: SnapshotVersion,
-        /// When the answer is due.
         deadline: Micros,
     },
-    /// Tell a replica that a call's answer is no longer wanted.
-    Cancel {
-        /// The call.
-        attempt: AttemptNumber,
-        /// The replica.
-        replica: ReplicaIndex,
-    },
+    /// Cancel a call.
+    Cancel { attempt: AttemptNumber, replica: ReplicaIndex },
 }
 
-/// What came back for one call.
+/// Answer to one call.
 #[derive(Clone, Debug)]
 pub struct ShardAnswer {
-    /// The version searched.
     pub version: SnapshotVersion,
-    /// Which of the partitions asked for were searched. A leaf has no gaps; an aggregator may.
+    /// Searched and missing partitions. Only an aggregator reports missing ones.
     pub coverage: Coverage,
-    /// The hits.
     pub hits: Vec<Hit>,
-    /// What the replica says of itself.
+    /// Load reported by the replica.
     pub report: Option<LoadReport>,
-    /// The calls to leaves that an aggregator made for it; nothing for a leaf's answer.
+    /// Work done by an aggregator; zero for an answer from a leaf.
     pub work: Work,
 }
 
-/// The work that a query caused.
+/// Number of calls caused by a query.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Add, AddAssign, Serialize, Deserialize, Encode, Decode,
 )]
 pub struct Work {
-    /// Calls to leaves, all kinds, those of aggregators included.
+    /// Leaf calls of all kinds, including those of aggregators.
     pub leaf_calls: u64,
-    /// Calls sent because another was slow.
+    /// Calls sent because another call was slow.
     pub hedges: u64,
-    /// Calls sent because another failed.
+    /// Calls sent because another call failed.
     pub retries: u64,
-    /// Answers that were late, repeated or did not fit, and were discarded.
+    /// Answers discarded as late, repeated or mismatched.
     pub discarded: u64,
-    /// Times the whole query was planned again at another version.
+    /// Number of restarts at another version.
     #[serde(rename = "plans_again")]
     pub replans: u64,
 }
 
-/// The result of a query.
 #[derive(Clone, Debug)]
 pub struct SearchResult {
-    /// The one version that every hit is from.
+    /// The version of all hits.
     pub version: SnapshotVersion,
-    /// The revision of the configuration that the plan was made from.
+    /// The configuration revision of the plan.
     pub revision: Revision,
-    /// The hits, merged in order.
+    /// Merged hits in the requested order.
     pub hits: Vec<Hit>,
-    /// What they cover.
+    /// Partitions covered by the hits.
     pub coverage: Coverage,
-    /// What it took.
     pub work: Work,
 }
--- a/crates/sablebay-query/tests/limits.rs
+++ b/crates/sablebay-query/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Admission, the extra-load budget, and the choice of a replica.
+//! Tests of admission limits, the extra-load budget and replica selection.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -24,7 +24,7 @@
 proptest! {
     #![proptest_config(settings())]
 
-    /// Whatever comes and goes: never more running than slots, never more waiting than the queue.
+    /// Guards against exceeding the concurrency or queue limit.
     #[test]
     fn admission_keeps_its_limits(steps in proptest::collection::vec((any::<bool>(), 1u64..40), 1..200)) {
         let mut admission = Admission::new(3, 2);
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Extra calls stay within their share of first calls, plus what may be saved up.
+    /// Guards against more extra calls than the budget allows.
     #[test]
     fn the_budget_bounds_extra_calls(answered_in_time in proptest::collection::vec(any::<bool>(), 1..2_000)) {
         let mut budget = ExtraLoadBudget::new(5.0, at_ms(0));
@@ -56,8 +56,8 @@
         prop_assert!(budget.extra_calls() as f64 <= 1.0 + in_time * 0.05);
     }
 
-    /// A leaving replica is never chosen, nor one of an evacuated zone, nor one that is known not to hold the version, nor one
-    /// that was tried.
+    /// Guards against choosing a replica that is leaving, evacuated, already tried or known not to
+    /// hold the version.
     #[test]
     fn the_choice_respects_what_is_known(
         leaving in proptest::collection::vec(any::<bool>(), 5),
--- a/crates/sablebay-query/tests/search_properties.rs
+++ b/crates/sablebay-query/tests/search_properties.rs
@@ -1,5 +1,5 @@
-//! The must-holds of a query, as properties over arbitrary orders of answers, delays, drops,
-//! repeats, version changes and pauses, in virtual time.
+//! Property tests of a query over arbitrary answer orders, delays, losses, duplicates, version
+//! changes and process pauses, in virtual time.
 
 use std::sync::Arc;
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// What the network and a leaf do with one call.
+/// Outcome of one call.
 #[derive(Clone, Debug)]
 enum CallOutcome {
     Answer { delay_ms: u64, repeated: bool },
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug)]
 struct Scenario {
     outcomes: Vec<CallOutcome>,
-    /// The process sleeps for this long before this many events.
+    /// Event number before which the process pauses, and the pause in milliseconds.
     pause: Option<(usize, u64)>,
     coverage_first: bool,
     seed: u64,
@@ -118,7 +118,7 @@
     Failure(AttemptNumber, CallFailure),
 }
 
-/// What happened in a run, for the properties to look at.
+/// Observations of one run.
 struct Run {
     result: SearchResult,
     dispatched_at: Vec<Micros>,
@@ -214,7 +214,7 @@
     }
 }
 
-/// Hits of more than one version, or of another than the one reported.
+/// Returns whether any hit is at a version other than the reported one.
 fn has_mixed_versions(result: &SearchResult) -> bool {
     result.hits.iter().any(|hit| {
         let (_, version): (u32, u64) = serde_json::from_str(hit.body.get()).unwrap();
@@ -222,7 +222,7 @@
     })
 }
 
-/// Whether the hits are exactly one for each partition that the coverage names.
+/// Returns whether there is exactly one hit for each covered partition.
 fn hits_fit_coverage(result: &SearchResult) -> bool {
     let mut found: Vec<u32> = Vec::new();
     for hit in &result.hits {
@@ -264,7 +264,7 @@
 
     #[test]
     fn the_answer_does_not_wait_when_nothing_is_open(scenario in scenario()) {
-        // With every call refused at once there is nothing to wait for.
+        // Every call is refused immediately.
         let outcomes = vec![CallOutcome::Fail { delay_ms: 0, failure: CallFailure::Draining }; 40];
         let run = run(&Scenario { outcomes, pause: None, ..scenario }, Mechanisms::default());
         prop_assert!(run.ended_at < DEADLINE);
@@ -275,7 +275,7 @@
     Scenario { outcomes, pause: None, coverage_first: false, seed: 1 }
 }
 
-/// The checks above can fail: with a mechanism off they do.
+/// Guards against properties that pass vacuously: disabling a mechanism must violate its property.
 #[test]
 fn the_properties_fail_when_their_mechanism_is_off() {
     let wrong_version = fixed(vec![
@@ -292,7 +292,7 @@
     assert!(!hits_fit_coverage(&run(&wrong_partitions, off).result));
 }
 
-/// A version that every replica has dropped is given up whole for another one.
+/// Guards against mixing versions when every replica drops the pinned version during a query.
 #[test]
 fn a_version_that_vanishes_is_replaced_by_another_for_the_whole_answer() {
     let now = Micros::from_millis(1_000_000);
@@ -329,8 +329,8 @@
     assert_eq!(result.work.replans, 1);
 }
 
-/// An aggregator that is lost with a query in flight is replaced, also when the budget is empty;
-/// a leaf is not, since a leaf that breaks connections may be overloaded.
+/// Guards against losing coverage when an aggregator fails and the budget is empty. Calls to a leaf
+/// whose connection broke stay subject to the budget, since the leaf may be overloaded.
 #[test]
 fn a_lost_aggregator_is_replaced_without_the_budget() {
     for (through_peers, expected) in [(true, true), (false, false)] {
