--- a/crates/sablebay-gateway/src/quota.rs
+++ b/crates/sablebay-gateway/src/quota.rs
@@ -13,8 +13,8 @@
 use sablebay_node::{AccountKeeper, Lane};
 use sablebay_protocol::peer::{PeerRequest, PeerResponse};
 use sablebay_tenants::quota::{
-    AccountEvent, Arrival, QuotaGrant, QuotaQuestion, QuotaRule, is_starting, own_part, part_by_age,
-    retry_after,
+    AccountEvent, Arrival, QuotaGrant, QuotaRequest, QuotaRule, allowance_by_uptime, is_starting,
+    local_allowance, retry_after,
 };
 use sablebay_tenants::{Quota, Tenant, TenantName};
 
@@ -196,7 +196,7 @@
             let lenders = asker.lenders(window, now);
             let returned = asker.take_returned(now);
             let tenant = tenant.clone();
-            QuotaQuestion { tenant, version, quota, wanted, lenders, returned, starting: false }
+            QuotaRequest { tenant, version, quota, wanted, lenders, returned, starting: false }
         };
         if let Some(lent) = self.ask_seeds(&question).await {
             return lent;
@@ -214,7 +214,7 @@
                     self.quota.lock().tenant(tenant, window, now).asker.note_lender(grant.account, now);
                 }
                 let missing = wanted.saturating_sub(grant.granted);
-                let more = if grant.stands_in { self.take_own_part(tenant, &quota, missing) } else { 0 };
+                let more = if grant.from_standby { self.take_own_part(tenant, &quota, missing) } else { 0 };
                 let granted = grant.granted.min(wanted) + more;
                 return Lent { granted, empty_for: grant.empty_for, account: Some(grant.account) };
             }
@@ -224,7 +224,7 @@
 
     /// Asks the seeds, where this node has just started and does not know who keeps the account. Returns nothing where
     /// it does, or a seed does.
-    async fn ask_seeds(&self, question: &QuotaQuestion) -> Option<Lent> {
+    async fn ask_seeds(&self, question: &QuotaRequest) -> Option<Lent> {
         let seeds = {
             let mut fleet = self.fleet.lock();
             fleet.refresh(&self.node);
@@ -237,7 +237,7 @@
         for seed in seeds {
             let wanted = question.wanted - granted;
             let grant =
-                self.ask_seed(seed, &QuotaQuestion { wanted, starting: true, ..question.clone() }).await;
+                self.ask_seed(seed, &QuotaRequest { wanted, starting: true, ..question.clone() }).await;
             let Some(grant) = grant else {
                 continue;
             };
@@ -253,7 +253,7 @@
         Some(Lent { granted, empty_for: SEEDS_EMPTY, ..Lent::default() })
     }
 
-    async fn ask_seed(&self, seed: Option<SocketAddr>, question: &QuotaQuestion) -> Option<QuotaGrant> {
+    async fn ask_seed(&self, seed: Option<SocketAddr>, question: &QuotaRequest) -> Option<QuotaGrant> {
         let Some(address) = seed else {
             return Some(self.lend_as_seed(question));
         };
@@ -276,7 +276,7 @@
     }
 
     /// Lends to a node that has just started.
-    fn lend_as_seed(&self, question: &QuotaQuestion) -> QuotaGrant {
+    fn lend_as_seed(&self, question: &QuotaRequest) -> QuotaGrant {
         let now = self.clock().now();
         let known = self.known_quota(&question.tenant);
         let rule = self.quota_rule();
@@ -288,7 +288,7 @@
         quota.accounts.answer_starting(question, known, &rule, place, now)
     }
 
-    async fn ask_keeper(&self, keeper: &AccountKeeperNode, question: &QuotaQuestion) -> Option<QuotaGrant> {
+    async fn ask_keeper(&self, keeper: &AccountKeeperNode, question: &QuotaRequest) -> Option<QuotaGrant> {
         let Some(address) = keeper.address else {
             return Some(self.lend(question));
         };
@@ -312,7 +312,7 @@
     }
 
     /// Lends out of an account of this node.
-    fn lend(&self, question: &QuotaQuestion) -> QuotaGrant {
+    fn lend(&self, question: &QuotaRequest) -> QuotaGrant {
         if question.starting {
             return self.lend_as_seed(question);
         }
@@ -330,8 +330,8 @@
         drop((fleet, quota));
         let outcome = match event {
             AccountEvent::Known => return grant,
-            AccountEvent::Begun => "account_begun",
-            AccountEvent::StoodIn => "taken_over",
+            AccountEvent::Created => "account_begun",
+            AccountEvent::CreatedByStandby => "taken_over",
         };
         self.metrics.quota(outcome, 1);
         if self.metrics.log_budget.take(now) {
@@ -349,7 +349,11 @@
         let rule = self.quota_rule();
         let known = self.known_fleet();
         let (nodes, place) = self.fleet.lock().quota_place(tenant, &known);
-        let part = part_by_age(own_part(rule.own_parts(quota), nodes, place), known.running_for, rule.window);
+        let part = allowance_by_uptime(
+            local_allowance(rule.total_local_allowance(quota), nodes, place),
+            known.running_for,
+            rule.window,
+        );
         let passed =
             self.quota.lock().tenant(tenant, rule.window, now).own.take(part, rule.window, wanted, now);
         self.metrics.quota("own_part", passed);
@@ -371,7 +375,7 @@
 }
 
 impl<C: CallerProtocol, B: BackendProtocol> AccountKeeper for GatewayAccounts<C, B> {
-    fn answer(&self, question: &QuotaQuestion) -> PeerResponse {
+    fn answer(&self, question: &QuotaRequest) -> PeerResponse {
         match self.context.upgrade() {
             Some(context) => PeerResponse::Quota(context.lend(question)),
             None => PeerResponse::Refused(Refusal::not_run(Reason::Stopping, "the gateway has ended")),
--- a/crates/sablebay-gateway/src/quota_keepers.rs
+++ b/crates/sablebay-gateway/src/quota_keepers.rs
@@ -7,7 +7,7 @@
 use sablebay_fleet::FleetPart;
 use sablebay_model::{Micros, NodeId};
 use sablebay_tenants::TenantName;
-use sablebay_tenants::quota::{KeeperStanding, SeedPlace};
+use sablebay_tenants::quota::{OwnerStatus, SeedPlace};
 
 use crate::fleet_view::{FleetView, rendezvous_key};
 
@@ -54,9 +54,9 @@
     }
 
     /// How this node stands as the keeper of a tenant's account.
-    pub fn keeper_standing(&mut self, tenant: &TenantName, known: &FleetKnowledge) -> KeeperStanding {
+    pub fn keeper_standing(&mut self, tenant: &TenantName, known: &FleetKnowledge) -> OwnerStatus {
         let first = self.account_keepers(tenant).into_iter().next();
-        KeeperStanding {
+        OwnerStatus {
             is_first: first.is_some_and(|keeper| keeper.address.is_none()),
             share: self.part(known).share,
             running_for: known.running_for,
--- a/crates/sablebay-gateway/src/quota_state.rs
+++ b/crates/sablebay-gateway/src/quota_state.rs
@@ -7,7 +7,7 @@
 
 use sablebay_model::Micros;
 use sablebay_tenants::TenantName;
-use sablebay_tenants::quota::{AccountId, Accounts, OwnPart, SilentKeepers, TenantAsker};
+use sablebay_tenants::quota::{AccountId, Accounts, LocalAllowance, QuotaRequester, UnresponsiveNodes};
 
 /// A pause after which others may have taken this node's accounts over: suspicions begin after about as long.
 const LONG_PAUSE: Micros = Micros::from_secs(1);
@@ -41,9 +41,9 @@
 #[derive(Default)]
 pub struct TenantRequests {
     /// Its requests that wait.
-    pub asker: TenantAsker<Waiter>,
+    pub asker: QuotaRequester<Waiter>,
     /// What passed by the node's own part.
-    pub own: OwnPart,
+    pub own: LocalAllowance,
     /// When it was last logged as over its quota.
     pub logged_at: Micros,
 }
@@ -54,9 +54,9 @@
     /// The accounts that the node keeps.
     pub accounts: Accounts,
     /// Keepers that lately did not answer.
-    pub silent: SilentKeepers,
+    pub silent: UnresponsiveNodes,
     /// Seeds that lately did not answer.
-    pub silent_seeds: SilentKeepers<SocketAddr>,
+    pub silent_seeds: UnresponsiveNodes<SocketAddr>,
     /// When the node was last seen running.
     seen_at: Micros,
     /// When it started, or went on after a long pause.
@@ -69,8 +69,8 @@
         Self {
             tenants: HashMap::new(),
             accounts: Accounts::new(first_account),
-            silent: SilentKeepers::of_accounts(),
-            silent_seeds: SilentKeepers::of_seeds(),
+            silent: UnresponsiveNodes::for_owners(),
+            silent_seeds: UnresponsiveNodes::for_seeds(),
             seen_at: now,
             awake_since: now,
         }
--- a/crates/sablebay-node/src/shared.rs
+++ b/crates/sablebay-node/src/shared.rs
@@ -13,7 +13,7 @@
 use sablebay_fleet::{ClaimHolder, FleetNode, FleetPart, MemberInfo};
 use sablebay_model::{InstanceKey, LeafId, Reason, Refusal, ServiceId};
 use sablebay_protocol::peer::{PartialGather, PeerResponse};
-use sablebay_tenants::quota::QuotaQuestion;
+use sablebay_tenants::quota::QuotaRequest;
 
 use crate::caller_counts::CallerCounts;
 use crate::catalogue_store::CatalogueStore;
@@ -44,7 +44,7 @@
 /// Keeps accounts of tenants' quotas.
 pub trait AccountKeeper: Send + Sync {
     /// Answers another node that asks for tokens.
-    fn answer(&self, question: &QuotaQuestion) -> PeerResponse;
+    fn answer(&self, question: &QuotaRequest) -> PeerResponse;
 }
 
 /// What all parts of a node share.
--- a/crates/sablebay-protocol/src/peer.rs
+++ b/crates/sablebay-protocol/src/peer.rs
@@ -12,7 +12,7 @@
 };
 use sablebay_model::{PartitionSet, Refusal, Revision, ServiceId, SnapshotVersion, SortOrder};
 use sablebay_query::{Coverage, Work};
-use sablebay_tenants::quota::{QuotaGrant, QuotaQuestion};
+use sablebay_tenants::quota::{QuotaGrant, QuotaRequest};
 
 /// The first message of each side: who it is.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
@@ -139,7 +139,7 @@
         run: RunId,
     },
     /// May requests of a tenant run? Sent to the node that keeps its account, if it says that it keeps some.
-    Quota(QuotaQuestion),
+    Quota(QuotaRequest),
     /// A chunk of a document that was offered to the sender.
     DocumentChunk {
         /// The document.
--- a/crates/sablebay-tenants/src/quota.rs
+++ b/crates/sablebay-tenants/src/quota.rs
@@ -6,26 +6,26 @@
 
 mod account;
 mod accounts;
-mod asker;
 mod bucket;
+mod local_allowance;
 mod message;
-mod own_part;
-mod silence;
+mod requester;
 mod starting;
+mod unresponsive;
 mod window_count;
 
 use sablebay_model::Micros;
 
 use crate::tenant::Quota;
 
-pub use account::{Account, KeeperStanding};
+pub use account::{Account, OwnerStatus};
 pub use accounts::{AccountEvent, Accounts};
-pub use asker::{Arrival, TenantAsker, retry_after};
 pub use bucket::TokenBucket;
-pub use message::{AccountId, QuotaGrant, QuotaQuestion, ReturnedTokens};
-pub use own_part::{OwnPart, own_part, part_by_age};
-pub use silence::SilentKeepers;
+pub use local_allowance::{LocalAllowance, allowance_by_uptime, local_allowance};
+pub use message::{AccountId, QuotaGrant, QuotaRequest, ReturnedTokens};
+pub use requester::{Arrival, QuotaRequester, retry_after};
 pub use starting::{SeedPlace, StartingTokens, is_starting};
+pub use unresponsive::UnresponsiveNodes;
 pub use window_count::WindowCount;
 
 // The parts of the overage. What a full account, a takeover and the nodes without a keeper let pass adds up to the
@@ -87,7 +87,7 @@
     }
 
     /// Requests that all nodes together let pass in a window which reach no keeper.
-    pub fn own_parts(&self, quota: &Quota) -> f64 {
+    pub fn total_local_allowance(&self, quota: &Quota) -> f64 {
         OWN_PART * self.overage_of(quota)
     }
 }
--- a/crates/sablebay-tenants/src/quota/account.rs
+++ b/crates/sablebay-tenants/src/quota/account.rs
@@ -4,7 +4,7 @@
 
 use crate::quota::QuotaRule;
 use crate::quota::bucket::TokenBucket;
-use crate::quota::message::{AccountId, QuotaGrant, QuotaQuestion};
+use crate::quota::message::{AccountId, QuotaGrant, QuotaRequest};
 use crate::quota::window_count::WindowCount;
 use crate::tenant::Quota;
 
@@ -20,7 +20,7 @@
 
 /// How the keeper of an account sees itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct KeeperStanding {
+pub struct OwnerStatus {
     /// Whether it is the first of the present nodes in the tenant's order.
     pub is_first: bool,
     /// The nodes that are present, as a part of those that were met of late: what its part of a fleet lends
@@ -58,7 +58,7 @@
         version: u64,
         quota: Quota,
         rule: &QuotaRule,
-        standing: &KeeperStanding,
+        standing: &OwnerStatus,
         now: Micros,
     ) -> Self {
         let takeover = rule.takeover_tokens(&quota);
@@ -97,7 +97,7 @@
     }
 
     /// Tokens that this keeper may lend because it has taken over, or stands in.
-    fn takeover_tokens(&self, rule: &QuotaRule, standing: &KeeperStanding, now: Micros) -> f64 {
+    fn takeover_tokens(&self, rule: &QuotaRule, standing: &OwnerStatus, now: Micros) -> f64 {
         let is_repeated = self.others > 1 && now.since(self.begun_at) < rule.window;
         let part = if is_repeated { REPEATED_TAKEOVER_PART } else { 1.0 };
         rule.takeover_tokens(&self.quota) * standing.share * part
@@ -122,9 +122,9 @@
     /// Lends tokens for a question.
     pub fn lend(
         &mut self,
-        question: &QuotaQuestion,
+        question: &QuotaRequest,
         rule: &QuotaRule,
-        standing: &KeeperStanding,
+        standing: &OwnerStatus,
         now: Micros,
     ) -> QuotaGrant {
         self.asked_at = now;
@@ -144,10 +144,10 @@
     }
 
     fn grant(&self, granted: u32, empty_for: Micros) -> QuotaGrant {
-        QuotaGrant { account: self.id, granted, empty_for, stands_in: !self.was_first }
+        QuotaGrant { account: self.id, granted, empty_for, from_standby: !self.was_first }
     }
 
-    fn take_standing(&mut self, rule: &QuotaRule, standing: &KeeperStanding, now: Micros) {
+    fn take_standing(&mut self, rule: &QuotaRule, standing: &OwnerStatus, now: Micros) {
         let takeover = self.takeover_tokens(rule, standing, now);
         match (self.was_first, standing.is_first) {
             (false, true) => {
@@ -166,9 +166,9 @@
 
     fn lend_as_first(
         &mut self,
-        question: &QuotaQuestion,
+        question: &QuotaRequest,
         rule: &QuotaRule,
-        standing: &KeeperStanding,
+        standing: &OwnerStatus,
         now: Micros,
     ) -> QuotaGrant {
         let rate = self.quota.rate_per_s * standing.share;
@@ -194,7 +194,7 @@
         &mut self,
         wanted: u32,
         rule: &QuotaRule,
-        standing: &KeeperStanding,
+        standing: &OwnerStatus,
         now: Micros,
     ) -> u32 {
         /// Whole tokens are lent one by one.
@@ -218,7 +218,7 @@
         &mut self,
         wanted: u32,
         rule: &QuotaRule,
-        standing: &KeeperStanding,
+        standing: &OwnerStatus,
         now: Micros,
     ) -> QuotaGrant {
         let lent_as_first = self.handed_over_at.is_some_and(|at| now.since(at) < rule.window);
--- a/crates/sablebay-tenants/src/quota/accounts.rs
+++ b/crates/sablebay-tenants/src/quota/accounts.rs
@@ -5,8 +5,8 @@
 use sablebay_model::Micros;
 
 use crate::quota::QuotaRule;
-use crate::quota::account::{Account, KeeperStanding, LEAST_EMPTY};
-use crate::quota::message::{AccountId, QuotaGrant, QuotaQuestion};
+use crate::quota::account::{Account, LEAST_EMPTY, OwnerStatus};
+use crate::quota::message::{AccountId, QuotaGrant, QuotaRequest};
 use crate::quota::starting::{SeedPlace, StartingTokens};
 use crate::tenant::{Quota, TenantName};
 
@@ -17,7 +17,7 @@
 const STARTING_ACCOUNT: AccountId = AccountId(0);
 
 /// The newer one of what the asker and the node that answers know of a tenant's quota, with its version.
-fn newer_quota(question: &QuotaQuestion, known: Option<(u64, Quota)>) -> (u64, Quota) {
+fn newer_quota(question: &QuotaRequest, known: Option<(u64, Quota)>) -> (u64, Quota) {
     let newer = known.filter(|(version, _)| *version > question.version);
     newer.unwrap_or((question.version, question.quota))
 }
@@ -28,9 +28,9 @@
     /// It was there.
     Known,
     /// It was begun by the node that keeps it.
-    Begun,
+    Created,
     /// It was begun by a node that stands in for another.
-    StoodIn,
+    CreatedByStandby,
 }
 
 /// The accounts that one node keeps.
@@ -65,17 +65,17 @@
     /// Answers a question. `known` is the quota in the keeper's own configuration.
     pub fn answer(
         &mut self,
-        question: &QuotaQuestion,
+        question: &QuotaRequest,
         known: Option<(u64, Quota)>,
         rule: &QuotaRule,
-        standing: &KeeperStanding,
+        standing: &OwnerStatus,
         now: Micros,
     ) -> (QuotaGrant, AccountEvent) {
         let (version, quota) = newer_quota(question, known);
         let mut event = AccountEvent::Known;
         if !self.by_tenant.contains_key(&question.tenant) {
             self.make_room();
-            event = if standing.is_first { AccountEvent::Begun } else { AccountEvent::StoodIn };
+            event = if standing.is_first { AccountEvent::Created } else { AccountEvent::CreatedByStandby };
             let id = AccountId(self.next_id);
             self.next_id = self.next_id.wrapping_add(1);
             let account = Account::begin(id, version, quota, rule, standing, now);
@@ -90,7 +90,7 @@
     /// the fleet: the answer is then neither a token nor a refusal, and the asker goes to whoever keeps the account.
     pub fn answer_starting(
         &mut self,
-        question: &QuotaQuestion,
+        question: &QuotaRequest,
         known: Option<(u64, Quota)>,
         rule: &QuotaRule,
         place: Option<SeedPlace>,
@@ -100,7 +100,7 @@
             account: STARTING_ACCOUNT,
             granted,
             empty_for,
-            stands_in: true,
+            from_standby: true,
         };
         let Some(place) = place else {
             return grant(0, Micros::default());
--- a/crates/sablebay-tenants/src/quota/message.rs
+++ b/crates/sablebay-tenants/src/quota/message.rs
@@ -22,7 +22,7 @@
 
 /// May so many requests of a tenant run?
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct QuotaQuestion {
+pub struct QuotaRequest {
     /// The tenant.
     pub tenant: TenantName,
     /// The version of the configuration that the asker goes by.
@@ -51,5 +51,5 @@
     /// How long the account lends nothing more; 0 when there may be more.
     pub empty_for: Micros,
     /// Whether the node that answers only stands in for the first in the tenant's order.
-    pub stands_in: bool,
+    pub from_standby: bool,
 }
--- a/crates/sablebay-tenants/src/quota/asker.rs
+++ b/crates/sablebay-tenants/src/quota/requester.rs
@@ -32,7 +32,7 @@
 
 /// The requests of one tenant that wait at one node; `W` stands for one of them.
 #[derive(Debug)]
-pub struct TenantAsker<W> {
+pub struct QuotaRequester<W> {
     is_asking: bool,
     queued: Vec<W>,
     empty_until: Micros,
@@ -40,7 +40,7 @@
     lenders: Vec<(AccountId, Micros)>,
 }
 
-impl<W> Default for TenantAsker<W> {
+impl<W> Default for QuotaRequester<W> {
     fn default() -> Self {
         Self {
             is_asking: false,
@@ -52,7 +52,7 @@
     }
 }
 
-impl<W> TenantAsker<W> {
+impl<W> QuotaRequester<W> {
     /// A request arrives.
     pub fn arrive(&mut self, waiter: W, now: Micros) -> Arrival<W> {
         if now < self.empty_until {
--- a/crates/sablebay-tenants/src/quota/starting.rs
+++ b/crates/sablebay-tenants/src/quota/starting.rs
@@ -7,7 +7,7 @@
 
 use sablebay_model::Micros;
 
-use crate::quota::own_part::own_part;
+use crate::quota::local_allowance::local_allowance;
 use crate::quota::window_count::WindowCount;
 use crate::tenant::TenantName;
 
@@ -31,7 +31,7 @@
 impl SeedPlace {
     /// Whole requests of those that all seeds lend together which are this seed's.
     pub fn part_of(&self, all_seeds: f64) -> u32 {
-        own_part(all_seeds, self.seeds, Some(self.place))
+        local_allowance(all_seeds, self.seeds, Some(self.place))
     }
 }
 
--- a/crates/sablebay-tenants/src/quota/silence.rs
+++ b/crates/sablebay-tenants/src/quota/unresponsive.rs
@@ -12,24 +12,24 @@
 
 /// Keepers that lately did not answer, by name, or by another key where a name is not known.
 #[derive(Clone, Debug)]
-pub struct SilentKeepers<K = NodeId> {
+pub struct UnresponsiveNodes<K = NodeId> {
     silence: Micros,
     until: BTreeMap<K, Micros>,
 }
 
-impl<K> SilentKeepers<K> {
+impl<K> UnresponsiveNodes<K> {
     /// Nodes that keep accounts.
-    pub fn of_accounts() -> Self {
+    pub fn for_owners() -> Self {
         Self { silence: SILENCE, until: BTreeMap::new() }
     }
 
     /// Seeds that lend to nodes which have just started.
-    pub fn of_seeds() -> Self {
+    pub fn for_seeds() -> Self {
         Self { silence: SEED_SILENCE, until: BTreeMap::new() }
     }
 }
 
-impl<K: Ord> SilentKeepers<K> {
+impl<K: Ord> UnresponsiveNodes<K> {
     /// A keeper did not answer. Returns whether it had before.
     pub fn note(&mut self, keeper: K, now: Micros) -> bool {
         self.until.retain(|_, until| now < *until);
--- a/crates/sablebay-tenants/tests/quota.rs
+++ b/crates/sablebay-tenants/tests/quota.rs
@@ -2,25 +2,24 @@
 
 use sablebay_model::{Micros, NodeId};
 use sablebay_tenants::quota::{
-    AccountEvent, AccountId, Accounts, Arrival, KeeperStanding, QuotaGrant, QuotaQuestion, QuotaRule,
-    ReturnedTokens, SeedPlace, SilentKeepers, TenantAsker, TokenBucket, WindowCount, own_part, part_by_age,
-    retry_after,
+    AccountEvent, AccountId, Accounts, Arrival, OwnerStatus, QuotaGrant, QuotaRequest, QuotaRequester,
+    QuotaRule, ReturnedTokens, SeedPlace, TokenBucket, UnresponsiveNodes, WindowCount, allowance_by_uptime,
+    local_allowance, retry_after,
 };
 use sablebay_tenants::{Quota, TenantName};
 
 const RULE: QuotaRule = QuotaRule { window: Micros::from_secs(5), overage: 0.25, slack: 20.0 };
 const QUOTA: Quota = Quota { rate_per_s: 10.0, burst: 10.0 };
 const START: Micros = Micros::from_secs(3_600);
-const FIRST: KeeperStanding =
-    KeeperStanding { is_first: true, share: 1.0, running_for: Micros::from_secs(600) };
-const DEPUTY: KeeperStanding = KeeperStanding { is_first: false, ..FIRST };
+const FIRST: OwnerStatus = OwnerStatus { is_first: true, share: 1.0, running_for: Micros::from_secs(600) };
+const DEPUTY: OwnerStatus = OwnerStatus { is_first: false, ..FIRST };
 
 fn at(milliseconds: u64) -> Micros {
     START.plus(Micros::from_millis(milliseconds))
 }
 
-fn question(wanted: u32) -> QuotaQuestion {
-    QuotaQuestion {
+fn question(wanted: u32) -> QuotaRequest {
+    QuotaRequest {
         tenant: TenantName::new("tenant"),
         version: 1,
         quota: QUOTA,
@@ -31,12 +30,7 @@
     }
 }
 
-fn ask(
-    accounts: &mut Accounts,
-    question: &QuotaQuestion,
-    standing: &KeeperStanding,
-    now: Micros,
-) -> QuotaGrant {
+fn ask(accounts: &mut Accounts, question: &QuotaRequest, standing: &OwnerStatus, now: Micros) -> QuotaGrant {
     accounts.answer(question, None, &RULE, standing, now).0
 }
 
@@ -80,17 +74,17 @@
 #[test]
 fn own_parts_are_whole_requests_and_sum_up_to_no_more_than_all() {
     for (all, nodes) in [(0.9, 3), (7.9, 3), (5.0, 77), (160.0, 77), (3.0, 1)] {
-        let sum: u32 = (0..nodes).map(|place| own_part(all, nodes, Some(place))).sum();
+        let sum: u32 = (0..nodes).map(|place| local_allowance(all, nodes, Some(place))).sum();
         assert_eq!(sum, all as u32, "{all} over {nodes}");
     }
-    assert_eq!(own_part(5.0, 77, Some(4)), 1);
-    assert_eq!(own_part(5.0, 77, Some(5)), 0);
-    assert_eq!(own_part(5.0, 77, None), 0, "a node without a place gets none of the first");
+    assert_eq!(local_allowance(5.0, 77, Some(4)), 1);
+    assert_eq!(local_allowance(5.0, 77, Some(5)), 0);
+    assert_eq!(local_allowance(5.0, 77, None), 0, "a node without a place gets none of the first");
 }
 
 #[test]
 fn requests_that_come_while_a_question_is_on_its_way_share_the_next() {
-    let mut asker = TenantAsker::default();
+    let mut asker = QuotaRequester::default();
     assert_eq!(asker.arrive('a', at(0)), Arrival::Ask(vec!['a']));
     assert_eq!(asker.arrive('b', at(1)), Arrival::Queued);
     assert_eq!(asker.arrive('c', at(1)), Arrival::Queued);
@@ -102,7 +96,7 @@
 
 #[test]
 fn while_an_account_is_known_to_be_empty_nothing_is_asked() {
-    let mut asker = TenantAsker::default();
+    let mut asker = QuotaRequester::default();
     assert_eq!(asker.arrive('a', at(0)), Arrival::Ask(vec!['a']));
     assert_eq!(asker.arrive('b', at(1)), Arrival::Queued);
     assert_eq!(asker.answered(Micros::from_millis(100), at(2)), vec!['b'], "it is refused with the others");
@@ -113,7 +107,7 @@
 
 #[test]
 fn a_long_refusal_is_looked_at_again_within_a_second() {
-    let mut asker = TenantAsker::default();
+    let mut asker = QuotaRequester::default();
     asker.arrive('a', at(0));
     asker.answered(Micros::MAX, at(0));
     assert_eq!(asker.arrive('b', at(1_000)), Arrival::Ask(vec!['b']));
@@ -132,11 +126,11 @@
     let mut accounts = full_account();
     let lent = ask(&mut accounts, &question(100), &FIRST, at(60_000));
     let back =
-        |account, tokens| QuotaQuestion { returned: Some(ReturnedTokens { account, tokens }), ..question(3) };
+        |account, tokens| QuotaRequest { returned: Some(ReturnedTokens { account, tokens }), ..question(3) };
     let other = AccountId(lent.account.0 + 1);
     assert_eq!(ask(&mut accounts, &back(other, 3), &FIRST, at(60_000)).granted, 0);
     assert_eq!(ask(&mut accounts, &back(lent.account, 3), &FIRST, at(60_000)).granted, 3);
-    let mut asker = TenantAsker::<char>::default();
+    let mut asker = QuotaRequester::<char>::default();
     asker.give_back(lent.account, at(0), at(600));
     assert_eq!(asker.take_returned(at(600)), None, "it was lent long ago");
     asker.give_back(lent.account, at(600), at(700));
@@ -170,7 +164,7 @@
 fn an_account_that_is_begun_anew_lends_its_part_of_the_overage_and_the_rate() {
     let mut accounts = Accounts::new(1);
     let (grant, event) = accounts.answer(&question(1_000), None, &RULE, &FIRST, at(0));
-    assert_eq!(event, AccountEvent::Begun);
+    assert_eq!(event, AccountEvent::Created);
     let begun_with = RULE.takeover_tokens(&QUOTA).min(RULE.capacity(&QUOTA));
     assert_eq!(grant.granted, begun_with as u32);
     assert_eq!(ask(&mut accounts, &question(1_000), &FIRST, at(1_000)).granted, 10);
@@ -178,9 +172,9 @@
 
 #[test]
 fn a_keeper_that_has_just_started_lends_less() {
-    let young = KeeperStanding { running_for: Micros::from_millis(100), ..FIRST };
+    let young = OwnerStatus { running_for: Micros::from_millis(100), ..FIRST };
     assert_eq!(ask(&mut Accounts::new(1), &question(1_000), &young, at(0)).granted, 1);
-    let older = KeeperStanding { running_for: Micros::from_secs(4), ..FIRST };
+    let older = OwnerStatus { running_for: Micros::from_secs(4), ..FIRST };
     let granted = ask(&mut Accounts::new(1), &question(1_000), &older, at(0)).granted;
     assert_eq!(granted, RULE.restart_tokens(&QUOTA) as u32);
 }
@@ -189,8 +183,8 @@
 fn who_stands_in_lends_a_part_of_the_overage_in_each_window() {
     let mut accounts = Accounts::new(1);
     let (grant, event) = accounts.answer(&question(1_000), None, &RULE, &DEPUTY, at(0));
-    assert_eq!(event, AccountEvent::StoodIn);
-    assert!(grant.stands_in);
+    assert_eq!(event, AccountEvent::CreatedByStandby);
+    assert!(grant.from_standby);
     assert_eq!(grant.granted, RULE.takeover_tokens(&QUOTA) as u32);
     assert_eq!(ask(&mut accounts, &question(9), &DEPUTY, at(4_900)).granted, 0);
     let first = ask(&mut accounts, &question(9), &FIRST, at(4_950));
@@ -208,7 +202,7 @@
 
 #[test]
 fn the_second_change_of_the_keeper_in_a_window_lends_less() {
-    let after_two = QuotaQuestion { lenders: vec![AccountId(90), AccountId(91)], ..question(1_000) };
+    let after_two = QuotaRequest { lenders: vec![AccountId(90), AccountId(91)], ..question(1_000) };
     let granted = ask(&mut Accounts::new(1), &after_two, &FIRST, at(0)).granted;
     assert!(f64::from(granted) <= RULE.takeover_tokens(&QUOTA) / 3.0, "{granted}");
     let granted = ask(&mut Accounts::new(1), &after_two, &DEPUTY, at(0)).granted;
@@ -217,7 +211,7 @@
 
 #[test]
 fn both_parts_of_a_cut_fleet_lend_the_rate_together() {
-    let half = KeeperStanding { share: 0.5, ..FIRST };
+    let half = OwnerStatus { share: 0.5, ..FIRST };
     let mut accounts = Accounts::new(1);
     ask(&mut accounts, &question(1_000), &half, at(0));
     assert_eq!(ask(&mut accounts, &question(1_000), &half, at(1_000)).granted, 5);
@@ -227,7 +221,7 @@
 fn the_newer_limit_of_asker_and_keeper_counts() {
     let lowered = Quota { rate_per_s: 1.0, burst: 1.0 };
     let mut accounts = full_account();
-    let newer = QuotaQuestion { version: 2, quota: lowered, ..question(1_000) };
+    let newer = QuotaRequest { version: 2, quota: lowered, ..question(1_000) };
     let granted = ask(&mut accounts, &newer, &FIRST, at(60_000)).granted;
     assert_eq!(granted, RULE.capacity(&lowered) as u32);
     ask(&mut accounts, &question(1_000), &FIRST, at(60_000));
@@ -245,7 +239,7 @@
 #[test]
 fn a_limit_that_was_taken_away_refuses_nothing() {
     let mut accounts = full_account();
-    let unlimited = QuotaQuestion { version: 2, quota: Quota::default(), ..question(1_000) };
+    let unlimited = QuotaRequest { version: 2, quota: Quota::default(), ..question(1_000) };
     assert_eq!(ask(&mut accounts, &unlimited, &FIRST, at(60_000)).granted, 1_000);
 }
 
@@ -253,7 +247,7 @@
 fn accounts_of_tenants_that_come_and_go_are_bounded() {
     let mut accounts = Accounts::new(1);
     for number in 0..10_000 {
-        let asked = QuotaQuestion { tenant: TenantName::new(format!("tenant-{number}")), ..question(1) };
+        let asked = QuotaRequest { tenant: TenantName::new(format!("tenant-{number}")), ..question(1) };
         ask(&mut accounts, &asked, &FIRST, at(number));
     }
     assert!(accounts.len() <= 4_096);
@@ -261,7 +255,7 @@
 
 #[test]
 fn a_silent_keeper_is_asked_again_after_a_second() {
-    let mut silent = SilentKeepers::of_accounts();
+    let mut silent = UnresponsiveNodes::for_owners();
     let keeper = NodeId::new("node-1");
     assert!(silent.may_ask(&keeper, at(0)));
     assert!(silent.note(keeper.clone(), at(0)));
@@ -273,18 +267,18 @@
 #[test]
 fn a_tenant_is_forgotten_only_after_the_window_of_what_it_did() {
     let (window, account) = (RULE.window, AccountId(7));
-    let mut lent = TenantAsker::<u32>::default();
+    let mut lent = QuotaRequester::<u32>::default();
     lent.note_lender(account, at(0));
     assert!(!lent.is_idle(window, at(4_999)));
     assert!(lent.is_idle(window, at(5_000)));
-    let mut returned = TenantAsker::<u32>::default();
+    let mut returned = QuotaRequester::<u32>::default();
     returned.give_back(account, at(0), at(10));
     assert!(!returned.is_idle(window, at(60_000)));
 }
 
 #[test]
 fn after_a_lost_question_the_next_request_asks_anew() {
-    let mut asker = TenantAsker::default();
+    let mut asker = QuotaRequester::default();
     assert_eq!(asker.arrive(1, at(0)), Arrival::Ask(vec![1]));
     assert_eq!(asker.arrive(2, at(1)), Arrival::Queued);
     assert_eq!(asker.lost(), [2]);
@@ -295,7 +289,7 @@
 fn a_repeated_takeover_is_forgotten_with_its_window() {
     let mut accounts = Accounts::new(1);
     let lenders = vec![AccountId(91), AccountId(92)];
-    let repeated = QuotaQuestion { lenders, ..question(1) };
+    let repeated = QuotaRequest { lenders, ..question(1) };
     ask(&mut accounts, &repeated, &FIRST, at(0));
     let within_window = ask(&mut accounts, &question(1_000), &DEPUTY, at(4_000)).granted;
     let mut later = Accounts::new(1);
@@ -307,7 +301,7 @@
 #[test]
 fn a_node_that_has_just_started_or_stood_still_has_no_part_of_its_own() {
     let window = RULE.window;
-    let part = |awake_ms| part_by_age(7, Micros::from_millis(awake_ms), window);
+    let part = |awake_ms| allowance_by_uptime(7, Micros::from_millis(awake_ms), window);
     assert_eq!([part(0), part(999), part(4_999), part(5_000)], [0, 0, 0, 7]);
 }
 
@@ -321,7 +315,7 @@
             let mut accounts = Accounts::new(1);
             let place = Some(SeedPlace { place, seeds });
             for asker in 0..200 {
-                let asked = QuotaQuestion { starting: true, ..question(1) };
+                let asked = QuotaRequest { starting: true, ..question(1) };
                 lent += accounts.answer_starting(&asked, None, &RULE, place, at(asker)).granted;
             }
         }
@@ -331,7 +325,7 @@
 
 #[test]
 fn a_seed_that_knows_the_fleet_neither_lends_nor_refuses() {
-    let asked = QuotaQuestion { starting: true, ..question(3) };
+    let asked = QuotaRequest { starting: true, ..question(3) };
     let grant = Accounts::new(1).answer_starting(&asked, None, &RULE, None, at(0));
     assert_eq!((grant.granted, grant.empty_for), (0, Micros::default()));
 }
--- a/crates/sablebay-tenants/tests/quota_simulation/asking.rs
+++ b/crates/sablebay-tenants/tests/quota_simulation/asking.rs
@@ -2,7 +2,7 @@
 
 use sablebay_model::Micros;
 use sablebay_tenants::TenantName;
-use sablebay_tenants::quota::{QuotaGrant, QuotaQuestion, is_starting, own_part, part_by_age};
+use sablebay_tenants::quota::{QuotaGrant, QuotaRequest, allowance_by_uptime, is_starting, local_allowance};
 
 use super::{Event, PATIENCE, Question, Simulation};
 
@@ -16,7 +16,7 @@
         let awake_for = now.since(known.awake_since);
         let starting =
             is_starting(now.since(known.started_at)) && !self.views.knows_fleet(node, awake_for, now);
-        let asks = QuotaQuestion {
+        let asks = QuotaRequest {
             tenant: TenantName::new("tenant"),
             version: known.version,
             quota: known.quota,
@@ -117,7 +117,7 @@
             self.nodes[node].asker.note_lender(grant.account, self.now);
         }
         let missing = question.asks.wanted.saturating_sub(grant.granted);
-        if grant.stands_in && missing > 0 {
+        if grant.from_standby && missing > 0 {
             grant.granted += self.take_own_part(node, missing);
         }
         let lent = question.lent + grant.granted;
@@ -193,7 +193,11 @@
         let rule = self.rule;
         let awake_for = self.now.since(known.awake_since);
         let (nodes, place) = self.views.place(node, awake_for, self.now);
-        let part = part_by_age(own_part(rule.own_parts(&known.quota), nodes, place), awake_for, rule.window);
+        let part = allowance_by_uptime(
+            local_allowance(rule.total_local_allowance(&known.quota), nodes, place),
+            awake_for,
+            rule.window,
+        );
         known.own.take(part, rule.window, wanted, self.now)
     }
 }
--- a/crates/sablebay-tenants/tests/quota_simulation/mod.rs
+++ b/crates/sablebay-tenants/tests/quota_simulation/mod.rs
@@ -11,7 +11,7 @@
 use sablebay_model::Micros;
 use sablebay_tenants::Quota;
 use sablebay_tenants::quota::{
-    Accounts, Arrival, OwnPart, QuotaGrant, QuotaQuestion, QuotaRule, SilentKeepers, TenantAsker,
+    Accounts, Arrival, LocalAllowance, QuotaGrant, QuotaRequest, QuotaRequester, QuotaRule, UnresponsiveNodes,
 };
 
 use views::Views;
@@ -59,11 +59,11 @@
     awake_since: Micros,
     /// When its process started.
     started_at: Micros,
-    asker: TenantAsker<Micros>,
+    asker: QuotaRequester<Micros>,
     accounts: Accounts,
-    own: OwnPart,
-    silent: SilentKeepers,
-    silent_seeds: SilentKeepers,
+    own: LocalAllowance,
+    silent: UnresponsiveNodes,
+    silent_seeds: UnresponsiveNodes,
     version: u64,
     quota: Quota,
     /// Events that came while it stood still.
@@ -72,7 +72,7 @@
 
 struct Question {
     batch: Vec<Micros>,
-    asks: QuotaQuestion,
+    asks: QuotaRequest,
     targets: Vec<usize>,
     node: usize,
     /// What seeds lent so far.
@@ -122,11 +122,11 @@
             frozen: false,
             awake_since: Micros::default(),
             started_at: Micros::default(),
-            asker: TenantAsker::default(),
+            asker: QuotaRequester::default(),
             accounts: Accounts::new(number as u64 * 1_000_000),
-            own: OwnPart::default(),
-            silent: SilentKeepers::of_accounts(),
-            silent_seeds: SilentKeepers::of_seeds(),
+            own: LocalAllowance::default(),
+            silent: UnresponsiveNodes::for_owners(),
+            silent_seeds: UnresponsiveNodes::for_seeds(),
             version: 1,
             quota,
             held: Vec::new(),
@@ -290,11 +290,11 @@
             frozen: false,
             awake_since: self.now,
             started_at: self.now,
-            asker: TenantAsker::default(),
+            asker: QuotaRequester::default(),
             accounts: Accounts::new(self.next * 1_000_000),
-            own: OwnPart::default(),
-            silent: SilentKeepers::of_accounts(),
-            silent_seeds: SilentKeepers::of_seeds(),
+            own: LocalAllowance::default(),
+            silent: UnresponsiveNodes::for_owners(),
+            silent_seeds: UnresponsiveNodes::for_seeds(),
             version: known.version,
             quota: known.quota,
             held: Vec::new(),
--- a/crates/sablebay-tenants/tests/quota_simulation/views.rs
+++ b/crates/sablebay-tenants/tests/quota_simulation/views.rs
@@ -5,7 +5,7 @@
 
 use sablebay_fleet::{FleetCensus, FleetPart, MemberStatus};
 use sablebay_model::{Micros, NodeId};
-use sablebay_tenants::quota::{KeeperStanding, SeedPlace};
+use sablebay_tenants::quota::{OwnerStatus, SeedPlace};
 
 const ASSUMED_NODES: usize = 64;
 /// Seeds that every node is given, the same ones at every start, up or not.
@@ -204,9 +204,9 @@
         (nodes, census.knows_fleet().then_some(ahead))
     }
 
-    pub fn standing(&mut self, of: usize, awake_for: Micros, now: Micros) -> KeeperStanding {
+    pub fn standing(&mut self, of: usize, awake_for: Micros, now: Micros) -> OwnerStatus {
         let share = self.part(of, awake_for, now).share;
-        KeeperStanding { is_first: self.order(of, now).first() == Some(&of), share, running_for: awake_for }
+        OwnerStatus { is_first: self.order(of, now).first() == Some(&of), share, running_for: awake_for }
     }
 
     /// A node's place among the seeds that lend to starting nodes.
