--- a/crates/sablebay-tenants/src/quota/account.rs
+++ b/crates/sablebay-tenants/src/quota/account.rs
@@ -10,13 +10,13 @@
 
 /// The least time for which an asker is told that there is nothing: bounds the frames about a tenant that sends
 /// far more than its quota.
-pub(super) const LEAST_EMPTY: Micros = Micros::from_millis(25);
+pub(super) const MIN_EMPTY_DURATION: Micros = Micros::from_millis(25);
 /// The part of the takeover tokens that a keeper lends where the keeper had already changed in the same window: the
 /// one before has lent most of them, and two such changes fit beside a whole takeover.
 const REPEATED_TAKEOVER_PART: f64 = 0.25;
-/// How long a keeper that has just started, or woken, lends no more than it began with: the others learn of it in
+/// How long a keeper that has just started, or woken, lends no more than it began with: the other_lenders learn of it in
 /// this time, and the one that took over lends meanwhile.
-const HANDOVER: Micros = Micros::from_secs(1);
+const HANDOVER_DELAY: Micros = Micros::from_secs(1);
 
 /// How the keeper of an account sees itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -43,33 +43,33 @@
     spread_burst: TokenBucket,
     /// What it lent while another node was to keep the account.
     standby: WindowCount,
-    was_first: bool,
+    was_owner: bool,
     handed_over_at: Option<Micros>,
-    begun_at: Micros,
-    asked_at: Micros,
+    created_at: Micros,
+    last_request_at: Micros,
     /// The most other accounts that lent to one node in the window before it asked this one.
-    others: usize,
+    other_lenders: usize,
 }
 
 impl Account {
     /// An account that is begun, because the one before is lost or was never there.
-    pub fn begin(
+    pub fn new(
         id: AccountId,
         version: u64,
         quota: Quota,
         rule: &QuotaRule,
-        standing: &OwnerStatus,
+        owner_status: &OwnerStatus,
         now: Micros,
     ) -> Self {
         let takeover = rule.takeover_tokens(&quota);
-        let came = quota.rate_per_s * standing.running_for.as_secs_f64();
-        let tokens = if standing.running_for < rule.window {
-            rule.restart_tokens(&quota).min(came)
+        let accrued = quota.rate_per_s * owner_status.running_for.as_secs_f64();
+        let tokens = if owner_status.running_for < rule.window {
+            rule.restart_tokens(&quota).min(accrued)
         } else {
             // No more than a full account holds: one that stands in may lend beside it.
             takeover.min(rule.capacity(&quota))
         };
-        let tokens = tokens * standing.share;
+        let tokens = tokens * owner_status.share;
         Self {
             id,
             version,
@@ -78,34 +78,34 @@
             empty_since: None,
             spread_burst: TokenBucket::new(0.0, now),
             standby: WindowCount::default(),
-            was_first: standing.is_first,
+            was_owner: owner_status.is_first,
             handed_over_at: None,
-            begun_at: now,
-            asked_at: now,
-            others: 0,
+            created_at: now,
+            last_request_at: now,
+            other_lenders: 0,
         }
     }
 
     /// Notes the accounts that lent before: where that were several, the keeper changed several times in one
     /// window, and the one before has used what was meant for a change.
     fn note_lenders(&mut self, lenders: &[AccountId]) {
-        let others = lenders.iter().filter(|lender| **lender != self.id).count();
-        if others > 1 && self.others <= 1 {
+        let other_lenders = lenders.iter().filter(|lender| **lender != self.id).count();
+        if other_lenders > 1 && self.other_lenders <= 1 {
             self.bucket.scale(REPEATED_TAKEOVER_PART);
         }
-        self.others = self.others.max(others);
+        self.other_lenders = self.other_lenders.max(other_lenders);
     }
 
     /// Tokens that this keeper may lend because it has taken over, or stands in.
-    fn takeover_tokens(&self, rule: &QuotaRule, standing: &OwnerStatus, now: Micros) -> f64 {
-        let is_repeated = self.others > 1 && now.since(self.begun_at) < rule.window;
+    fn takeover_tokens(&self, rule: &QuotaRule, owner_status: &OwnerStatus, now: Micros) -> f64 {
+        let is_repeated = self.other_lenders > 1 && now.since(self.created_at) < rule.window;
         let part = if is_repeated { REPEATED_TAKEOVER_PART } else { 1.0 };
-        rule.takeover_tokens(&self.quota) * standing.share * part
+        rule.takeover_tokens(&self.quota) * owner_status.share * part
     }
 
     /// When it was last asked.
-    pub fn asked_at(&self) -> Micros {
-        self.asked_at
+    pub fn last_request_at(&self) -> Micros {
+        self.last_request_at
     }
 
     /// Takes the quota of a newer configuration into use. A greater burst may be spent at once.
@@ -119,37 +119,37 @@
         self.bucket.adjust(more);
     }
 
-    /// Lends tokens for a question.
+    /// Lends tokens for a request.
     pub fn lend(
         &mut self,
-        question: &QuotaRequest,
+        request: &QuotaRequest,
         rule: &QuotaRule,
-        standing: &OwnerStatus,
+        owner_status: &OwnerStatus,
         now: Micros,
     ) -> QuotaGrant {
-        self.asked_at = now;
-        self.update(question.version, question.quota, rule, standing.share);
-        if now.since(self.begun_at) < rule.window {
-            self.note_lenders(&question.lenders);
+        self.last_request_at = now;
+        self.update(request.version, request.quota, rule, owner_status.share);
+        if now.since(self.created_at) < rule.window {
+            self.note_lenders(&request.lenders);
         }
-        self.take_standing(rule, standing, now);
+        self.update_ownership(rule, owner_status, now);
         if !self.quota.is_limited() {
-            return self.grant(question.wanted, Micros::default());
+            return self.grant(request.wanted, Micros::default());
         }
-        if standing.is_first {
-            self.lend_as_first(question, rule, standing, now)
+        if owner_status.is_first {
+            self.lend_as_owner(request, rule, owner_status, now)
         } else {
-            self.lend_as_standby(question.wanted, rule, standing, now)
+            self.lend_as_standby(request.wanted, rule, owner_status, now)
         }
     }
 
     fn grant(&self, granted: u32, empty_for: Micros) -> QuotaGrant {
-        QuotaGrant { account: self.id, granted, empty_for, from_standby: !self.was_first }
+        QuotaGrant { account: self.id, granted, empty_for, from_standby: !self.was_owner }
     }
 
-    fn take_standing(&mut self, rule: &QuotaRule, standing: &OwnerStatus, now: Micros) {
-        let takeover = self.takeover_tokens(rule, standing, now);
-        match (self.was_first, standing.is_first) {
+    fn update_ownership(&mut self, rule: &QuotaRule, owner_status: &OwnerStatus, now: Micros) {
+        let takeover = self.takeover_tokens(rule, owner_status, now);
+        match (self.was_owner, owner_status.is_first) {
             (false, true) => {
                 let used = f64::from(self.standby.count(rule.window, now));
                 self.bucket.pause((takeover - used).max(0.0), now);
@@ -161,30 +161,30 @@
             (false, false) => self.bucket.pause(takeover, now),
             (true, true) => {}
         }
-        self.was_first = standing.is_first;
+        self.was_owner = owner_status.is_first;
     }
 
-    fn lend_as_first(
+    fn lend_as_owner(
         &mut self,
-        question: &QuotaRequest,
+        request: &QuotaRequest,
         rule: &QuotaRule,
-        standing: &OwnerStatus,
+        owner_status: &OwnerStatus,
         now: Micros,
     ) -> QuotaGrant {
-        let rate = self.quota.rate_per_s * standing.share;
-        let returned = question.returned.filter(|returned| returned.account == self.id);
+        let rate = self.quota.rate_per_s * owner_status.share;
+        let returned = request.returned.filter(|returned| returned.account == self.id);
         self.bucket.adjust(returned.map_or(0.0, |returned| f64::from(returned.tokens)));
-        let capacity = rule.capacity(&self.quota) * standing.share;
-        if standing.running_for < HANDOVER {
+        let capacity = rule.capacity(&self.quota) * owner_status.share;
+        if owner_status.running_for < HANDOVER_DELAY {
             self.bucket.pause(capacity, now);
         } else {
             self.bucket.refill(rate, capacity, now);
         }
-        let granted = self.bucket.take(question.wanted);
-        let granted = granted + self.take_spread_burst(question.wanted - granted, rule, standing, now);
-        let empty = granted < question.wanted;
+        let granted = self.bucket.take(request.wanted);
+        let granted = granted + self.take_spread_burst(request.wanted - granted, rule, owner_status, now);
+        let empty = granted < request.wanted;
         let empty_for =
-            if empty { self.bucket.next_token_in(rate).max(LEAST_EMPTY) } else { Micros::default() };
+            if empty { self.bucket.next_token_in(rate).max(MIN_EMPTY_DURATION) } else { Micros::default() };
         self.grant(granted, empty_for)
     }
 
@@ -194,7 +194,7 @@
         &mut self,
         wanted: u32,
         rule: &QuotaRule,
-        standing: &OwnerStatus,
+        owner_status: &OwnerStatus,
         now: Micros,
     ) -> u32 {
         /// Whole tokens are lent one by one.
@@ -208,7 +208,7 @@
             self.spread_burst.pause(0.0, now);
             return 0;
         }
-        let rate = self.quota.burst * standing.share / rule.window.as_secs_f64();
+        let rate = self.quota.burst * owner_status.share / rule.window.as_secs_f64();
         self.spread_burst.refill(rate, CAPACITY, now);
         self.spread_burst.take(wanted)
     }
@@ -218,18 +218,18 @@
         &mut self,
         wanted: u32,
         rule: &QuotaRule,
-        standing: &OwnerStatus,
+        owner_status: &OwnerStatus,
         now: Micros,
     ) -> QuotaGrant {
         let lent_as_first = self.handed_over_at.is_some_and(|at| now.since(at) < rule.window);
         if lent_as_first {
-            return self.grant(0, LEAST_EMPTY);
+            return self.grant(0, MIN_EMPTY_DURATION);
         }
-        let limit = self.takeover_tokens(rule, standing, now) as u32;
+        let limit = self.takeover_tokens(rule, owner_status, now) as u32;
         let granted = self.standby.take(limit, rule.window, wanted, now);
         let empty = granted < wanted;
         let empty_for = if empty {
-            self.standby.next_leave_in(rule.window, now).max(LEAST_EMPTY)
+            self.standby.next_leave_in(rule.window, now).max(MIN_EMPTY_DURATION)
         } else {
             Micros::default()
         };
--- a/crates/sablebay-tenants/src/quota/accounts.rs
+++ b/crates/sablebay-tenants/src/quota/accounts.rs
@@ -5,7 +5,7 @@
 use sablebay_model::Micros;
 
 use crate::quota::QuotaRule;
-use crate::quota::account::{Account, LEAST_EMPTY, OwnerStatus};
+use crate::quota::account::{Account, MIN_EMPTY_DURATION, OwnerStatus};
 use crate::quota::message::{AccountId, QuotaGrant, QuotaRequest};
 use crate::quota::starting::{SeedPlace, StartingTokens};
 use crate::tenant::{Quota, TenantName};
@@ -17,12 +17,12 @@
 const STARTING_ACCOUNT: AccountId = AccountId(0);
 
 /// The newer one of what the asker and the node that answers know of a tenant's quota, with its version.
-fn newer_quota(question: &QuotaRequest, known: Option<(u64, Quota)>) -> (u64, Quota) {
-    let newer = known.filter(|(version, _)| *version > question.version);
-    newer.unwrap_or((question.version, question.quota))
+fn newer_quota(request: &QuotaRequest, known: Option<(u64, Quota)>) -> (u64, Quota) {
+    let newer = known.filter(|(version, _)| *version > request.version);
+    newer.unwrap_or((request.version, request.quota))
 }
 
-/// How an account came to be.
+/// How an account accrued to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AccountEvent {
     /// It was there.
@@ -57,40 +57,41 @@
         self.by_tenant.is_empty()
     }
 
-    /// Forgets them all: the node stood still, and others have taken over meanwhile.
+    /// Forgets them all: the node stood still, and other_lenders have taken over meanwhile.
     pub fn clear(&mut self) {
         self.by_tenant.clear();
     }
 
-    /// Answers a question. `known` is the quota in the keeper's own configuration.
+    /// Answers a request. `known` is the quota in the keeper's own configuration.
     pub fn answer(
         &mut self,
-        question: &QuotaRequest,
+        request: &QuotaRequest,
         known: Option<(u64, Quota)>,
         rule: &QuotaRule,
-        standing: &OwnerStatus,
+        owner_status: &OwnerStatus,
         now: Micros,
     ) -> (QuotaGrant, AccountEvent) {
-        let (version, quota) = newer_quota(question, known);
+        let (version, quota) = newer_quota(request, known);
         let mut event = AccountEvent::Known;
-        if !self.by_tenant.contains_key(&question.tenant) {
-            self.make_room();
-            event = if standing.is_first { AccountEvent::Created } else { AccountEvent::CreatedByStandby };
+        if !self.by_tenant.contains_key(&request.tenant) {
+            self.evict_oldest();
+            event =
+                if owner_status.is_first { AccountEvent::Created } else { AccountEvent::CreatedByStandby };
             let id = AccountId(self.next_id);
             self.next_id = self.next_id.wrapping_add(1);
-            let account = Account::begin(id, version, quota, rule, standing, now);
-            self.by_tenant.insert(question.tenant.clone(), account);
+            let account = Account::new(id, version, quota, rule, owner_status, now);
+            self.by_tenant.insert(request.tenant.clone(), account);
         }
-        let account = self.by_tenant.get_mut(&question.tenant).expect("an account was just begun");
-        account.update(version, quota, rule, standing.share);
-        (account.lend(question, rule, standing, now), event)
+        let account = self.by_tenant.get_mut(&request.tenant).expect("an account was just begun");
+        account.update(version, quota, rule, owner_status.share);
+        (account.lend(request, rule, owner_status, now), event)
     }
 
     /// Answers a node that has just started, as one of the seeds. `place` is nothing where this node is none, or knows
     /// the fleet: the answer is then neither a token nor a refusal, and the asker goes to whoever keeps the account.
     pub fn answer_starting(
         &mut self,
-        question: &QuotaRequest,
+        request: &QuotaRequest,
         known: Option<(u64, Quota)>,
         rule: &QuotaRule,
         place: Option<SeedPlace>,
@@ -105,18 +106,18 @@
         let Some(place) = place else {
             return grant(0, Micros::default());
         };
-        let (_, quota) = newer_quota(question, known);
+        let (_, quota) = newer_quota(request, known);
         let part = place.part_of(rule.starting_tokens(&quota));
-        let granted = self.starting.take(&question.tenant, part, rule.window, question.wanted, now);
-        let is_empty = granted < question.wanted;
-        grant(granted, if is_empty { LEAST_EMPTY } else { Micros::default() })
+        let granted = self.starting.take(&request.tenant, part, rule.window, request.wanted, now);
+        let is_empty = granted < request.wanted;
+        grant(granted, if is_empty { MIN_EMPTY_DURATION } else { Micros::default() })
     }
 
-    fn make_room(&mut self) {
+    fn evict_oldest(&mut self) {
         if self.by_tenant.len() < MAX_ACCOUNTS {
             return;
         }
-        let oldest = self.by_tenant.iter().min_by_key(|(_, account)| account.asked_at());
+        let oldest = self.by_tenant.iter().min_by_key(|(_, account)| account.last_request_at());
         if let Some(tenant) = oldest.map(|(tenant, _)| tenant.clone()) {
             self.by_tenant.remove(&tenant);
         }
--- a/crates/sablebay-tenants/src/quota/bucket.rs
+++ b/crates/sablebay-tenants/src/quota/bucket.rs
@@ -20,10 +20,10 @@
         self.tokens
     }
 
-    /// Adds what came since the last refill.
+    /// Adds what accrued since the last refill.
     pub fn refill(&mut self, rate_per_s: f64, capacity: f64, now: Micros) {
-        let came = rate_per_s * now.since(self.refilled_at).as_secs_f64();
-        self.tokens = (self.tokens + came).min(capacity);
+        let accrued = rate_per_s * now.since(self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + accrued).min(capacity);
         self.refilled_at = self.refilled_at.max(now);
     }
 
--- a/crates/sablebay-tenants/src/quota/requester.rs
+++ b/crates/sablebay-tenants/src/quota/requester.rs
@@ -10,7 +10,7 @@
 /// Over which time refused callers are spread when they come back, so that they do not come in step.
 const RETRY_SPREAD: Micros = Micros::from_secs(1);
 /// The longest that a node refuses by itself: limits are raised, and nodes come back.
-const LONGEST_EMPTY: Micros = Micros::from_secs(1);
+const MAX_EMPTY_DURATION: Micros = Micros::from_secs(1);
 /// Accounts of a tenant that are remembered: what a keeper takes over from does not depend on more.
 const MAX_LENDERS: usize = 4;
 
@@ -33,7 +33,7 @@
 /// The requests of one tenant that wait at one node; `W` stands for one of them.
 #[derive(Debug)]
 pub struct QuotaRequester<W> {
-    is_asking: bool,
+    is_requesting: bool,
     queued: Vec<W>,
     empty_until: Micros,
     returned: Option<(ReturnedTokens, Micros)>,
@@ -43,7 +43,7 @@
 impl<W> Default for QuotaRequester<W> {
     fn default() -> Self {
         Self {
-            is_asking: false,
+            is_requesting: false,
             queued: Vec::new(),
             empty_until: Micros::default(),
             returned: None,
@@ -58,25 +58,25 @@
         if now < self.empty_until {
             return Arrival::Refused(waiter, self.empty_until.since(now));
         }
-        if self.is_asking {
+        if self.is_requesting {
             self.queued.push(waiter);
             return Arrival::Queued;
         }
-        self.is_asking = true;
+        self.is_requesting = true;
         Arrival::Ask(vec![waiter])
     }
 
     /// A question was answered. Returns who is asked for next; nothing when no question follows.
     pub fn answered(&mut self, empty_for: Micros, now: Micros) -> Vec<W> {
-        self.empty_until = now.plus(empty_for.min(LONGEST_EMPTY));
+        self.empty_until = now.plus(empty_for.min(MAX_EMPTY_DURATION));
         let next = std::mem::take(&mut self.queued);
-        self.is_asking = !next.is_empty() && empty_for == Micros::default();
+        self.is_requesting = !next.is_empty() && empty_for == Micros::default();
         next
     }
 
     /// Whether a question is on its way.
     pub fn is_asking(&self) -> bool {
-        self.is_asking
+        self.is_requesting
     }
 
     /// An account has lent tokens.
@@ -117,7 +117,7 @@
     /// Whether it can be forgotten: nobody waits, and nothing that a question tells is left of the window.
     pub fn is_idle(&self, window: Micros, now: Micros) -> bool {
         let is_past = |(_, at): &(AccountId, Micros)| now.since(*at) >= window;
-        !self.is_asking
+        !self.is_requesting
             && now >= self.empty_until
             && self.returned.is_none()
             && self.lenders.iter().all(is_past)
@@ -125,7 +125,7 @@
 
     /// A question was lost with whoever asked it. Returns who waited for the next.
     pub fn lost(&mut self) -> Vec<W> {
-        self.is_asking = false;
+        self.is_requesting = false;
         std::mem::take(&mut self.queued)
     }
 }
--- a/crates/sablebay-tenants/src/quota/starting.rs
+++ b/crates/sablebay-tenants/src/quota/starting.rs
@@ -12,11 +12,11 @@
 use crate::tenant::TenantName;
 
 /// How long a node counts as starting: until it has met the nodes that keep accounts.
-const START: Micros = Micros::from_secs(1);
+const STARTUP_DURATION: Micros = Micros::from_secs(1);
 
 /// Whether a node has started so lately that it may not have met those that keep accounts.
 pub fn is_starting(started_ago: Micros) -> bool {
-    started_ago < START
+    started_ago < STARTUP_DURATION
 }
 
 /// One of the seeds: its place in the tenant's order, and the number of all seeds.
--- a/crates/sablebay-tenants/tests/quota.rs
+++ b/crates/sablebay-tenants/tests/quota.rs
@@ -12,7 +12,7 @@
 const QUOTA: Quota = Quota { rate_per_s: 10.0, burst: 10.0 };
 const START: Micros = Micros::from_secs(3_600);
 const FIRST: OwnerStatus = OwnerStatus { is_first: true, share: 1.0, running_for: Micros::from_secs(600) };
-const DEPUTY: OwnerStatus = OwnerStatus { is_first: false, ..FIRST };
+const STANDBY: OwnerStatus = OwnerStatus { is_first: false, ..FIRST };
 
 fn at(milliseconds: u64) -> Micros {
     START.plus(Micros::from_millis(milliseconds))
@@ -30,8 +30,13 @@
     }
 }
 
-fn ask(accounts: &mut Accounts, question: &QuotaRequest, standing: &OwnerStatus, now: Micros) -> QuotaGrant {
-    accounts.answer(question, None, &RULE, standing, now).0
+fn ask(
+    accounts: &mut Accounts,
+    question: &QuotaRequest,
+    owner_status: &OwnerStatus,
+    now: Micros,
+) -> QuotaGrant {
+    accounts.answer(question, None, &RULE, owner_status, now).0
 }
 
 /// An account that was asked for one token and then left alone until it is full.
@@ -171,7 +176,7 @@
 }
 
 #[test]
-fn a_keeper_that_has_just_started_lends_less() {
+fn an_owner_that_has_just_started_lends_less() {
     let young = OwnerStatus { running_for: Micros::from_millis(100), ..FIRST };
     assert_eq!(ask(&mut Accounts::new(1), &question(1_000), &young, at(0)).granted, 1);
     let older = OwnerStatus { running_for: Micros::from_secs(4), ..FIRST };
@@ -182,30 +187,30 @@
 #[test]
 fn who_stands_in_lends_a_part_of_the_overage_in_each_window() {
     let mut accounts = Accounts::new(1);
-    let (grant, event) = accounts.answer(&question(1_000), None, &RULE, &DEPUTY, at(0));
+    let (grant, event) = accounts.answer(&question(1_000), None, &RULE, &STANDBY, at(0));
     assert_eq!(event, AccountEvent::CreatedByStandby);
     assert!(grant.from_standby);
     assert_eq!(grant.granted, RULE.takeover_tokens(&QUOTA) as u32);
-    assert_eq!(ask(&mut accounts, &question(9), &DEPUTY, at(4_900)).granted, 0);
+    assert_eq!(ask(&mut accounts, &question(9), &STANDBY, at(4_900)).granted, 0);
     let first = ask(&mut accounts, &question(9), &FIRST, at(4_950));
-    assert_eq!(first.granted, 0, "what it lent standing in counts when it takes over");
+    assert_eq!(first.granted, 0, "what it lent owner_status in counts when it takes over");
     assert!(ask(&mut accounts, &question(9), &FIRST, at(5_950)).granted >= 9, "then the rate is its own");
 }
 
 #[test]
-fn a_keeper_that_hands_over_lends_nothing_for_a_window() {
+fn an_owner_that_hands_over_lends_nothing_for_a_window() {
     let mut accounts = full_account();
-    assert_eq!(ask(&mut accounts, &question(1), &DEPUTY, at(60_000)).granted, 0);
-    assert_eq!(ask(&mut accounts, &question(1), &DEPUTY, at(64_900)).granted, 0);
-    assert_eq!(ask(&mut accounts, &question(1), &DEPUTY, at(65_000)).granted, 1);
+    assert_eq!(ask(&mut accounts, &question(1), &STANDBY, at(60_000)).granted, 0);
+    assert_eq!(ask(&mut accounts, &question(1), &STANDBY, at(64_900)).granted, 0);
+    assert_eq!(ask(&mut accounts, &question(1), &STANDBY, at(65_000)).granted, 1);
 }
 
 #[test]
-fn the_second_change_of_the_keeper_in_a_window_lends_less() {
+fn the_second_change_of_the_owner_in_a_window_lends_less() {
     let after_two = QuotaRequest { lenders: vec![AccountId(90), AccountId(91)], ..question(1_000) };
     let granted = ask(&mut Accounts::new(1), &after_two, &FIRST, at(0)).granted;
     assert!(f64::from(granted) <= RULE.takeover_tokens(&QUOTA) / 3.0, "{granted}");
-    let granted = ask(&mut Accounts::new(1), &after_two, &DEPUTY, at(0)).granted;
+    let granted = ask(&mut Accounts::new(1), &after_two, &STANDBY, at(0)).granted;
     assert!(f64::from(granted) <= RULE.takeover_tokens(&QUOTA) / 3.0, "{granted}");
 }
 
@@ -218,7 +223,7 @@
 }
 
 #[test]
-fn the_newer_limit_of_asker_and_keeper_counts() {
+fn the_newer_limit_of_asker_and_owner_counts() {
     let lowered = Quota { rate_per_s: 1.0, burst: 1.0 };
     let mut accounts = full_account();
     let newer = QuotaRequest { version: 2, quota: lowered, ..question(1_000) };
@@ -233,7 +238,7 @@
     let mut accounts = full_account();
     let known = Some((3, lowered));
     let granted = accounts.answer(&question(1_000), known, &RULE, &FIRST, at(60_000)).0.granted;
-    assert_eq!(granted, RULE.capacity(&lowered) as u32, "the keeper has heard of a newer one");
+    assert_eq!(granted, RULE.capacity(&lowered) as u32, "the owner has heard of a newer one");
 }
 
 #[test]
@@ -254,14 +259,14 @@
 }
 
 #[test]
-fn a_silent_keeper_is_asked_again_after_a_second() {
+fn a_silent_owner_is_asked_again_after_a_second() {
     let mut silent = UnresponsiveNodes::for_owners();
-    let keeper = NodeId::new("node-1");
-    assert!(silent.may_ask(&keeper, at(0)));
-    assert!(silent.note(keeper.clone(), at(0)));
-    assert!(!silent.note(keeper.clone(), at(10)), "that is no news");
-    assert!(!silent.may_ask(&keeper, at(900)));
-    assert!(silent.may_ask(&keeper, at(1_010)));
+    let owner = NodeId::new("node-1");
+    assert!(silent.may_ask(&owner, at(0)));
+    assert!(silent.note(owner.clone(), at(0)));
+    assert!(!silent.note(owner.clone(), at(10)), "that is no news");
+    assert!(!silent.may_ask(&owner, at(900)));
+    assert!(silent.may_ask(&owner, at(1_010)));
 }
 
 #[test]
@@ -291,10 +296,10 @@
     let lenders = vec![AccountId(91), AccountId(92)];
     let repeated = QuotaRequest { lenders, ..question(1) };
     ask(&mut accounts, &repeated, &FIRST, at(0));
-    let within_window = ask(&mut accounts, &question(1_000), &DEPUTY, at(4_000)).granted;
+    let within_window = ask(&mut accounts, &question(1_000), &STANDBY, at(4_000)).granted;
     let mut later = Accounts::new(1);
-    ask(&mut later, &repeated, &DEPUTY, at(0));
-    let after_window = ask(&mut later, &question(1_000), &DEPUTY, at(60_000)).granted;
+    ask(&mut later, &repeated, &STANDBY, at(0));
+    let after_window = ask(&mut later, &question(1_000), &STANDBY, at(60_000)).granted;
     assert!(after_window > within_window, "{after_window} after the window, {within_window} within");
 }
 
--- a/crates/sablebay-tenants/tests/quota_fleet.rs
+++ b/crates/sablebay-tenants/tests/quota_fleet.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-use quota_simulation::{Scheme, Simulation, Trouble};
+use quota_simulation::{Fault, Scheme, Simulation};
 use sablebay_model::Micros;
 use sablebay_tenants::Quota;
 
@@ -72,8 +72,8 @@
 /// Some nodes are killed at one moment, and start again at nearly one.
 fn restart(fleet: &mut Simulation, nodes: std::ops::Range<usize>, at_ms: u64) {
     for node in nodes {
-        fleet.trouble(Micros::from_millis(at_ms), Trouble::Kill(node));
-        fleet.trouble(Micros::from_millis(at_ms + 300 + node as u64 % 50), Trouble::Start(node));
+        fleet.inject(Micros::from_millis(at_ms), Fault::Kill(node));
+        fleet.inject(Micros::from_millis(at_ms + 300 + node as u64 % 50), Fault::Start(node));
     }
 }
 
@@ -83,14 +83,14 @@
     match *disruption {
         Disruption::KillFirst { nodes: killed, down_ms } => {
             for node in 0..killed.min(nodes) {
-                fleet.trouble(at, Trouble::Kill(node));
-                fleet.trouble(after(down_ms), Trouble::Start(node));
+                fleet.inject(at, Fault::Kill(node));
+                fleet.inject(after(down_ms), Fault::Start(node));
             }
         }
         Disruption::FreezeFirst { nodes: frozen, for_ms } => {
             for node in 0..frozen.min(nodes) {
-                fleet.trouble(at, Trouble::Freeze(node));
-                fleet.trouble(after(for_ms), Trouble::Wake(node));
+                fleet.inject(at, Fault::Freeze(node));
+                fleet.inject(after(for_ms), Fault::Wake(node));
             }
         }
         Disruption::CutOff { share, each_alone, for_ms } => {
@@ -100,8 +100,8 @@
                 true => 1,
                 false => 0,
             };
-            fleet.trouble(at, Trouble::Cut((0..nodes).map(group).collect()));
-            fleet.trouble(after(for_ms), Trouble::Heal);
+            fleet.inject(at, Fault::Cut((0..nodes).map(group).collect()));
+            fleet.inject(after(for_ms), Fault::Heal);
         }
         Disruption::RestartAll => restart(fleet, 0..nodes, at_ms),
         Disruption::RestartPart { from, share } => {
@@ -112,17 +112,17 @@
         Disruption::Join { share } => {
             let first = nodes - (share * nodes as f64) as usize;
             for node in first..nodes {
-                fleet.leave_out(node);
-                fleet.trouble(after(node as u64 % 50), Trouble::Start(node));
+                fleet.exclude(node);
+                fleet.inject(after(node as u64 % 50), Fault::Start(node));
             }
         }
         Disruption::LongCut { share } => {
             let cut = (share * nodes as f64) as usize;
-            fleet.trouble(at, Trouble::Cut((0..nodes).map(|node| usize::from(node < cut)).collect()));
+            fleet.inject(at, Fault::Cut((0..nodes).map(|node| usize::from(node < cut)).collect()));
         }
         Disruption::Lower { to } | Disruption::Raise { to } => {
             let changed = Quota { rate_per_s: quota.rate_per_s * to, burst: quota.burst * to };
-            fleet.trouble(at, Trouble::Limit(changed));
+            fleet.inject(at, Fault::Limit(changed));
         }
     }
 }
@@ -130,7 +130,7 @@
 /// Asserts that no window holds more than the rule allows, of windows that begin at a moment or later.
 fn check_bound(fleet: &Simulation, quota: &Quota, from: Micros) -> Result<(), TestCaseError> {
     let bound = fleet.rule.allowed(quota) + fleet.rule.overage_of(quota);
-    let most = fleet.most_in_a_window(from) as f64;
+    let most = fleet.max_per_window(from) as f64;
     prop_assert!(most <= bound, "{most} ran in a window, {bound} may");
     Ok(())
 }
@@ -211,7 +211,7 @@
         fleet.run_for(Micros::from_secs(32));
         let beyond = 1.0 - cut as f64 / nodes as f64;
         let bound = fleet.rule.allowed(&quota) * (1.0 + beyond) + fleet.rule.overage_of(&quota);
-        let most = fleet.most_in_a_window(Micros::default()) as f64;
+        let most = fleet.max_per_window(Micros::default()) as f64;
         prop_assert!(most <= bound, "{most} ran in a window, {bound} may");
     }
 
@@ -223,7 +223,7 @@
         let mut fleet = Simulation::new(nodes, quota, quota.rate_per_s * load, seed, Scheme::Accounts);
         let lowered = Quota { rate_per_s: quota.rate_per_s * to, burst: quota.burst * to };
         fleet.run_for(Micros::from_secs(8));
-        fleet.trouble(Micros::default(), Trouble::Limit(lowered));
+        fleet.inject(Micros::default(), Fault::Limit(lowered));
         let binds = fleet.now().plus(Micros::from_secs(10));
         fleet.run_for(Micros::from_secs(25));
         check_bound(&fleet, &lowered, binds)?;
@@ -235,9 +235,9 @@
     ) {
         let mut fleet = Simulation::new(SIZES[size], quota, quota.rate_per_s * load, seed, Scheme::Accounts);
         fleet.run_for(Micros::from_secs(40));
-        let ran = fleet.fates.iter().filter(|fate| fate.ran).count();
+        let ran = fleet.outcomes.iter().filter(|outcome| outcome.ran).count();
         let owed = fleet.owed(&quota, 0.9);
-        prop_assert!(ran + 1 >= owed, "{ran} ran, {owed} are owed of {}", fleet.fates.len());
+        prop_assert!(ran + 1 >= owed, "{ran} ran, {owed} are owed of {}", fleet.outcomes.len());
     }
 }
 
@@ -334,7 +334,7 @@
 fn refused_part(
     scheme: Scheme,
     nodes: usize,
-    trouble: impl Fn(&mut Simulation, u64),
+    fault: impl Fn(&mut Simulation, u64),
     span: std::ops::Range<u64>,
 ) -> f64 {
     let (mut refused, mut sent) = (0, 0);
@@ -343,17 +343,17 @@
         let mut fleet = Simulation::new(nodes, quota, rate_per_s / 1.6, seed, scheme);
         let from = fleet.now().plus(Micros::from_secs(span.start));
         let to = fleet.now().plus(Micros::from_secs(span.end));
-        trouble(&mut fleet, span.start * 1_000);
+        fault(&mut fleet, span.start * 1_000);
         fleet.run_for(Micros::from_secs(span.end));
-        let counted = fleet.fates.iter().filter(|fate| from <= fate.sent_at && fate.sent_at < to);
+        let counted = fleet.outcomes.iter().filter(|outcome| from <= outcome.sent_at && outcome.sent_at < to);
         sent += counted.clone().count();
-        refused += counted.filter(|fate| !fate.ran).count();
+        refused += counted.filter(|outcome| !outcome.ran).count();
     }
     refused as f64 / sent as f64
 }
 
 fn kill_first(fleet: &mut Simulation, at_ms: u64) {
-    fleet.trouble(Micros::from_millis(at_ms), Trouble::Kill(0));
+    fleet.inject(Micros::from_millis(at_ms), Fault::Kill(0));
 }
 
 /// Prints both schemes: `cargo test -p sablebay-tenants --test quota_fleet -- usual --nocapture`.
@@ -361,7 +361,7 @@
 fn usual_traffic_is_hardly_refused() {
     for nodes in SIZES {
         let steady = refused_part(Scheme::Accounts, nodes, |_, _| {}, 0..40);
-        let equal = refused_part(Scheme::EqualParts, nodes, |_, _| {}, 0..40);
+        let equal = refused_part(Scheme::EqualShares, nodes, |_, _| {}, 0..40);
         let lost_keeper = refused_part(Scheme::Accounts, nodes, kill_first, 20..25);
         let restarted =
             refused_part(Scheme::Accounts, nodes, |fleet, at_ms| restart(fleet, 0..nodes, at_ms), 20..25);
--- a/crates/sablebay-tenants/tests/quota_simulation/asking.rs
+++ b/crates/sablebay-tenants/tests/quota_simulation/asking.rs
@@ -4,7 +4,7 @@
 use sablebay_tenants::TenantName;
 use sablebay_tenants::quota::{QuotaGrant, QuotaRequest, allowance_by_uptime, is_starting, local_allowance};
 
-use super::{Event, PATIENCE, Question, Simulation};
+use super::{ANSWER_TIMEOUT, Event, Question, Simulation};
 
 /// How long a starting node asks no seed again that lent nothing more.
 const STARTING_EMPTY: Micros = Micros::from_millis(25);
@@ -25,7 +25,7 @@
             returned: known.asker.take_returned(now),
             starting,
         };
-        let mut targets = if starting { self.views.seeds() } else { self.keepers(node) };
+        let mut targets = if starting { self.views.seeds() } else { self.owners(node) };
         targets.reverse();
         self.next += 1;
         let number = self.next;
@@ -34,10 +34,10 @@
     }
 
     /// The present node that keeps the account, and the one that stands in for it.
-    fn keepers(&self, node: usize) -> Vec<usize> {
-        let mut keepers = self.views.order(node, self.now);
-        keepers.truncate(2);
-        keepers
+    fn owners(&self, node: usize) -> Vec<usize> {
+        let mut owners = self.views.order(node, self.now);
+        owners.truncate(2);
+        owners
     }
 
     pub(super) fn ask_next(&mut self, number: u64) {
@@ -53,14 +53,14 @@
         }
         match question.targets.last().copied() {
             None if question.asks.starting => self.refuse_starting(number),
-            None => self.use_own_part(number),
+            None => self.use_local_allowance(number),
             Some(target) if target == node => {
                 let grant = self.lend(node, number);
                 self.answer(number, grant);
             }
             Some(target) => {
                 self.send(node, target, Event::Question { to: target, from: node, number });
-                self.push(self.now.plus(PATIENCE), Event::Timeout { at: node, number });
+                self.push(self.now.plus(ANSWER_TIMEOUT), Event::Timeout { at: node, number });
             }
         }
     }
@@ -80,18 +80,18 @@
         }
     }
 
-    pub(super) fn lend(&mut self, keeper: usize, number: u64) -> QuotaGrant {
+    pub(super) fn lend(&mut self, owner: usize, number: u64) -> QuotaGrant {
         let (rule, now) = (self.rule, self.now);
-        let known = &mut self.nodes[keeper];
+        let known = &mut self.nodes[owner];
         let asks = &self.questions[&number].asks;
         let configured = Some((known.version, known.quota));
         let awake_for = now.since(known.awake_since);
         if asks.starting {
-            let place = self.views.seed_place(keeper, awake_for, now);
+            let place = self.views.seed_place(owner, awake_for, now);
             return known.accounts.answer_starting(asks, configured, &rule, place, now);
         }
-        let standing = self.views.standing(keeper, awake_for, now);
-        known.accounts.answer(asks, configured, &rule, &standing, now).0
+        let owner_status = self.views.owner_status(owner, awake_for, now);
+        known.accounts.answer(asks, configured, &rule, &owner_status, now).0
     }
 
     pub(super) fn question(&mut self, to: usize, from: usize, number: u64) {
@@ -118,7 +118,7 @@
         }
         let missing = question.asks.wanted.saturating_sub(grant.granted);
         if grant.from_standby && missing > 0 {
-            grant.granted += self.take_own_part(node, missing);
+            grant.granted += self.take_local_allowance(node, missing);
         }
         let lent = question.lent + grant.granted;
         self.finish(question, lent, grant.empty_for);
@@ -129,7 +129,7 @@
         let mut question = self.questions.remove(&number).expect("an open question");
         if grant.granted == 0 && grant.empty_for == Micros::default() {
             question.asks.starting = false;
-            question.targets = self.keepers(question.node);
+            question.targets = self.owners(question.node);
             question.targets.reverse();
             return self.ask_anew(question);
         }
@@ -182,13 +182,13 @@
         self.ask_next(number);
     }
 
-    pub(super) fn use_own_part(&mut self, number: u64) {
+    pub(super) fn use_local_allowance(&mut self, number: u64) {
         let question = self.questions.remove(&number).expect("an open question");
-        let granted = question.lent + self.take_own_part(question.node, question.asks.wanted);
+        let granted = question.lent + self.take_local_allowance(question.node, question.asks.wanted);
         self.finish(question, granted, Micros::default());
     }
 
-    pub(super) fn take_own_part(&mut self, node: usize, wanted: u32) -> u32 {
+    pub(super) fn take_local_allowance(&mut self, node: usize, wanted: u32) -> u32 {
         let known = &mut self.nodes[node];
         let rule = self.rule;
         let awake_for = self.now.since(known.awake_since);
--- a/crates/sablebay-tenants/tests/quota_simulation/measures.rs
+++ b/crates/sablebay-tenants/tests/quota_simulation/measures.rs
@@ -7,9 +7,9 @@
 
 impl Simulation {
     /// The most requests that ran of those sent in any window that begins in a span.
-    pub fn most_in_a_window(&self, from: Micros) -> usize {
-        let ran = self.fates.iter().filter(|fate| fate.ran && fate.sent_at >= from);
-        let mut sent: Vec<Micros> = ran.map(|fate| fate.sent_at).collect();
+    pub fn max_per_window(&self, from: Micros) -> usize {
+        let ran = self.outcomes.iter().filter(|outcome| outcome.ran && outcome.sent_at >= from);
+        let mut sent: Vec<Micros> = ran.map(|outcome| outcome.sent_at).collect();
         sent.sort_unstable();
         let first = |at: &Micros| sent.partition_point(|sent_at| sent_at.plus(self.rule.window) <= *at);
         sent.iter().enumerate().map(|(place, at)| place + 1 - first(at)).max().unwrap_or(0)
@@ -17,7 +17,7 @@
 
     /// Requests that a single bucket of the quota, cut to a part, lets pass of those sent.
     pub fn owed(&self, quota: &Quota, part: f64) -> usize {
-        let mut sent: Vec<Micros> = self.fates.iter().map(|fate| fate.sent_at).collect();
+        let mut sent: Vec<Micros> = self.outcomes.iter().map(|outcome| outcome.sent_at).collect();
         sent.sort_unstable();
         let (mut tokens, mut at) = (quota.burst * part, sent.first().copied().unwrap_or_default());
         let mut owed = 0;
--- a/crates/sablebay-tenants/tests/quota_simulation/mod.rs
+++ b/crates/sablebay-tenants/tests/quota_simulation/mod.rs
@@ -17,7 +17,7 @@
 use views::Views;
 
 /// How long a keeper may take to answer.
-const PATIENCE: Micros = Micros::from_millis(30);
+const ANSWER_TIMEOUT: Micros = Micros::from_millis(30);
 
 /// How requests are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,12 +25,12 @@
     /// By accounts.
     Accounts,
     /// By equal parts of all nodes, none asking another.
-    EqualParts,
+    EqualShares,
 }
 
 /// What happens to the fleet.
 #[derive(Clone, Debug)]
-pub enum Trouble {
+pub enum Fault {
     Kill(usize),
     Start(usize),
     Freeze(usize),
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug)]
 enum Event {
     Request,
-    Trouble(Trouble),
+    Fault(Fault),
     Question { to: usize, from: usize, number: u64 },
     Answer { to: usize, number: u64, grant: QuotaGrant },
     Timeout { at: usize, number: u64 },
@@ -81,14 +81,14 @@
 
 /// A request and what became of it.
 #[derive(Clone, Copy, Debug)]
-pub struct Fate {
+pub struct RequestOutcome {
     pub sent_at: Micros,
     pub ran: bool,
 }
 
 pub struct Simulation {
     pub rule: QuotaRule,
-    pub fates: Vec<Fate>,
+    pub outcomes: Vec<RequestOutcome>,
     pub frames: u64,
     pub loss: f64,
     scheme: Scheme,
@@ -133,7 +133,7 @@
         };
         let mut simulation = Self {
             rule,
-            fates: Vec::new(),
+            outcomes: Vec::new(),
             frames: 0,
             loss: 0.0,
             scheme,
@@ -152,9 +152,9 @@
     }
 
     /// A node is not there yet, and nobody has met it.
-    pub fn leave_out(&mut self, node: usize) {
+    pub fn exclude(&mut self, node: usize) {
         self.nodes[node].up = false;
-        self.views.leave_out(node, self.now);
+        self.views.exclude(node, self.now);
     }
 
     /// Says which nodes are the seeds.
@@ -176,8 +176,8 @@
     }
 
     /// Something happens after a while.
-    pub fn trouble(&mut self, after: Micros, trouble: Trouble) {
-        self.push(self.now.plus(after), Event::Trouble(trouble));
+    pub fn inject(&mut self, after: Micros, fault: Fault) {
+        self.push(self.now.plus(after), Event::Fault(fault));
     }
 
     pub fn run_for(&mut self, span: Micros) {
@@ -186,14 +186,14 @@
             let Some(Reverse((at, number))) = self.events.pop() else { break };
             self.now = at;
             let event = self.pending.remove(&number).expect("each event is pending once");
-            self.happen(event);
+            self.handle(event);
         }
         self.now = until;
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let owner = match &event {
-            Event::Request | Event::Trouble(_) => None,
+            Event::Request | Event::Fault(_) => None,
             Event::Question { to, .. } | Event::Answer { to, .. } => Some(*to),
             Event::Timeout { at, .. } => Some(*at),
             Event::Configured { node, .. } => Some(*node),
@@ -204,7 +204,7 @@
         }
         match event {
             Event::Request => self.request(),
-            Event::Trouble(trouble) => self.befall(trouble),
+            Event::Fault(fault) => self.apply_fault(fault),
             Event::Question { to, from, number } => self.question(to, from, number),
             Event::Answer { number, grant, .. } => self.answer(number, grant),
             Event::Timeout { number, .. } => self.timeout(number),
@@ -224,8 +224,8 @@
         if !self.nodes[node].up || self.nodes[node].frozen {
             return;
         }
-        if self.scheme == Scheme::EqualParts {
-            let passes = self.take_equal_part(node);
+        if self.scheme == Scheme::EqualShares {
+            let passes = self.take_equal_share(node);
             return self.settle(self.now, passes);
         }
         match self.nodes[node].asker.arrive(self.now, self.now) {
@@ -236,10 +236,10 @@
     }
 
     fn settle(&mut self, sent_at: Micros, ran: bool) {
-        self.fates.push(Fate { sent_at, ran });
+        self.outcomes.push(RequestOutcome { sent_at, ran });
     }
 
-    fn take_equal_part(&mut self, node: usize) -> bool {
+    fn take_equal_share(&mut self, node: usize) -> bool {
         let (rule, now, nodes) = (self.rule, self.now, self.nodes.len());
         let known = &mut self.nodes[node];
         // What is rounded up is covered by the overage.
@@ -248,16 +248,16 @@
         known.own.take(part.min(most) as u32, rule.window, 1, now) > 0
     }
 
-    fn befall(&mut self, trouble: Trouble) {
+    fn apply_fault(&mut self, fault: Fault) {
         let now = self.now;
-        match trouble {
-            Trouble::Kill(node) => {
+        match fault {
+            Fault::Kill(node) => {
                 self.nodes[node].up = false;
                 self.questions.retain(|_, question| question.node != node);
             }
-            Trouble::Start(node) => self.restart(node),
-            Trouble::Freeze(node) => self.nodes[node].frozen = true,
-            Trouble::Wake(node) => {
+            Fault::Start(node) => self.restart(node),
+            Fault::Freeze(node) => self.nodes[node].frozen = true,
+            Fault::Wake(node) => {
                 let known = &mut self.nodes[node];
                 known.frozen = false;
                 known.awake_since = now;
@@ -265,9 +265,9 @@
                 let held = std::mem::take(&mut known.held);
                 held.into_iter().for_each(|event| self.push(now, event));
             }
-            Trouble::Cut(groups) => self.views.groups = groups,
-            Trouble::Heal => self.views.groups.fill(0),
-            Trouble::Limit(quota) => {
+            Fault::Cut(groups) => self.views.groups = groups,
+            Fault::Heal => self.views.groups.fill(0),
+            Fault::Limit(quota) => {
                 let version = 1 + self.next;
                 for node in 0..self.nodes.len() {
                     let after = Micros((self.draw() * 5e6) as u64);
--- a/crates/sablebay-tenants/tests/quota_simulation/views.rs
+++ b/crates/sablebay-tenants/tests/quota_simulation/views.rs
@@ -11,9 +11,9 @@
 /// Seeds that every node is given, the same ones at every start, up or not.
 const SEEDS: usize = 3;
 /// How long a node that knows the fleet has run before it tells others.
-const TELLING_AGE: Micros = Micros::from_secs(5);
+const MIN_REPORT_AGE: Micros = Micros::from_secs(5);
 /// How often a node looks at the members that it knows.
-const LOOK_PERIOD: Micros = Micros::from_millis(20);
+const REFRESH_INTERVAL: Micros = Micros::from_millis(20);
 
 #[derive(Clone, Copy)]
 struct Belief {
@@ -29,7 +29,7 @@
     started_at: Vec<Micros>,
     beliefs: Vec<Belief>,
     census: Vec<FleetCensus>,
-    looked_at: Vec<Option<Micros>>,
+    refreshed_at: Vec<Option<Micros>>,
     names: Vec<NodeId>,
     /// The nodes that are seeds, in the tenant's order of seeds.
     seeds: Vec<usize>,
@@ -59,7 +59,7 @@
             started_at: vec![Micros::default(); nodes],
             beliefs: vec![belief; nodes * nodes],
             census: (0..nodes).map(census).collect(),
-            looked_at: vec![None; nodes],
+            refreshed_at: vec![None; nodes],
             names: (0..nodes).map(|node| NodeId::new(format!("node-{node}"))).collect(),
             seeds,
             nodes,
@@ -67,7 +67,7 @@
     }
 
     /// Nobody has met a node.
-    pub fn leave_out(&mut self, node: usize, now: Micros) {
+    pub fn exclude(&mut self, node: usize, now: Micros) {
         self.runs[node] = false;
         for of in (0..self.nodes).filter(|of| *of != node) {
             self.beliefs[of * self.nodes + node] =
@@ -129,7 +129,7 @@
     pub fn forget(&mut self, node: usize, now: Micros) {
         self.started_at[node] = now;
         self.census[node] = FleetCensus::new(address(node), self.seeds.iter().copied().map(address));
-        self.looked_at[node] = None;
+        self.refreshed_at[node] = None;
         for other in 0..self.nodes {
             let reached = self.runs[other] && self.groups[node] == self.groups[other];
             self.beliefs[node * self.nodes + other] =
@@ -143,13 +143,13 @@
     }
 
     /// Brings a node's census up to date, as a node does whose members came or went.
-    fn look(&mut self, of: usize, awake_for: Micros, now: Micros) {
-        if self.looked_at[of].is_some_and(|at| now.since(at) < LOOK_PERIOD) {
+    fn refresh_census(&mut self, of: usize, awake_for: Micros, now: Micros) {
+        if self.refreshed_at[of].is_some_and(|at| now.since(at) < REFRESH_INTERVAL) {
             return;
         }
-        self.looked_at[of] = Some(now);
+        self.refreshed_at[of] = Some(now);
         if !self.census[of].knows_fleet() {
-            self.hear_of_fleet(of, now);
+            self.receive_fleet_size(of, now);
         }
         for other in (0..self.nodes).filter(|other| *other != of) {
             let believed = self.believes(of, other, now);
@@ -174,9 +174,9 @@
     }
 
     /// Peers that know the fleet tell the number of its nodes, and the names of those that are gone.
-    fn hear_of_fleet(&mut self, of: usize, now: Micros) {
+    fn receive_fleet_size(&mut self, of: usize, now: Micros) {
         let tells = |other: &usize| {
-            let is_old_enough = now.since(self.started_at[*other]) >= TELLING_AGE;
+            let is_old_enough = now.since(self.started_at[*other]) >= MIN_REPORT_AGE;
             is_old_enough && self.census[*other].number_to_tell(now).is_some()
         };
         let peers: Vec<usize> = self.order(of, now).into_iter().filter(|other| *other != of).collect();
@@ -191,7 +191,7 @@
 
     /// A node's part of the fleet.
     pub fn part(&mut self, of: usize, awake_for: Micros, now: Micros) -> FleetPart {
-        self.look(of, awake_for, now);
+        self.refresh_census(of, awake_for, now);
         self.census[of].part(awake_for, ASSUMED_NODES, now)
     }
 
@@ -204,21 +204,21 @@
         (nodes, census.knows_fleet().then_some(ahead))
     }
 
-    pub fn standing(&mut self, of: usize, awake_for: Micros, now: Micros) -> OwnerStatus {
+    pub fn owner_status(&mut self, of: usize, awake_for: Micros, now: Micros) -> OwnerStatus {
         let share = self.part(of, awake_for, now).share;
         OwnerStatus { is_first: self.order(of, now).first() == Some(&of), share, running_for: awake_for }
     }
 
     /// A node's place among the seeds that lend to starting nodes.
     pub fn seed_place(&mut self, of: usize, awake_for: Micros, now: Micros) -> Option<SeedPlace> {
-        self.look(of, awake_for, now);
+        self.refresh_census(of, awake_for, now);
         let place = self.seeds.iter().position(|seed| *seed == of)?;
         (!self.census[of].knows_fleet()).then_some(SeedPlace { place, seeds: self.seeds.len() })
     }
 
     /// Whether a node knows the whole fleet by name.
     pub fn knows_fleet(&mut self, of: usize, awake_for: Micros, now: Micros) -> bool {
-        self.look(of, awake_for, now);
+        self.refresh_census(of, awake_for, now);
         self.census[of].knows_fleet()
     }
 }
