--- a/crates/sablebay-query/src/routing.rs
+++ b/crates/sablebay-query/src/routing.rs
@@ -51,7 +51,6 @@
     pub retry: bool,
     /// Whether to replan a query at another version to reach full coverage.
     pub coverage_first: bool,
-    /// Mechanisms that fault-injection tests can disable.
     pub mechanisms: Mechanisms,
 }
 
--- a/crates/sablebay-tenants/src/quota.rs
+++ b/crates/sablebay-tenants/src/quota.rs
@@ -41,7 +41,7 @@
 /// window.
 const RESTART_PART: f64 = 0.2;
 /// Requests allowed per window by all nodes together without reaching an owner.
-const OWN_PART: f64 = 0.2;
+const LOCAL_PART: f64 = 0.2;
 /// Requests lent per window by all seeds together to starting nodes, which have no local allowance.
 const STARTING_PART: f64 = 0.2;
 
@@ -89,6 +89,6 @@
 
     /// Returns the requests allowed per window by all nodes together without an owner.
     pub fn total_local_allowance(&self, quota: &Quota) -> f64 {
-        OWN_PART * self.overage_of(quota)
+        LOCAL_PART * self.overage_of(quota)
     }
 }
--- a/crates/sablebay-tenants/src/quota/account.rs
+++ b/crates/sablebay-tenants/src/quota/account.rs
@@ -15,7 +15,7 @@
 /// that two further changes fit the overage.
 const REPEATED_TAKEOVER_PART: f64 = 0.25;
 /// Time during which an owner that has just started or resumed lends only its initial tokens;
-/// meanwhile the previous owner may still be lending.
+/// meanwhile the node that had taken over may still be lending.
 const HANDOVER_DELAY: Micros = Micros::from_secs(1);
 
 /// Role of a node in a tenant's account, as seen by that node.
--- a/crates/sablebay-tenants/src/quota/local_allowance.rs
+++ b/crates/sablebay-tenants/src/quota/local_allowance.rs
@@ -15,8 +15,8 @@
 
 /// Returns the allowance of a node by its uptime. Within a window after a start or suspension it is
 /// zero, since the node does not know what it allowed before.
-pub fn allowance_by_uptime(part: u32, awake_for: Micros, window: Micros) -> u32 {
-    if awake_for < window { 0 } else { part }
+pub fn allowance_by_uptime(part: u32, uptime: Micros, window: Micros) -> u32 {
+    if uptime < window { 0 } else { part }
 }
 
 /// Requests allowed by a node without an owner.
