--- a/crates/sablebay-query/src/lib.rs
+++ b/crates/sablebay-query/src/lib.rs
@@ -1,5 +1,7 @@
-//! Decision logic of the query path: which replica answers, when to hedge or retry, what an
-//! answer covers. No I/O, no clock, no ambient randomness: time and random draws are arguments.
+//! Decision logic of the query path: replica selection, hedging, retries and result coverage.
+//!
+//! Performs no I/O and reads no clock or global random state; time and random numbers are
+//! arguments.
 
 mod admission;
 mod balance;
@@ -20,6 +22,6 @@
 pub use replica::{LoadReport, ReplicaIndex, ReplicaState, Target};
 pub use routing::{Mechanisms, RoutingSettings, ServiceRouting};
 pub use search::{
-    Action, AttemptKind, AttemptNumber, CallFailure, Search, SearchRequest, SearchResult, ShardAnswer, Turn,
-    Work,
+    Action, AttemptKind, AttemptNumber, CallFailure, Search, SearchContext, SearchRequest, SearchResult,
+    ShardAnswer, Work,
 };
--- a/crates/sablebay-tenants/src/quota/accounts.rs
+++ b/crates/sablebay-tenants/src/quota/accounts.rs
@@ -1,39 +1,39 @@
-//! The accounts that one node keeps.
+//! Accounts held by one node.
 
 use std::collections::HashMap;
 
 use sablebay_model::Micros;
 
 use crate::quota::QuotaRule;
-use crate::quota::account::{Account, KeeperStanding, LEAST_EMPTY};
-use crate::quota::message::{AccountId, QuotaGrant, QuotaQuestion};
+use crate::quota::account::{Account, MIN_EMPTY_DURATION, OwnerStatus};
+use crate::quota::message::{AccountId, QuotaGrant, QuotaRequest};
 use crate::quota::starting::{SeedPlace, StartingTokens};
 use crate::tenant::{Quota, TenantName};
 
-/// Accounts that a node keeps at the most, about 200 bytes each; the one that was not asked for longest goes first.
+/// Maximum number of accounts, about 200 bytes each; the least recently used is evicted.
 const MAX_ACCOUNTS: usize = 4_096;
 
-/// What seeds lend belongs to no account: tokens of it that come back are dropped.
+/// Account id of tokens lent by seeds; returned ones are dropped.
 const STARTING_ACCOUNT: AccountId = AccountId(0);
 
-/// The newer one of what the asker and the node that answers know of a tenant's quota, with its version.
-fn newer_quota(question: &QuotaQuestion, known: Option<(u64, Quota)>) -> (u64, Quota) {
-    let newer = known.filter(|(version, _)| *version > question.version);
-    newer.unwrap_or((question.version, question.quota))
+/// Returns the newer of the quotas known to the requester and to this node, with its version.
+fn newer_quota(request: &QuotaRequest, known: Option<(u64, Quota)>) -> (u64, Quota) {
+    let newer = known.filter(|(version, _)| *version > request.version);
+    newer.unwrap_or((request.version, request.quota))
 }
 
-/// How an account came to be.
+/// Whether answering a request created an account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AccountEvent {
-    /// It was there.
+    /// The account existed.
     Known,
-    /// It was begun by the node that keeps it.
-    Begun,
-    /// It was begun by a node that stands in for another.
-    StoodIn,
+    /// The account was created by its owner.
+    Created,
+    /// The account was created by a standby.
+    CreatedByStandby,
 }
 
-/// The accounts that one node keeps.
+/// Accounts held by one node.
 #[derive(Debug)]
 pub struct Accounts {
     by_tenant: HashMap<TenantName, Account>,
@@ -42,55 +42,56 @@
 }
 
 impl Accounts {
-    /// None yet. Ids begin at a random number, so that those of another life are told apart.
+    /// Creates an empty set. `first_id` is random, so that account ids differ between process
+    /// incarnations.
     pub fn new(first_id: u64) -> Self {
         Self { by_tenant: HashMap::new(), next_id: first_id, starting: StartingTokens::default() }
     }
 
-    /// Their number.
     pub fn len(&self) -> usize {
         self.by_tenant.len()
     }
 
-    /// Whether there are none.
     pub fn is_empty(&self) -> bool {
         self.by_tenant.is_empty()
     }
 
-    /// Forgets them all: the node stood still, and others have taken over meanwhile.
+    /// Discards all accounts after the node was suspended, since other nodes have taken over.
     pub fn clear(&mut self) {
         self.by_tenant.clear();
     }
 
-    /// Answers a question. `known` is the quota in the keeper's own configuration.
+    /// Answers a request. `known` is the quota and its version in this node's configuration.
     pub fn answer(
         &mut self,
-        question: &QuotaQuestion,
+        request: &QuotaRequest,
         known: Option<(u64, Quota)>,
         rule: &QuotaRule,
-        standing: &KeeperStanding,
+        owner_status: &OwnerStatus,
         now: Micros,
     ) -> (QuotaGrant, AccountEvent) {
-        let (version, quota) = newer_quota(question, known);
+        let (version, quota) = newer_quota(request, known);
         let mut event = AccountEvent::Known;
-        if !self.by_tenant.contains_key(&question.tenant) {
-            self.make_room();
-            event = if standing.is_first { AccountEvent::Begun } else { AccountEvent::StoodIn };
+        if !self.by_tenant.contains_key(&request.tenant) {
+            self.evict_oldest();
+            event =
+                if owner_status.is_first { AccountEvent::Created } else { AccountEvent::CreatedByStandby };
             let id = AccountId(self.next_id);
             self.next_id = self.next_id.wrapping_add(1);
-            let account = Account::begin(id, version, quota, rule, standing, now);
-            self.by_tenant.insert(question.tenant.clone(), account);
+            let account = Account::new(id, version, quota, rule, owner_status, now);
+            self.by_tenant.insert(request.tenant.clone(), account);
         }
-        let account = self.by_tenant.get_mut(&question.tenant).expect("an account was just begun");
-        account.update(version, quota, rule, standing.share);
-        (account.lend(question, rule, standing, now), event)
+        let account = self.by_tenant.get_mut(&request.tenant).expect("an account was just begun");
+        account.update(version, quota, rule, owner_status.share);
+        (account.lend(request, rule, owner_status, now), event)
     }
 
-    /// Answers a node that has just started, as one of the seeds. `place` is nothing where this node is none, or knows
-    /// the fleet: the answer is then neither a token nor a refusal, and the asker goes to whoever keeps the account.
+    /// Answers a starting node as a seed. `place` is `None` if this node is not a seed or knows the
+    /// fleet; the answer then neither grants nor refuses, and the requester continues with the
+    /// owner.
     pub fn answer_starting(
         &mut self,
-        question: &QuotaQuestion,
+        request: &QuotaRequest,
         known: Option<(u64, Quota)>,
         rule: &QuotaRule,
         place: Option<SeedPlace>,
@@ -100,23 +101,23 @@
             account: STARTING_ACCOUNT,
             granted,
             empty_for,
-            stands_in: true,
+            from_standby: true,
         };
         let Some(place) = place else {
             return grant(0, Micros::default());
         };
-        let (_, quota) = newer_quota(question, known);
+        let (_, quota) = newer_quota(request, known);
         let part = place.part_of(rule.starting_tokens(&quota));
-        let granted = self.starting.take(&question.tenant, part, rule.window, question.wanted, now);
-        let is_empty = granted < question.wanted;
-        grant(granted, if is_empty { LEAST_EMPTY } else { Micros::default() })
+        let granted = self.starting.take(&request.tenant, part, rule.window, request.wanted, now);
+        let is_empty = granted < request.wanted;
+        grant(granted, if is_empty { MIN_EMPTY_DURATION } else { Micros::default() })
     }
 
-    fn make_room(&mut self) {
+    fn evict_oldest(&mut self) {
         if self.by_tenant.len() < MAX_ACCOUNTS {
             return;
         }
-        let oldest = self.by_tenant.iter().min_by_key(|(_, account)| account.asked_at());
+        let oldest = self.by_tenant.iter().min_by_key(|(_, account)| account.last_request_at());
         if let Some(tenant) = oldest.map(|(tenant, _)| tenant.clone()) {
             self.by_tenant.remove(&tenant);
         }
--- a/crates/sablebay-tenants/tests/quota.rs
+++ b/crates/sablebay-tenants/tests/quota.rs
@@ -1,26 +1,25 @@
-//! The machines that quotas are counted by, one by one.
+//! Unit tests of quota accounting.
 
 use sablebay_model::{Micros, NodeId};
 use sablebay_tenants::quota::{
-    AccountEvent, AccountId, Accounts, Arrival, KeeperStanding, QuotaGrant, QuotaQuestion, QuotaRule,
-    ReturnedTokens, SeedPlace, SilentKeepers, TenantAsker, TokenBucket, WindowCount, own_part, part_by_age,
-    retry_after,
+    AccountEvent, AccountId, Accounts, Arrival, OwnerStatus, QuotaGrant, QuotaRequest, QuotaRequester,
+    QuotaRule, ReturnedTokens, SeedPlace, TokenBucket, UnresponsiveNodes, WindowCount, allowance_by_uptime,
+    local_allowance, retry_after,
 };
 use sablebay_tenants::{Quota, TenantName};
 
 const RULE: QuotaRule = QuotaRule { window: Micros::from_secs(5), overage: 0.25, slack: 20.0 };
 const QUOTA: Quota = Quota { rate_per_s: 10.0, burst: 10.0 };
 const START: Micros = Micros::from_secs(3_600);
-const FIRST: KeeperStanding =
-    KeeperStanding { is_first: true, share: 1.0, running_for: Micros::from_secs(600) };
-const DEPUTY: KeeperStanding = KeeperStanding { is_first: false, ..FIRST };
+const FIRST: OwnerStatus = OwnerStatus { is_first: true, share: 1.0, running_for: Micros::from_secs(600) };
+const STANDBY: OwnerStatus = OwnerStatus { is_first: false, ..FIRST };
 
 fn at(milliseconds: u64) -> Micros {
     START.plus(Micros::from_millis(milliseconds))
 }
 
-fn question(wanted: u32) -> QuotaQuestion {
-    QuotaQuestion {
+fn question(wanted: u32) -> QuotaRequest {
+    QuotaRequest {
         tenant: TenantName::new("tenant"),
         version: 1,
         quota: QUOTA,
@@ -33,14 +32,14 @@
 
 fn ask(
     accounts: &mut Accounts,
-    question: &QuotaQuestion,
-    standing: &KeeperStanding,
+    question: &QuotaRequest,
+    owner_status: &OwnerStatus,
     now: Micros,
 ) -> QuotaGrant {
-    accounts.answer(question, None, &RULE, standing, now).0
+    accounts.answer(question, None, &RULE, owner_status, now).0
 }
 
-/// An account that was asked for one token and then left alone until it is full.
+/// Returns an account that has been idle until full.
 fn full_account() -> Accounts {
     let mut accounts = Accounts::new(1);
     ask(&mut accounts, &question(1), &FIRST, at(0));
@@ -56,7 +55,7 @@
     bucket.refill(10.0, 4.0, at(50));
     assert_eq!(bucket.take(1), 1);
     bucket.refill(10.0, 4.0, at(10_000));
-    assert_eq!(bucket.take(9), 4, "no more than it holds");
+    assert_eq!(bucket.take(9), 4, "refill stops at the capacity");
     assert_eq!(TokenBucket::new(0.0, at(0)).next_token_in(0.0), Micros::MAX);
 }
 
@@ -80,17 +79,17 @@
 #[test]
 fn own_parts_are_whole_requests_and_sum_up_to_no_more_than_all() {
     for (all, nodes) in [(0.9, 3), (7.9, 3), (5.0, 77), (160.0, 77), (3.0, 1)] {
-        let sum: u32 = (0..nodes).map(|place| own_part(all, nodes, Some(place))).sum();
+        let sum: u32 = (0..nodes).map(|place| local_allowance(all, nodes, Some(place))).sum();
         assert_eq!(sum, all as u32, "{all} over {nodes}");
     }
-    assert_eq!(own_part(5.0, 77, Some(4)), 1);
-    assert_eq!(own_part(5.0, 77, Some(5)), 0);
-    assert_eq!(own_part(5.0, 77, None), 0, "a node without a place gets none of the first");
+    assert_eq!(local_allowance(5.0, 77, Some(4)), 1);
+    assert_eq!(local_allowance(5.0, 77, Some(5)), 0);
+    assert_eq!(local_allowance(5.0, 77, None), 0, "a node without a place gets no remainder");
 }
 
 #[test]
 fn requests_that_come_while_a_question_is_on_its_way_share_the_next() {
-    let mut asker = TenantAsker::default();
+    let mut asker = QuotaRequester::default();
     assert_eq!(asker.arrive('a', at(0)), Arrival::Ask(vec!['a']));
     assert_eq!(asker.arrive('b', at(1)), Arrival::Queued);
     assert_eq!(asker.arrive('c', at(1)), Arrival::Queued);
@@ -102,10 +101,14 @@
 
 #[test]
 fn while_an_account_is_known_to_be_empty_nothing_is_asked() {
-    let mut asker = TenantAsker::default();
+    let mut asker = QuotaRequester::default();
     assert_eq!(asker.arrive('a', at(0)), Arrival::Ask(vec!['a']));
     assert_eq!(asker.arrive('b', at(1)), Arrival::Queued);
-    assert_eq!(asker.answered(Micros::from_millis(100), at(2)), vec!['b'], "it is refused with the others");
+    assert_eq!(
+        asker.answered(Micros::from_millis(100), at(2)),
+        vec!['b'],
+        "the queued request is refused as well"
+    );
     assert!(!asker.is_asking());
     assert_eq!(asker.arrive('c', at(52)), Arrival::Refused('c', Micros::from_millis(50)));
     assert_eq!(asker.arrive('d', at(102)), Arrival::Ask(vec!['d']));
@@ -113,7 +116,7 @@
 
 #[test]
 fn a_long_refusal_is_looked_at_again_within_a_second() {
-    let mut asker = TenantAsker::default();
+    let mut asker = QuotaRequester::default();
     asker.arrive('a', at(0));
     asker.answered(Micros::MAX, at(0));
     assert_eq!(asker.arrive('b', at(1_000)), Arrival::Ask(vec!['b']));
@@ -132,13 +135,13 @@
     let mut accounts = full_account();
     let lent = ask(&mut accounts, &question(100), &FIRST, at(60_000));
     let back =
-        |account, tokens| QuotaQuestion { returned: Some(ReturnedTokens { account, tokens }), ..question(3) };
+        |account, tokens| QuotaRequest { returned: Some(ReturnedTokens { account, tokens }), ..question(3) };
     let other = AccountId(lent.account.0 + 1);
     assert_eq!(ask(&mut accounts, &back(other, 3), &FIRST, at(60_000)).granted, 0);
     assert_eq!(ask(&mut accounts, &back(lent.account, 3), &FIRST, at(60_000)).granted, 3);
-    let mut asker = TenantAsker::<char>::default();
+    let mut asker = QuotaRequester::<char>::default();
     asker.give_back(lent.account, at(0), at(600));
-    assert_eq!(asker.take_returned(at(600)), None, "it was lent long ago");
+    assert_eq!(asker.take_returned(at(600)), None, "the token was lent too long ago");
     asker.give_back(lent.account, at(600), at(700));
     asker.give_back(lent.account, at(600), at(700));
     assert_eq!(asker.take_returned(at(800)), Some(ReturnedTokens { account: lent.account, tokens: 2 }));
@@ -170,17 +173,17 @@
 fn an_account_that_is_begun_anew_lends_its_part_of_the_overage_and_the_rate() {
     let mut accounts = Accounts::new(1);
     let (grant, event) = accounts.answer(&question(1_000), None, &RULE, &FIRST, at(0));
-    assert_eq!(event, AccountEvent::Begun);
+    assert_eq!(event, AccountEvent::Created);
     let begun_with = RULE.takeover_tokens(&QUOTA).min(RULE.capacity(&QUOTA));
     assert_eq!(grant.granted, begun_with as u32);
     assert_eq!(ask(&mut accounts, &question(1_000), &FIRST, at(1_000)).granted, 10);
 }
 
 #[test]
-fn a_keeper_that_has_just_started_lends_less() {
-    let young = KeeperStanding { running_for: Micros::from_millis(100), ..FIRST };
+fn an_owner_that_has_just_started_lends_less() {
+    let young = OwnerStatus { running_for: Micros::from_millis(100), ..FIRST };
     assert_eq!(ask(&mut Accounts::new(1), &question(1_000), &young, at(0)).granted, 1);
-    let older = KeeperStanding { running_for: Micros::from_secs(4), ..FIRST };
+    let older = OwnerStatus { running_for: Micros::from_secs(4), ..FIRST };
     let granted = ask(&mut Accounts::new(1), &question(1_000), &older, at(0)).granted;
     assert_eq!(granted, RULE.restart_tokens(&QUOTA) as u32);
 }
@@ -188,64 +191,67 @@
 #[test]
 fn who_stands_in_lends_a_part_of_the_overage_in_each_window() {
     let mut accounts = Accounts::new(1);
-    let (grant, event) = accounts.answer(&question(1_000), None, &RULE, &DEPUTY, at(0));
-    assert_eq!(event, AccountEvent::StoodIn);
-    assert!(grant.stands_in);
+    let (grant, event) = accounts.answer(&question(1_000), None, &RULE, &STANDBY, at(0));
+    assert_eq!(event, AccountEvent::CreatedByStandby);
+    assert!(grant.from_standby);
     assert_eq!(grant.granted, RULE.takeover_tokens(&QUOTA) as u32);
-    assert_eq!(ask(&mut accounts, &question(9), &DEPUTY, at(4_900)).granted, 0);
+    assert_eq!(ask(&mut accounts, &question(9), &STANDBY, at(4_900)).granted, 0);
     let first = ask(&mut accounts, &question(9), &FIRST, at(4_950));
-    assert_eq!(first.granted, 0, "what it lent standing in counts when it takes over");
-    assert!(ask(&mut accounts, &question(9), &FIRST, at(5_950)).granted >= 9, "then the rate is its own");
+    assert_eq!(first.granted, 0, "tokens lent as standby count after a takeover");
+    assert!(
+        ask(&mut accounts, &question(9), &FIRST, at(5_950)).granted >= 9,
+        "then it lends at the full rate"
+    );
 }
 
 #[test]
-fn a_keeper_that_hands_over_lends_nothing_for_a_window() {
+fn an_owner_that_hands_over_lends_nothing_for_a_window() {
     let mut accounts = full_account();
-    assert_eq!(ask(&mut accounts, &question(1), &DEPUTY, at(60_000)).granted, 0);
-    assert_eq!(ask(&mut accounts, &question(1), &DEPUTY, at(64_900)).granted, 0);
-    assert_eq!(ask(&mut accounts, &question(1), &DEPUTY, at(65_000)).granted, 1);
+    assert_eq!(ask(&mut accounts, &question(1), &STANDBY, at(60_000)).granted, 0);
+    assert_eq!(ask(&mut accounts, &question(1), &STANDBY, at(64_900)).granted, 0);
+    assert_eq!(ask(&mut accounts, &question(1), &STANDBY, at(65_000)).granted, 1);
 }
 
 #[test]
-fn the_second_change_of_the_keeper_in_a_window_lends_less() {
-    let after_two = QuotaQuestion { lenders: vec![AccountId(90), AccountId(91)], ..question(1_000) };
+fn the_second_change_of_the_owner_in_a_window_lends_less() {
+    let after_two = QuotaRequest { lenders: vec![AccountId(90), AccountId(91)], ..question(1_000) };
     let granted = ask(&mut Accounts::new(1), &after_two, &FIRST, at(0)).granted;
     assert!(f64::from(granted) <= RULE.takeover_tokens(&QUOTA) / 3.0, "{granted}");
-    let granted = ask(&mut Accounts::new(1), &after_two, &DEPUTY, at(0)).granted;
+    let granted = ask(&mut Accounts::new(1), &after_two, &STANDBY, at(0)).granted;
     assert!(f64::from(granted) <= RULE.takeover_tokens(&QUOTA) / 3.0, "{granted}");
 }
 
 #[test]
 fn both_parts_of_a_cut_fleet_lend_the_rate_together() {
-    let half = KeeperStanding { share: 0.5, ..FIRST };
+    let half = OwnerStatus { share: 0.5, ..FIRST };
     let mut accounts = Accounts::new(1);
     ask(&mut accounts, &question(1_000), &half, at(0));
     assert_eq!(ask(&mut accounts, &question(1_000), &half, at(1_000)).granted, 5);
 }
 
 #[test]
-fn the_newer_limit_of_asker_and_keeper_counts() {
+fn the_newer_limit_of_asker_and_owner_counts() {
     let lowered = Quota { rate_per_s: 1.0, burst: 1.0 };
     let mut accounts = full_account();
-    let newer = QuotaQuestion { version: 2, quota: lowered, ..question(1_000) };
+    let newer = QuotaRequest { version: 2, quota: lowered, ..question(1_000) };
     let granted = ask(&mut accounts, &newer, &FIRST, at(60_000)).granted;
     assert_eq!(granted, RULE.capacity(&lowered) as u32);
     ask(&mut accounts, &question(1_000), &FIRST, at(60_000));
     assert_eq!(
         ask(&mut accounts, &question(1_000), &FIRST, at(62_000)).granted,
         2,
-        "an old question raises nothing"
+        "an older request does not raise the limit"
     );
     let mut accounts = full_account();
     let known = Some((3, lowered));
     let granted = accounts.answer(&question(1_000), known, &RULE, &FIRST, at(60_000)).0.granted;
-    assert_eq!(granted, RULE.capacity(&lowered) as u32, "the keeper has heard of a newer one");
+    assert_eq!(granted, RULE.capacity(&lowered) as u32, "the owner knows a newer limit");
 }
 
 #[test]
 fn a_limit_that_was_taken_away_refuses_nothing() {
     let mut accounts = full_account();
-    let unlimited = QuotaQuestion { version: 2, quota: Quota::default(), ..question(1_000) };
+    let unlimited = QuotaRequest { version: 2, quota: Quota::default(), ..question(1_000) };
     assert_eq!(ask(&mut accounts, &unlimited, &FIRST, at(60_000)).granted, 1_000);
 }
 
@@ -253,38 +259,38 @@
 fn accounts_of_tenants_that_come_and_go_are_bounded() {
     let mut accounts = Accounts::new(1);
     for number in 0..10_000 {
-        let asked = QuotaQuestion { tenant: TenantName::new(format!("tenant-{number}")), ..question(1) };
+        let asked = QuotaRequest { tenant: TenantName::new(format!("tenant-{number}")), ..question(1) };
         ask(&mut accounts, &asked, &FIRST, at(number));
     }
     assert!(accounts.len() <= 4_096);
 }
 
 #[test]
-fn a_silent_keeper_is_asked_again_after_a_second() {
-    let mut silent = SilentKeepers::of_accounts();
-    let keeper = NodeId::new("node-1");
-    assert!(silent.may_ask(&keeper, at(0)));
-    assert!(silent.note(keeper.clone(), at(0)));
-    assert!(!silent.note(keeper.clone(), at(10)), "that is no news");
-    assert!(!silent.may_ask(&keeper, at(900)));
-    assert!(silent.may_ask(&keeper, at(1_010)));
+fn a_silent_owner_is_asked_again_after_a_second() {
+    let mut silent = UnresponsiveNodes::for_owners();
+    let owner = NodeId::new("node-1");
+    assert!(silent.may_ask(&owner, at(0)));
+    assert!(silent.note(owner.clone(), at(0)));
+    assert!(!silent.note(owner.clone(), at(10)), "a repeated timeout is not new");
+    assert!(!silent.may_ask(&owner, at(900)));
+    assert!(silent.may_ask(&owner, at(1_010)));
 }
 
 #[test]
 fn a_tenant_is_forgotten_only_after_the_window_of_what_it_did() {
     let (window, account) = (RULE.window, AccountId(7));
-    let mut lent = TenantAsker::<u32>::default();
+    let mut lent = QuotaRequester::<u32>::default();
     lent.note_lender(account, at(0));
     assert!(!lent.is_idle(window, at(4_999)));
     assert!(lent.is_idle(window, at(5_000)));
-    let mut returned = TenantAsker::<u32>::default();
+    let mut returned = QuotaRequester::<u32>::default();
     returned.give_back(account, at(0), at(10));
     assert!(!returned.is_idle(window, at(60_000)));
 }
 
 #[test]
 fn after_a_lost_question_the_next_request_asks_anew() {
-    let mut asker = TenantAsker::default();
+    let mut asker = QuotaRequester::default();
     assert_eq!(asker.arrive(1, at(0)), Arrival::Ask(vec![1]));
     assert_eq!(asker.arrive(2, at(1)), Arrival::Queued);
     assert_eq!(asker.lost(), [2]);
@@ -295,24 +301,23 @@
 fn a_repeated_takeover_is_forgotten_with_its_window() {
     let mut accounts = Accounts::new(1);
     let lenders = vec![AccountId(91), AccountId(92)];
-    let repeated = QuotaQuestion { lenders, ..question(1) };
+    let repeated = QuotaRequest { lenders, ..question(1) };
     ask(&mut accounts, &repeated, &FIRST, at(0));
-    let within_window = ask(&mut accounts, &question(1_000), &DEPUTY, at(4_000)).granted;
+    let within_window = ask(&mut accounts, &question(1_000), &STANDBY, at(4_000)).granted;
     let mut later = Accounts::new(1);
-    ask(&mut later, &repeated, &DEPUTY, at(0));
-    let after_window = ask(&mut later, &question(1_000), &DEPUTY, at(60_000)).granted;
+    ask(&mut later, &repeated, &STANDBY, at(0));
+    let after_window = ask(&mut later, &question(1_000), &STANDBY, at(60_000)).granted;
     assert!(after_window > within_window, "{after_window} after the window, {within_window} within");
 }
 
 #[test]
 fn a_node_that_has_just_started_or_stood_still_has_no_part_of_its_own() {
     let window = RULE.window;
-    let part = |awake_ms| part_by_age(7, Micros::from_millis(awake_ms), window);
+    let part = |awake_ms| allowance_by_uptime(7, Micros::from_millis(awake_ms), window);
     assert_eq!([part(0), part(999), part(4_999), part(5_000)], [0, 0, 0, 7]);
 }
 
-/// All nodes were restarted at once, and know nobody yet: callers come to whichever node is there, and each of them asks
-/// the seeds.
+/// Guards against seeds that lend more than their limit after a restart of the whole fleet.
 #[test]
 fn what_seeds_lend_to_nodes_that_have_just_started_is_within_their_part() {
     for seeds in 1..=3 {
@@ -321,7 +326,7 @@
             let mut accounts = Accounts::new(1);
             let place = Some(SeedPlace { place, seeds });
             for asker in 0..200 {
-                let asked = QuotaQuestion { starting: true, ..question(1) };
+                let asked = QuotaRequest { starting: true, ..question(1) };
                 lent += accounts.answer_starting(&asked, None, &RULE, place, at(asker)).granted;
             }
         }
@@ -331,7 +336,7 @@
 
 #[test]
 fn a_seed_that_knows_the_fleet_neither_lends_nor_refuses() {
-    let asked = QuotaQuestion { starting: true, ..question(3) };
+    let asked = QuotaRequest { starting: true, ..question(3) };
     let grant = Accounts::new(1).answer_starting(&asked, None, &RULE, None, at(0));
     assert_eq!((grant.granted, grant.empty_for), (0, Micros::default()));
 }
--- a/crates/sablebay-tenants/tests/quota_simulation/asking.rs
+++ b/crates/sablebay-tenants/tests/quota_simulation/asking.rs
@@ -1,12 +1,12 @@
-//! How the nodes of a simulated fleet ask one another.
+//! Token requests between simulated nodes.
 
 use sablebay_model::Micros;
 use sablebay_tenants::TenantName;
-use sablebay_tenants::quota::{QuotaGrant, QuotaQuestion, is_starting, own_part, part_by_age};
+use sablebay_tenants::quota::{QuotaGrant, QuotaRequest, allowance_by_uptime, is_starting, local_allowance};
 
-use super::{Event, PATIENCE, Question, Simulation};
+use super::{ANSWER_TIMEOUT, Event, Question, Simulation};
 
-/// How long a starting node asks no seed again that lent nothing more.
+/// Time for which a starting node is refused after its seeds lent too little.
 const STARTING_EMPTY: Micros = Micros::from_millis(25);
 
 impl Simulation {
@@ -16,7 +16,7 @@
         let awake_for = now.since(known.awake_since);
         let starting =
             is_starting(now.since(known.started_at)) && !self.views.knows_fleet(node, awake_for, now);
-        let asks = QuotaQuestion {
+        let asks = QuotaRequest {
             tenant: TenantName::new("tenant"),
             version: known.version,
             quota: known.quota,
@@ -25,7 +25,7 @@
             returned: known.asker.take_returned(now),
             starting,
         };
-        let mut targets = if starting { self.views.seeds() } else { self.keepers(node) };
+        let mut targets = if starting { self.views.seeds() } else { self.owners(node) };
         targets.reverse();
         self.next += 1;
         let number = self.next;
@@ -33,11 +33,11 @@
         self.ask_next(number);
     }
 
-    /// The present node that keeps the account, and the one that stands in for it.
-    fn keepers(&self, node: usize) -> Vec<usize> {
-        let mut keepers = self.views.order(node, self.now);
-        keepers.truncate(2);
-        keepers
+    /// Returns the present owner and its standby.
+    fn owners(&self, node: usize) -> Vec<usize> {
+        let mut owners = self.views.order(node, self.now);
+        owners.truncate(2);
+        owners
     }
 
     pub(super) fn ask_next(&mut self, number: u64) {
@@ -53,20 +53,20 @@
         }
         match question.targets.last().copied() {
             None if question.asks.starting => self.refuse_starting(number),
-            None => self.use_own_part(number),
+            None => self.use_local_allowance(number),
             Some(target) if target == node => {
                 let grant = self.lend(node, number);
                 self.answer(number, grant);
             }
             Some(target) => {
                 self.send(node, target, Event::Question { to: target, from: node, number });
-                self.push(self.now.plus(PATIENCE), Event::Timeout { at: node, number });
+                self.push(self.now.plus(ANSWER_TIMEOUT), Event::Timeout { at: node, number });
             }
         }
     }
 
     pub(super) fn send(&mut self, from: usize, to: usize, event: Event) {
-        /// Frames that come late, or twice, of those that are lost.
+        /// Fraction of the loss rate at which messages are delayed or duplicated.
         const ODD: f64 = 0.5;
         self.frames += 1;
         if !self.views.reaches(from, to) || self.draw() < self.loss {
@@ -80,18 +80,18 @@
         }
     }
 
-    pub(super) fn lend(&mut self, keeper: usize, number: u64) -> QuotaGrant {
+    pub(super) fn lend(&mut self, owner: usize, number: u64) -> QuotaGrant {
         let (rule, now) = (self.rule, self.now);
-        let known = &mut self.nodes[keeper];
+        let known = &mut self.nodes[owner];
         let asks = &self.questions[&number].asks;
         let configured = Some((known.version, known.quota));
         let awake_for = now.since(known.awake_since);
         if asks.starting {
-            let place = self.views.seed_place(keeper, awake_for, now);
+            let place = self.views.seed_place(owner, awake_for, now);
             return known.accounts.answer_starting(asks, configured, &rule, place, now);
         }
-        let standing = self.views.standing(keeper, awake_for, now);
-        known.accounts.answer(asks, configured, &rule, &standing, now).0
+        let owner_status = self.views.owner_status(owner, awake_for, now);
+        known.accounts.answer(asks, configured, &rule, &owner_status, now).0
     }
 
     pub(super) fn question(&mut self, to: usize, from: usize, number: u64) {
@@ -117,19 +117,20 @@
             self.nodes[node].asker.note_lender(grant.account, self.now);
         }
         let missing = question.asks.wanted.saturating_sub(grant.granted);
-        if grant.stands_in && missing > 0 {
-            grant.granted += self.take_own_part(node, missing);
+        if grant.from_standby && missing > 0 {
+            grant.granted += self.take_local_allowance(node, missing);
         }
         let lent = question.lent + grant.granted;
         self.finish(question, lent, grant.empty_for);
     }
 
-    /// What one seed does not lend the next may; a seed that knows the fleet sends the asker to the account.
+    /// Continues with the next seed if tokens are missing; a seed that knows the fleet refers the
+    /// requester to the owner.
     fn answer_of_seed(&mut self, number: u64, grant: QuotaGrant) {
         let mut question = self.questions.remove(&number).expect("an open question");
         if grant.granted == 0 && grant.empty_for == Micros::default() {
             question.asks.starting = false;
-            question.targets = self.keepers(question.node);
+            question.targets = self.owners(question.node);
             question.targets.reverse();
             return self.ask_anew(question);
         }
@@ -143,7 +144,8 @@
         self.ask_anew(question);
     }
 
-    /// Goes on with a question under another number: answers to the one before are dropped.
+    /// Continues a request under a new number, so that late answers to the previous number are
+    /// dropped.
     fn ask_anew(&mut self, question: Question) {
         self.next += 1;
         self.questions.insert(self.next, question);
@@ -182,18 +184,22 @@
         self.ask_next(number);
     }
 
-    pub(super) fn use_own_part(&mut self, number: u64) {
+    pub(super) fn use_local_allowance(&mut self, number: u64) {
         let question = self.questions.remove(&number).expect("an open question");
-        let granted = question.lent + self.take_own_part(question.node, question.asks.wanted);
+        let granted = question.lent + self.take_local_allowance(question.node, question.asks.wanted);
         self.finish(question, granted, Micros::default());
     }
 
-    pub(super) fn take_own_part(&mut self, node: usize, wanted: u32) -> u32 {
+    pub(super) fn take_local_allowance(&mut self, node: usize, wanted: u32) -> u32 {
         let known = &mut self.nodes[node];
         let rule = self.rule;
         let awake_for = self.now.since(known.awake_since);
         let (nodes, place) = self.views.place(node, awake_for, self.now);
-        let part = part_by_age(own_part(rule.own_parts(&known.quota), nodes, place), awake_for, rule.window);
+        let part = allowance_by_uptime(
+            local_allowance(rule.total_local_allowance(&known.quota), nodes, place),
+            awake_for,
+            rule.window,
+        );
         known.own.take(part, rule.window, wanted, self.now)
     }
 }
--- a/crates/sablebay-tenants/tests/quota_simulation/measures.rs
+++ b/crates/sablebay-tenants/tests/quota_simulation/measures.rs
@@ -1,4 +1,4 @@
-//! What is measured of a simulated fleet.
+//! Measurements of a simulated fleet.
 
 use sablebay_model::Micros;
 use sablebay_tenants::Quota;
@@ -6,18 +6,19 @@
 use super::Simulation;
 
 impl Simulation {
-    /// The most requests that ran of those sent in any window that begins in a span.
-    pub fn most_in_a_window(&self, from: Micros) -> usize {
-        let ran = self.fates.iter().filter(|fate| fate.ran && fate.sent_at >= from);
-        let mut sent: Vec<Micros> = ran.map(|fate| fate.sent_at).collect();
+    /// Returns the maximum number of allowed requests in any window starting at or after `from`.
+    pub fn max_per_window(&self, from: Micros) -> usize {
+        let ran = self.outcomes.iter().filter(|outcome| outcome.ran && outcome.sent_at >= from);
+        let mut sent: Vec<Micros> = ran.map(|outcome| outcome.sent_at).collect();
         sent.sort_unstable();
         let first = |at: &Micros| sent.partition_point(|sent_at| sent_at.plus(self.rule.window) <= *at);
         sent.iter().enumerate().map(|(place, at)| place + 1 - first(at)).max().unwrap_or(0)
     }
 
-    /// Requests that a single bucket of the quota, cut to a part, lets pass of those sent.
+    /// Returns the number of requests that a single token bucket with a fraction of the quota would
+    /// allow.
     pub fn owed(&self, quota: &Quota, part: f64) -> usize {
-        let mut sent: Vec<Micros> = self.fates.iter().map(|fate| fate.sent_at).collect();
+        let mut sent: Vec<Micros> = self.outcomes.iter().map(|outcome| outcome.sent_at).collect();
         sent.sort_unstable();
         let (mut tokens, mut at) = (quota.burst * part, sent.first().copied().unwrap_or_default());
         let mut owed = 0;
--- a/crates/sablebay-tenants/tests/quota_simulation/mod.rs
+++ b/crates/sablebay-tenants/tests/quota_simulation/mod.rs
@@ -1,5 +1,6 @@
-//! A fleet that counts the requests of one tenant, over a network that loses, delays and doubles frames. The
-//! machines are those that nodes run; nodes are numbered in the tenant's order.
+//! Simulated fleet that accounts for the requests of one tenant over a network that loses, delays
+//! and duplicates messages. Nodes run the production state machines and are numbered in the order
+//! of the tenant.
 
 mod asking;
 mod measures;
@@ -11,41 +12,41 @@
 use sablebay_model::Micros;
 use sablebay_tenants::Quota;
 use sablebay_tenants::quota::{
-    Accounts, Arrival, OwnPart, QuotaGrant, QuotaQuestion, QuotaRule, SilentKeepers, TenantAsker,
+    Accounts, Arrival, LocalAllowance, QuotaGrant, QuotaRequest, QuotaRequester, QuotaRule, UnresponsiveNodes,
 };
 
 use views::Views;
 
-/// How long a keeper may take to answer.
-const PATIENCE: Micros = Micros::from_millis(30);
+/// Time to wait for an answer of an owner.
+const ANSWER_TIMEOUT: Micros = Micros::from_millis(30);
 
-/// How requests are counted.
+/// Method of counting requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scheme {
-    /// By accounts.
+    /// Token accounts held by owners.
     Accounts,
-    /// By equal parts of all nodes, none asking another.
-    EqualParts,
+    /// A fixed equal share per node, without messages.
+    EqualShares,
 }
 
-/// What happens to the fleet.
+/// A fault or configuration change.
 #[derive(Clone, Debug)]
-pub enum Trouble {
+pub enum Fault {
     Kill(usize),
     Start(usize),
     Freeze(usize),
     Wake(usize),
-    /// Nodes reach those in their own group alone.
+    /// Splits the network into groups; nodes reach only their own group.
     Cut(Vec<usize>),
     Heal,
-    /// Every node takes the quota into use within five seconds.
+    /// Applies the quota on every node within five seconds.
     Limit(Quota),
 }
 
 #[derive(Clone, Debug)]
 enum Event {
     Request,
-    Trouble(Trouble),
+    Fault(Fault),
     Question { to: usize, from: usize, number: u64 },
     Answer { to: usize, number: u64, grant: QuotaGrant },
     Timeout { at: usize, number: u64 },
@@ -55,40 +56,39 @@
 struct Node {
     up: bool,
     frozen: bool,
-    /// When it started, or woke.
+    /// When the node started or resumed.
     awake_since: Micros,
-    /// When its process started.
     started_at: Micros,
-    asker: TenantAsker<Micros>,
+    asker: QuotaRequester<Micros>,
     accounts: Accounts,
-    own: OwnPart,
-    silent: SilentKeepers,
-    silent_seeds: SilentKeepers,
+    own: LocalAllowance,
+    silent: UnresponsiveNodes,
+    silent_seeds: UnresponsiveNodes,
     version: u64,
     quota: Quota,
-    /// Events that came while it stood still.
+    /// Events received while the node was frozen.
     held: Vec<Event>,
 }
 
 struct Question {
     batch: Vec<Micros>,
-    asks: QuotaQuestion,
+    asks: QuotaRequest,
     targets: Vec<usize>,
     node: usize,
-    /// What seeds lent so far.
+    /// Tokens lent by seeds so far.
     lent: u32,
 }
 
-/// A request and what became of it.
+/// A request and whether it was allowed.
 #[derive(Clone, Copy, Debug)]
-pub struct Fate {
+pub struct RequestOutcome {
     pub sent_at: Micros,
     pub ran: bool,
 }
 
 pub struct Simulation {
     pub rule: QuotaRule,
-    pub fates: Vec<Fate>,
+    pub outcomes: Vec<RequestOutcome>,
     pub frames: u64,
     pub loss: f64,
     scheme: Scheme,
@@ -103,7 +103,7 @@
     views: Views,
 }
 
-/// Draws for what is there from the start on, apart from those of the run.
+/// Random numbers for the initial state, independent of those of the run.
 fn draws(seed: u64) -> impl FnMut() -> f64 {
     let mut state = seed ^ 0xD1B5_4A32_D192_ED03;
     move || {
@@ -113,7 +113,7 @@
 }
 
 impl Simulation {
-    /// A fleet that has run for long, whose tenant sends at a rate.
+    /// Creates a settled fleet whose tenant sends at the given rate.
     pub fn new(nodes: usize, quota: Quota, rate: f64, seed: u64, scheme: Scheme) -> Self {
         let rule = QuotaRule { window: Micros::from_secs(5), overage: 0.25, slack: 20.0 };
         let now = Micros::from_secs(3_600);
@@ -122,18 +122,18 @@
             frozen: false,
             awake_since: Micros::default(),
             started_at: Micros::default(),
-            asker: TenantAsker::default(),
+            asker: QuotaRequester::default(),
             accounts: Accounts::new(number as u64 * 1_000_000),
-            own: OwnPart::default(),
-            silent: SilentKeepers::of_accounts(),
-            silent_seeds: SilentKeepers::of_seeds(),
+            own: LocalAllowance::default(),
+            silent: UnresponsiveNodes::for_owners(),
+            silent_seeds: UnresponsiveNodes::for_seeds(),
             version: 1,
             quota,
             held: Vec::new(),
         };
         let mut simulation = Self {
             rule,
-            fates: Vec::new(),
+            outcomes: Vec::new(),
             frames: 0,
             loss: 0.0,
             scheme,
@@ -152,9 +152,9 @@
     }
 
     /// A node is not there yet, and nobody has met it.
-    pub fn leave_out(&mut self, node: usize) {
+    pub fn exclude(&mut self, node: usize) {
         self.nodes[node].up = false;
-        self.views.leave_out(node, self.now);
+        self.views.exclude(node, self.now);
     }
 
     /// Says which nodes are the seeds.
@@ -175,9 +175,9 @@
         self.events.push(Reverse((at, self.next)));
     }
 
-    /// Something happens after a while.
-    pub fn trouble(&mut self, after: Micros, trouble: Trouble) {
-        self.push(self.now.plus(after), Event::Trouble(trouble));
+    /// Schedules a fault after a delay.
+    pub fn inject(&mut self, after: Micros, fault: Fault) {
+        self.push(self.now.plus(after), Event::Fault(fault));
     }
 
     pub fn run_for(&mut self, span: Micros) {
@@ -186,14 +186,14 @@
             let Some(Reverse((at, number))) = self.events.pop() else { break };
             self.now = at;
             let event = self.pending.remove(&number).expect("each event is pending once");
-            self.happen(event);
+            self.handle(event);
         }
         self.now = until;
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let owner = match &event {
-            Event::Request | Event::Trouble(_) => None,
+            Event::Request | Event::Fault(_) => None,
             Event::Question { to, .. } | Event::Answer { to, .. } => Some(*to),
             Event::Timeout { at, .. } => Some(*at),
             Event::Configured { node, .. } => Some(*node),
@@ -204,7 +204,7 @@
         }
         match event {
             Event::Request => self.request(),
-            Event::Trouble(trouble) => self.befall(trouble),
+            Event::Fault(fault) => self.apply_fault(fault),
             Event::Question { to, from, number } => self.question(to, from, number),
             Event::Answer { number, grant, .. } => self.answer(number, grant),
             Event::Timeout { number, .. } => self.timeout(number),
@@ -224,8 +224,8 @@
         if !self.nodes[node].up || self.nodes[node].frozen {
             return;
         }
-        if self.scheme == Scheme::EqualParts {
-            let passes = self.take_equal_part(node);
+        if self.scheme == Scheme::EqualShares {
+            let passes = self.take_equal_share(node);
             return self.settle(self.now, passes);
         }
         match self.nodes[node].asker.arrive(self.now, self.now) {
@@ -236,28 +236,28 @@
     }
 
     fn settle(&mut self, sent_at: Micros, ran: bool) {
-        self.fates.push(Fate { sent_at, ran });
+        self.outcomes.push(RequestOutcome { sent_at, ran });
     }
 
-    fn take_equal_part(&mut self, node: usize) -> bool {
+    fn take_equal_share(&mut self, node: usize) -> bool {
         let (rule, now, nodes) = (self.rule, self.now, self.nodes.len());
         let known = &mut self.nodes[node];
-        // What is rounded up is covered by the overage.
+        // Rounding up is covered by the overage.
         let part = (rule.allowed(&known.quota) / nodes as f64).ceil();
         let most = ((rule.allowed(&known.quota) + rule.overage_of(&known.quota)) / nodes as f64).floor();
         known.own.take(part.min(most) as u32, rule.window, 1, now) > 0
     }
 
-    fn befall(&mut self, trouble: Trouble) {
+    fn apply_fault(&mut self, fault: Fault) {
         let now = self.now;
-        match trouble {
-            Trouble::Kill(node) => {
+        match fault {
+            Fault::Kill(node) => {
                 self.nodes[node].up = false;
                 self.questions.retain(|_, question| question.node != node);
             }
-            Trouble::Start(node) => self.restart(node),
-            Trouble::Freeze(node) => self.nodes[node].frozen = true,
-            Trouble::Wake(node) => {
+            Fault::Start(node) => self.restart(node),
+            Fault::Freeze(node) => self.nodes[node].frozen = true,
+            Fault::Wake(node) => {
                 let known = &mut self.nodes[node];
                 known.frozen = false;
                 known.awake_since = now;
@@ -265,9 +265,9 @@
                 let held = std::mem::take(&mut known.held);
                 held.into_iter().for_each(|event| self.push(now, event));
             }
-            Trouble::Cut(groups) => self.views.groups = groups,
-            Trouble::Heal => self.views.groups.fill(0),
-            Trouble::Limit(quota) => {
+            Fault::Cut(groups) => self.views.groups = groups,
+            Fault::Heal => self.views.groups.fill(0),
+            Fault::Limit(quota) => {
                 let version = 1 + self.next;
                 for node in 0..self.nodes.len() {
                     let after = Micros((self.draw() * 5e6) as u64);
@@ -290,11 +290,11 @@
             frozen: false,
             awake_since: self.now,
             started_at: self.now,
-            asker: TenantAsker::default(),
+            asker: QuotaRequester::default(),
             accounts: Accounts::new(self.next * 1_000_000),
-            own: OwnPart::default(),
-            silent: SilentKeepers::of_accounts(),
-            silent_seeds: SilentKeepers::of_seeds(),
+            own: LocalAllowance::default(),
+            silent: UnresponsiveNodes::for_owners(),
+            silent_seeds: UnresponsiveNodes::for_seeds(),
             version: known.version,
             quota: known.quota,
             held: Vec::new(),
