--- a/crates/sablebay-gateway/src/call.rs
+++ b/crates/sablebay-gateway/src/call.rs
@@ -18,9 +18,9 @@
 
 use crate::connections::{Lease, Liveness, ReplicaConnections};
 use crate::context::Context;
-use crate::edge::{AnswerVerdict, BackendProtocol, CallerProtocol, WholeAnswer};
+use crate::edge::{AnswerVerdict, BackendProtocol, CallerProtocol, FullAnswer};
 use crate::merge::MergedPart;
-use crate::prepare_call::{Unsent, note_unsent, prepare};
+use crate::prepare_call::{Unsent, prepare, record_unsent};
 
 /// The longest answer of a back end.
 const MAXIMUM_ANSWER_BYTES: usize = 8 << 20;
@@ -52,7 +52,7 @@
     /// What proves it to the caller.
     pub receipt: HeaderValue,
     /// The answer.
-    pub answer: WholeAnswer,
+    pub answer: FullAnswer,
 }
 
 /// How a call ended, for the request that it belongs to.
@@ -61,12 +61,12 @@
     /// With success.
     Success(CallSuccess),
     /// Without; a back end's own failure comes with its answer.
-    Failure(CallFailure, Option<WholeAnswer>),
+    Failure(CallFailure, Option<FullAnswer>),
 }
 
 /// What comes back of a call.
 #[derive(Debug)]
-pub enum CallNews {
+pub enum CallUpdate {
     /// A call to a replica ended.
     Ended(CallResult),
     /// A gatherer told how far it is, with what it has merged since.
@@ -81,7 +81,7 @@
     /// The call.
     pub call: CallNumber,
     /// What came back.
-    pub news: CallNews,
+    pub update: CallUpdate,
 }
 
 /// One call to be made.
@@ -113,12 +113,12 @@
 ) {
     let connections = context.connections_to(&call.replica);
     let OutgoingCall { number, key, replica, request, extra, usual, deadline, mut abandoned, events } = call;
-    let wanted = LeaseRequest {
+    let lease_request = LeaseRequest {
         run: RunId { node: context.observer(), call: key.0 },
         duration: lease_duration(usual),
     };
     let prepared = tokio::select! {
-        prepared = prepare(&context, &connections, &replica, &request, wanted) => prepared,
+        prepared = prepare(&context, &connections, &replica, &request, lease_request) => prepared,
         _ = &mut abandoned => {
             // Nothing was sent.
             context.dispatch.lock().table.forget(&replica.replica.id, key);
@@ -129,9 +129,9 @@
     let (lease, run_lease) = match prepared {
         Ok(prepared) => prepared,
         Err(why) => {
-            let failure = note_unsent(&context, &replica, key, &request, why);
+            let failure = record_unsent(&context, &replica, key, &request, why);
             let unsent = CallResult::Failure(failure, None);
-            let _ = events.send(CallEvent { call: number, news: CallNews::Ended(unsent) });
+            let _ = events.send(CallEvent { call: number, update: CallUpdate::Ended(unsent) });
             return;
         }
     };
@@ -142,24 +142,24 @@
         result = &mut exchange => Some(result),
         _ = &mut abandoned => {
             let now = context.clock().now();
-            let patience = match run_lease {
+            let grace = match run_lease {
                 // Others wait for word of how this ends.
-                Some(_) => wanted.duration,
+                Some(_) => lease_request.duration,
                 None => context.dispatch.lock().table.abandoned_call_grace(&replica.replica.id, now),
             };
-            tokio::time::timeout(patience.as_duration(), &mut exchange).await.ok()
+            tokio::time::timeout(grace.as_duration(), &mut exchange).await.ok()
         }
         () = tokio::time::sleep_until(context.clock().instant(deadline)) => None,
     };
     let result = finished.unwrap_or((CallResult::Failure(CallFailure::TimedOut, None), None));
-    note_run(&context, &connections, &replica, &request, started_at, &result.0).await;
+    record_run(&context, &connections, &replica, &request, started_at, &result.0).await;
     drop(run_lease);
-    note(&context, &replica, key, &request, &result);
-    let _ = events.send(CallEvent { call: number, news: CallNews::Ended(result.0) });
+    record_result(&context, &replica, key, &request, &result);
+    let _ = events.send(CallEvent { call: number, update: CallUpdate::Ended(result.0) });
 }
 
 /// Notes what a run says of its request: whether its back end outlived it.
-async fn note_run<C: CallerProtocol, B: BackendProtocol>(
+async fn record_run<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     connections: &ReplicaConnections,
     replica: &RoutableReplica,
@@ -189,14 +189,14 @@
                 known_at: ended_at,
                 is_remote: false,
             };
-            note_crash(context, request, run);
+            record_crash(context, request, run);
         }
         CallResult::Failure(..) => {}
     }
 }
 
 /// A back end ended while it had a request.
-fn note_crash<C: CallerProtocol, B: BackendProtocol>(
+fn record_crash<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     request: &ForwardedRequest,
     run: CrashedRun,
@@ -213,7 +213,7 @@
 }
 
 /// Tells the replica table how a call went.
-fn note<C: CallerProtocol, B: BackendProtocol>(
+fn record_result<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     replica: &RoutableReplica,
     key: CallKey,
@@ -282,7 +282,7 @@
         connections.give_back(lease);
     }
     let headers = end_to_end_headers(head.headers);
-    let answer = WholeAnswer { status: head.status, headers, body: collected.to_bytes() };
+    let answer = FullAnswer { status: head.status, headers, body: collected.to_bytes() };
     let result = match read.verdict {
         AnswerVerdict::Success { receipt } => CallResult::Success(CallSuccess { receipt, answer }),
         AnswerVerdict::Failure => CallResult::Failure(CallFailure::Failed, Some(answer)),
@@ -313,7 +313,7 @@
 /// The headers without those that concern one connection, and without the length, which the
 /// library sets by the body.
 pub fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
-    const OF_ONE_CONNECTION: [&str; 9] = [
+    const HOP_BY_HOP: [&str; 9] = [
         "connection",
         "keep-alive",
         "proxy-authenticate",
@@ -331,7 +331,7 @@
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    for name in OF_ONE_CONNECTION.iter().copied().chain(named.iter().map(String::as_str)) {
+    for name in HOP_BY_HOP.iter().copied().chain(named.iter().map(String::as_str)) {
         headers.remove(name);
     }
     headers.remove(header::CONTENT_LENGTH);
--- a/crates/sablebay-gateway/src/catalogue_reader.rs
+++ b/crates/sablebay-gateway/src/catalogue_reader.rs
@@ -15,7 +15,7 @@
 use sablebay_model::Micros;
 
 use crate::context::Context;
-use crate::edge::{BackendProtocol, CallerProtocol, CatalogueNews, CatalogueSource, SourceError};
+use crate::edge::{BackendProtocol, CallerProtocol, CatalogueChanges, CatalogueSource, SourceError};
 use crate::peer_catalogue::MEETING_TIME;
 use crate::routing_view::RoutingView;
 
@@ -76,7 +76,7 @@
 fn failure_of(error: SourceError) -> ReadFailure {
     match error {
         SourceError::HistoryLost | SourceError::Malformed => ReadFailure::MustReadAll,
-        SourceError::Returned => ReadFailure::Restored,
+        SourceError::Restored => ReadFailure::Restored,
         SourceError::Unavailable => ReadFailure::NoAnswer,
         SourceError::Busy | SourceError::Outdated => ReadFailure::Refused,
     }
@@ -98,7 +98,7 @@
     context.source_fails.store(true, Ordering::Relaxed);
     context.metrics.source_read(match error {
         SourceError::HistoryLost => "history_lost",
-        SourceError::Returned => "returned",
+        SourceError::Restored => "returned",
         SourceError::Outdated => "outdated",
         SourceError::Busy => "busy",
         SourceError::Unavailable => "unavailable",
@@ -178,7 +178,7 @@
     }
 }
 
-fn apply(view: &mut CatalogueView, news: CatalogueNews, now: Micros) -> bool {
+fn apply(view: &mut CatalogueView, news: CatalogueChanges, now: Micros) -> bool {
     let mut changed = view.offer_configurations(news.configurations);
     view.note_revisions(news.revisions);
     for (change, revision) in news.replicas {
--- a/crates/sablebay-gateway/src/context.rs
+++ b/crates/sablebay-gateway/src/context.rs
@@ -53,7 +53,7 @@
     /// How much later than planned answers get ready.
     pub answer_lag: AnswerLag,
     /// How long callers usually wait, by route.
-    pub patience: HashMap<String, TypicalTimeout>,
+    pub typical_timeouts: HashMap<String, TypicalTimeout>,
     /// What tenants lately asked for.
     pub tenant_load: TenantLoad,
 }
@@ -114,7 +114,7 @@
             budgets: RetryBudgets::default(),
             latencies: HashMap::new(),
             splits: HashMap::new(),
-            patience: HashMap::new(),
+            typical_timeouts: HashMap::new(),
             tenant_load: TenantLoad::default(),
             gatherers: GathererTable::default(),
             arrivals: HashMap::new(),
--- a/crates/sablebay-gateway/src/delegated.rs
+++ b/crates/sablebay-gateway/src/delegated.rs
@@ -12,14 +12,14 @@
 use sablebay_node::{Lane, PeerFailure, PeerNews, PendingAnswer};
 use sablebay_protocol::peer::{GatheredPart, PartialGather, PeerRequest, PeerResponse};
 
-use crate::call::{CallEvent, CallNews, ForwardedRequest};
+use crate::call::{CallEvent, CallUpdate, ForwardedRequest};
 use crate::context::Context;
 use crate::edge::{BackendProtocol, CallerProtocol};
 use crate::merge::MergedPart;
 
 /// The way of a part back to the root: a link between two zones, reading and merging. From the
 /// bench's sites, whose zones are 0.5 to 0.9 ms apart.
-const WAY_BACK: Micros = Micros::from_millis(3);
+const RETURN_LATENCY: Micros = Micros::from_millis(3);
 
 /// When a delegation has to do what.
 #[derive(Clone, Copy, Debug)]
@@ -70,7 +70,7 @@
     let (_keep, never) = oneshot::channel();
     let mut abandoned = std::mem::replace(&mut delegation.abandoned, never);
     let ended = tokio::select! {
-        ended = converse(&context, &delegation) => ended,
+        ended = receive_parts(&context, &delegation) => ended,
         _ = &mut abandoned => {
             let now = context.clock().now();
             context.dispatch.lock().gatherers.abandoned(&delegation.delegated.gatherer, delegation.key, now);
@@ -88,19 +88,19 @@
     // The request may have ended meanwhile.
     let _ = delegation
         .events
-        .send(CallEvent { call: delegation.number, news: CallNews::GathererFailed(failure) });
+        .send(CallEvent { call: delegation.number, update: CallUpdate::GathererFailed(failure) });
 }
 
 /// Asks, and hands on what comes until the last part.
-async fn converse<C: CallerProtocol, B: BackendProtocol>(
+async fn receive_parts<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     delegation: &OutgoingDelegation,
 ) -> Result<(), CallFailure> {
-    let mut answer = ask(context, delegation).await?;
+    let mut answer = send_request(context, delegation).await?;
     loop {
         let until = context.clock().instant(delegation.times.deadline);
-        let news = tokio::time::timeout_at(until, answer.next()).await;
-        let (response, last) = match news {
+        let received = tokio::time::timeout_at(until, answer.next()).await;
+        let (response, last) = match received {
             Ok(Some(PeerNews::Progress(response))) => (response, false),
             Ok(Some(PeerNews::Answer(response))) => (response, true),
             Ok(None) => return Err(CallFailure::Broken),
@@ -111,7 +111,7 @@
             PeerResponse::Refused(_) => return Err(CallFailure::Rejected),
             _ => return Err(CallFailure::Mismatched),
         };
-        note_heard(context, delegation, &part);
+        record_report(context, delegation, &part);
         if let Some(notice) = &part.quarantine {
             let gatherer = delegation.delegated.gatherer.as_str();
             context.node.quarantine.hear(
@@ -123,15 +123,15 @@
         }
         let (gathered, merged) =
             decode(part, &delegation.delegated.shards, last).ok_or(CallFailure::Mismatched)?;
-        let news = CallNews::Gathered(gathered, merged);
-        let _ = delegation.events.send(CallEvent { call: delegation.number, news });
+        let update = CallUpdate::Gathered(gathered, merged);
+        let _ = delegation.events.send(CallEvent { call: delegation.number, update });
         if last {
             return Ok(());
         }
     }
 }
 
-async fn ask<C: CallerProtocol, B: BackendProtocol>(
+async fn send_request<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     delegation: &OutgoingDelegation,
 ) -> Result<PendingAnswer, CallFailure> {
@@ -142,8 +142,8 @@
     let partial = PartialGather { quarantine, ..partial_gather(delegation, zones, now) };
     let request = PeerRequest::PartialGather(Box::new(partial));
     let until = context.clock().instant(delegation.times.deadline);
-    let asked = context.node.peers.open_request(address, Lane::Data, request, until).await;
-    asked.map_err(|failure| match failure {
+    let opened = context.node.peers.open_request(address, Lane::Data, request, until).await;
+    opened.map_err(|failure| match failure {
         PeerFailure::NotSent => CallFailure::NoConnection,
         PeerFailure::Refused(_) => CallFailure::Rejected,
         PeerFailure::Broken | PeerFailure::TimedOut => CallFailure::Broken,
@@ -167,7 +167,7 @@
         maximum_attempts: delegation.maximum_attempts,
         target_us: times.target.0,
         progress_us: 0,
-        wanted_us: times.report_at.since(now).since(WAY_BACK).0,
+        wanted_us: times.report_at.since(now).since(RETURN_LATENCY).0,
         limit_us: times.deadline.since(now).0,
         remaining_us: request.caller_deadline.since(now).0,
         continued: delegation.delegated.continued,
@@ -181,7 +181,7 @@
     spare.as_ref().map_or_else(String::new, |spare| spare.name().to_string())
 }
 
-fn note_heard<C: CallerProtocol, B: BackendProtocol>(
+fn record_report<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     delegation: &OutgoingDelegation,
     part: &GatheredPart,
@@ -194,8 +194,8 @@
 
 /// A part in the positions of the request; nothing when it says what cannot be.
 fn decode(part: GatheredPart, shards: &[usize], last: bool) -> Option<(GatheredShards, MergedPart)> {
-    let positions = |told: &[u32]| -> Option<Vec<usize>> {
-        told.iter().map(|index| shards.get(*index as usize).copied()).collect()
+    let positions = |indices: &[u32]| -> Option<Vec<usize>> {
+        indices.iter().map(|index| shards.get(*index as usize).copied()).collect()
     };
     let receipts: Result<Vec<HeaderValue>, _> =
         part.receipts.iter().map(|bytes| HeaderValue::from_bytes(bytes)).collect();
--- a/crates/sablebay-gateway/src/destinations.rs
+++ b/crates/sablebay-gateway/src/destinations.rs
@@ -20,7 +20,7 @@
                 targets
             }
             Destination::Services(parts) => {
-                let chosen = self.choose_part(route, parts);
+                let chosen = self.choose_service(route, parts);
                 chosen.iter().map(|service| view.targets(service)).collect()
             }
         }
@@ -63,7 +63,7 @@
         }
     }
 
-    fn choose_part(&self, route: &Route, parts: &[WeightedService]) -> Option<ServiceName> {
+    fn choose_service(&self, route: &Route, parts: &[WeightedService]) -> Option<ServiceName> {
         if let [only] = parts {
             return Some(only.service.clone());
         }
--- a/crates/sablebay-gateway/src/driver.rs
+++ b/crates/sablebay-gateway/src/driver.rs
@@ -13,20 +13,20 @@
 };
 use sablebay_model::Micros;
 
-use crate::call::{CallEvent, CallNews, CallResult, ForwardedRequest, OutgoingCall, run_call};
+use crate::call::{CallEvent, CallResult, CallUpdate, ForwardedRequest, OutgoingCall, run_call};
 use crate::context::Context;
 use crate::delegated::{DelegationTimes, OutgoingDelegation, names_of, run_delegation};
-use crate::edge::{BackendProtocol, CallerProtocol, WholeAnswer};
+use crate::edge::{BackendProtocol, CallerProtocol, FullAnswer};
 use crate::merge::{Part, TakenPart};
 
 /// Events handled in one turn.
-const EVENTS_PER_TURN: usize = 32;
+const EVENT_BATCH: usize = 32;
 /// The part of the target latency after which a gatherer without a sign of life is given up. It gives one as
 /// soon as it has asked its replicas, some milliseconds after it was asked itself; from then on there
 /// must be time for another to do the same.
-const RESCUE_PART: f64 = 0.3;
+const GATHERER_TIMEOUT_FRACTION: f64 = 0.3;
 /// The target assumed for these of a route that names none.
-const ASSUMED_TARGET: Micros = Micros::from_millis(500);
+const DEFAULT_TARGET_LATENCY: Micros = Micros::from_millis(500);
 
 /// What one request has come to.
 pub struct DriverResult {
@@ -35,7 +35,7 @@
     /// The parts that stand.
     pub parts: Vec<TakenPart>,
     /// The last answer of a back end that failed.
-    pub failed_answer: Option<WholeAnswer>,
+    pub failed_answer: Option<FullAnswer>,
     /// When an answer that leaves shards out was planned for.
     pub partial_at: Micros,
     /// What was needed.
@@ -90,7 +90,7 @@
         .with_tenant(context.tenant_of(&request.headers))
         .with_delegations(delegations);
     let mut run = RunningRequest::start(context, fanout, request, usual, terms);
-    run.until(Micros::MAX).await;
+    run.run_until(Micros::MAX).await;
     let outcome = run.fanout.outcome().expect("without a limit a request runs to its end");
     DriverResult {
         outcome,
@@ -120,16 +120,16 @@
 
 /// When half of the time that a request has is over: a gatherer that has fallen silent by then can still be
 /// replaced.
-fn halfway(bounds: &RequestBounds) -> Micros {
+fn midpoint(bounds: &RequestBounds) -> Micros {
     let half = bounds.deadline.since(bounds.received_at).0 / 2;
     bounds.received_at.plus(Micros(half))
 }
 
 /// A part of the time that a request has: its route's target latency, or half of what is left until
 /// it is given up where that is less.
-fn part_of(target: Option<Micros>, bounds: &RequestBounds, part: f64) -> Micros {
+fn fraction_of(target: Option<Micros>, bounds: &RequestBounds, fraction: f64) -> Micros {
     let half = bounds.deadline.since(bounds.received_at).0 / 2;
-    Micros((target.unwrap_or(ASSUMED_TARGET).0.min(half) as f64 * part) as u64)
+    Micros((target.unwrap_or(DEFAULT_TARGET_LATENCY).0.min(half) as f64 * fraction) as u64)
 }
 
 /// How long the calls of a route usually take, and after how long a silent one is hedged.
@@ -173,12 +173,12 @@
         minimum_shards,
         deadline: bounds.deadline,
         partial_at,
-        report_at: partial_at.min(halfway(bounds)),
+        report_at: partial_at.min(midpoint(bounds)),
         hedge_delay: match route.repeatability {
             Repeatability::Repeatable => hedge_delay,
             Repeatability::AtMostOnce => Micros::MAX,
         },
-        gatherer_timeout: part_of(target, bounds, RESCUE_PART),
+        gatherer_timeout: fraction_of(target, bounds, GATHERER_TIMEOUT_FRACTION),
     }
 }
 
@@ -188,9 +188,9 @@
     received_at: Micros,
     target: Micros,
 ) -> Micros {
-    let way_back = Micros::from_millis(context.settings.load().partial_margin_ms);
+    let return_latency = Micros::from_millis(context.settings.load().partial_margin_ms);
     let lag = context.dispatch.lock().answer_lag.margin(target, context.clock().now());
-    received_at.plus(target.since(way_back.plus(lag)))
+    received_at.plus(target.since(return_latency.plus(lag)))
 }
 
 /// One request being run. Dropping it abandons its calls.
@@ -204,11 +204,11 @@
     events: mpsc::UnboundedSender<CallEvent>,
     receiver: mpsc::UnboundedReceiver<CallEvent>,
     parts: Vec<TakenPart>,
-    failed_answer: Option<WholeAnswer>,
+    failed_answer: Option<FullAnswer>,
     /// By call number: dropping one abandons its call.
-    open: Vec<Option<oneshot::Sender<()>>>,
+    abandon_senders: Vec<Option<oneshot::Sender<()>>>,
     /// By call number: the replica or node.
-    called: Vec<String>,
+    call_targets: Vec<String>,
     work: DriverWork,
 }
 
@@ -234,8 +234,8 @@
             receiver,
             parts: Vec::with_capacity(shards),
             failed_answer: None,
-            open: Vec::with_capacity(shards),
-            called: Vec::with_capacity(shards),
+            abandon_senders: Vec::with_capacity(shards),
+            call_targets: Vec::with_capacity(shards),
             work: DriverWork::default(),
         };
         run.step(|fanout, fanout_context| fanout.start(fanout_context));
@@ -243,11 +243,11 @@
     }
 
     /// Runs until the request has ended, and not past `moment`.
-    pub async fn until(&mut self, moment: Micros) {
-        let mut events = Vec::with_capacity(EVENTS_PER_TURN);
+    pub async fn run_until(&mut self, moment: Micros) {
+        let mut events = Vec::with_capacity(EVENT_BATCH);
         while !self.is_finished() && self.context.clock().now() < moment {
             let wake = self.context.clock().instant(self.fanout.next_wake().min(moment));
-            let received = self.receiver.recv_many(&mut events, EVENTS_PER_TURN);
+            let received = self.receiver.recv_many(&mut events, EVENT_BATCH);
             // Whether anything came or the time ran out shows in what there is.
             let _ = tokio::time::timeout_at(wake, received).await;
             for event in events.drain(..) {
@@ -277,27 +277,27 @@
     /// Takes the parts that stand; those that others took the place of are dropped.
     pub fn take_parts(&mut self) -> Vec<TakenPart> {
         let parts = std::mem::take(&mut self.parts);
-        let stands = |taken: &TakenPart| {
+        let is_current = |taken: &TakenPart| {
             taken.shards.iter().all(|shard| self.fanout.answered_by(*shard) == Some(taken.call))
         };
-        parts.into_iter().filter(stands).collect()
+        parts.into_iter().filter(is_current).collect()
     }
 
     fn take(&mut self, event: CallEvent) {
         let call = event.call;
-        match event.news {
-            CallNews::Ended(CallResult::Success(success)) => {
+        match event.update {
+            CallUpdate::Ended(CallResult::Success(success)) => {
                 let taken = self.step(|fanout, fanout_context| fanout.on_answer(call, fanout_context));
                 let taken =
                     taken.map(|shard| TakenPart { call, shards: vec![shard], part: Part::Single(success) });
                 self.parts.extend(taken);
             }
-            CallNews::Ended(CallResult::Failure(failure, answer)) => {
-                self.note_failure(call, failure);
+            CallUpdate::Ended(CallResult::Failure(failure, answer)) => {
+                self.record_failure(call, failure);
                 self.failed_answer = answer.or(self.failed_answer.take());
                 self.step(|fanout, fanout_context| fanout.on_failure(call, failure, fanout_context));
             }
-            CallNews::Gathered(gathered, merged) => {
+            CallUpdate::Gathered(gathered, merged) => {
                 if self.step(|fanout, fanout_context| fanout.on_gathered(call, &gathered, fanout_context)) {
                     self.parts.push(TakenPart {
                         call,
@@ -306,8 +306,8 @@
                     });
                 }
             }
-            CallNews::GathererFailed(failure) => {
-                self.note_failure(call, failure);
+            CallUpdate::GathererFailed(failure) => {
+                self.record_failure(call, failure);
                 self.step(|fanout, fanout_context| fanout.on_gatherer_failure(call, failure, fanout_context));
             }
         }
@@ -342,18 +342,18 @@
                 FanoutAction::Delegate { call, delegated, spares } => {
                     self.delegate(call, delegated, spares, now);
                 }
-                FanoutAction::Abandon { call } => self.open[call.0 as usize] = None,
+                FanoutAction::Abandon { call } => self.abandon_senders[call.0 as usize] = None,
             }
         }
         result
     }
 
     /// Notes a call that is about to be made; what comes back is ready when it is abandoned.
-    fn open_call(&mut self, call: CallNumber, called: String) -> oneshot::Receiver<()> {
+    fn open_call(&mut self, call: CallNumber, target: String) -> oneshot::Receiver<()> {
         let (abandon, abandoned) = oneshot::channel();
-        debug_assert_eq!(self.open.len(), call.0 as usize);
-        self.open.push(Some(abandon));
-        self.called.push(called);
+        debug_assert_eq!(self.abandon_senders.len(), call.0 as usize);
+        self.abandon_senders.push(Some(abandon));
+        self.call_targets.push(target);
         abandoned
     }
 
@@ -410,8 +410,8 @@
         tokio::spawn(run_delegation(self.context.clone(), outgoing));
     }
 
-    fn note_failure(&mut self, call: CallNumber, failure: CallFailure) {
-        let called = self.called.get(call.0 as usize).cloned().unwrap_or_default();
-        self.work.failures.push((called, failure));
+    fn record_failure(&mut self, call: CallNumber, failure: CallFailure) {
+        let target = self.call_targets.get(call.0 as usize).cloned().unwrap_or_default();
+        self.work.failures.push((target, failure));
     }
 }
--- a/crates/sablebay-gateway/src/edge.rs
+++ b/crates/sablebay-gateway/src/edge.rs
@@ -44,7 +44,7 @@
     /// The caller's identifier of this attempt.
     pub id: HeaderValue,
     /// How long the caller will wait.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Who it says it is.
     pub credential: Credential,
 }
@@ -93,7 +93,7 @@
 
 /// The whole answer of one back end.
 #[derive(Clone, Debug)]
-pub struct WholeAnswer {
+pub struct FullAnswer {
     /// Its status.
     pub status: StatusCode,
     /// Its headers, without those that concern one connection.
@@ -123,7 +123,7 @@
     /// The header in which back ends find on whose behalf a request runs.
     fn identity_header(&self) -> HeaderName;
     /// An answer that one back end gave.
-    fn relayed(&self, answer: WholeAnswer) -> Response<Full<Bytes>>;
+    fn relayed(&self, answer: FullAnswer) -> Response<Full<Bytes>>;
     /// An answer that was put together from shards.
     fn gathered(&self, answer: GatheredAnswer) -> Response<Full<Bytes>>;
     /// An answer of the gateway's own.
@@ -176,7 +176,7 @@
     HistoryLost,
     /// It has come back from an older copy: what changed since the revision asked for means nothing now.
     #[display("it came back from an older copy")]
-    Returned,
+    Restored,
     /// Its answer is of an era that is over: it was on its way for long, or comes from a store that was left behind.
     #[display("an answer of an earlier era")]
     Outdated,
@@ -206,7 +206,7 @@
 
 /// What changed after a revision.
 #[derive(Clone, Debug, Default)]
-pub struct CatalogueNews {
+pub struct CatalogueChanges {
     /// The configurations that were published, in order.
     pub configurations: Vec<RoutingConfiguration>,
     /// Changes of replicas with their revisions, in order.
@@ -226,12 +226,12 @@
 /// Where the catalogue comes from.
 pub trait CatalogueSource: Send + Sync + 'static {
     /// Reads everything within `patience`.
-    fn list(&self, patience: Duration) -> impl Future<Output = Result<CatalogueListing, SourceError>> + Send;
+    fn list(&self, timeout: Duration) -> impl Future<Output = Result<CatalogueListing, SourceError>> + Send;
     /// Waits up to `wait` for changes after a revision; the answer comes within `patience`, and is of the revision's era.
     fn watch(
         &self,
         after: CatalogueRevision,
         wait: Duration,
-        patience: Duration,
-    ) -> impl Future<Output = Result<CatalogueNews, SourceError>> + Send;
+        timeout: Duration,
+    ) -> impl Future<Output = Result<CatalogueChanges, SourceError>> + Send;
 }
--- a/crates/sablebay-gateway/src/gateway.rs
+++ b/crates/sablebay-gateway/src/gateway.rs
@@ -27,7 +27,7 @@
 use crate::warm_up::warm_up;
 
 /// How long connections that stay silent are kept after the listener has closed.
-const SILENT_PATIENCE: Duration = Duration::from_millis(700);
+const IDLE_GRACE: Duration = Duration::from_millis(700);
 
 /// The addresses that a gateway's listeners got.
 #[derive(Clone, Debug, Serialize)]
@@ -176,12 +176,12 @@
         let linger = Duration::from_millis(self.settings.stop_linger_ms).min(limit);
         tokio::time::sleep(linger).await;
         self.phase.send_replace(ListenerPhase::Closed);
-        let silence = SILENT_PATIENCE.min(limit - linger);
-        if tokio::time::timeout(silence, callers.as_mut()).await.is_ok() {
+        let grace = IDLE_GRACE.min(limit - linger);
+        if tokio::time::timeout(grace, callers.as_mut()).await.is_ok() {
             return true;
         }
         self.phase.send_replace(ListenerPhase::Ended);
-        let finished = tokio::time::timeout(limit - linger - silence, callers.as_mut()).await.is_ok();
+        let finished = tokio::time::timeout(limit - linger - grace, callers.as_mut()).await.is_ok();
         if !finished {
             callers.abort();
             log::warn!("stop: requests were still in flight at the end of the time allowed.");
--- a/crates/sablebay-gateway/src/gatherer.rs
+++ b/crates/sablebay-gateway/src/gatherer.rs
@@ -118,22 +118,22 @@
     }
     let request = Arc::new(request);
     let mut run = RunningRequest::start(context, fanout, request.clone(), usual, None);
-    let mut told = Told::new(partial.shards.len(), partial.top as usize, crowded);
-    run.until(times.progress_at).await;
+    let mut reported = GatherProgress::new(partial.shards.len(), partial.top as usize, crowded);
+    run.run_until(times.progress_at).await;
     if !run.is_finished() {
-        progress.send(told.part(context, &request, &mut run)).await;
-        run.until(times.wanted_at).await;
+        progress.send(reported.part(context, &request, &mut run)).await;
+        run.run_until(times.wanted_at).await;
     }
     if !run.is_finished() {
         // Also when nothing is in: the root gives up a gatherer that says nothing when the answer is due.
-        progress.send(told.part(context, &request, &mut run)).await;
-        run.until(Micros::MAX).await;
+        progress.send(reported.part(context, &request, &mut run)).await;
+        run.run_until(Micros::MAX).await;
     }
-    let last = told.part(context, &request, &mut run);
+    let last = reported.part(context, &request, &mut run);
     context.metrics.work(run.work());
-    if told.closed > 0 || context.clock().now() > times.wanted_at {
+    if reported.closed > 0 || context.clock().now() > times.wanted_at {
         let held = context.clock().now().since(times.received_at);
-        request_log::gathered(context, &partial, from.node.as_str(), told.closed, held, run.work());
+        request_log::gathered(context, &partial, from.node.as_str(), reported.closed, held, run.work());
     }
     last
 }
@@ -147,17 +147,17 @@
 ) -> Vec<ShardTargets> {
     let mut targets: Vec<ShardTargets> = partial.shards.iter().map(|shard| view.targets(shard)).collect();
     let now = context.clock().now();
-    let hear = |view: &mut CatalogueView| {
+    let apply_notices = |view: &mut CatalogueView| {
         let changes = partial.zones.iter().filter(|notice| view.apply_notice(notice, now));
         changes.count() > 0
     };
-    if partial.zones.is_empty() || !context.node.catalogue.update(hear) {
+    if partial.zones.is_empty() || !context.node.catalogue.update(apply_notices) {
         return targets;
     }
     context.node.catalogue.read(|known| {
         for target in &mut targets {
-            let takes_work = |replica: &&RoutableReplica| !known.is_evacuated(&replica.replica.zone);
-            target.replicas = target.replicas.iter().filter(takes_work).cloned().collect();
+            let is_available = |replica: &&RoutableReplica| !known.is_evacuated(&replica.replica.zone);
+            target.replicas = target.replicas.iter().filter(is_available).cloned().collect();
         }
     });
     targets
@@ -200,16 +200,16 @@
 }
 
 /// What the root was told so far.
-struct Told {
+struct GatherProgress {
     top: usize,
     crowded: usize,
-    closed_told: Vec<bool>,
+    closed_reported: Vec<bool>,
     closed: usize,
 }
 
-impl Told {
+impl GatherProgress {
     fn new(shards: usize, top: usize, crowded: usize) -> Self {
-        Self { top, crowded, closed_told: vec![false; shards], closed: 0 }
+        Self { top, crowded, closed_reported: vec![false; shards], closed: 0 }
     }
 
     /// What has come in since the last part.
@@ -226,9 +226,9 @@
         let merged = merge_parts(self.top, parts);
         let mut closed = Vec::new();
         let mut retried = Vec::new();
-        for (shard, told) in self.closed_told.iter_mut().enumerate() {
-            if run.fanout().is_closed(shard) && !*told {
-                *told = true;
+        for (shard, reported) in self.closed_reported.iter_mut().enumerate() {
+            if run.fanout().is_closed(shard) && !*reported {
+                *reported = true;
                 closed.push(shard as u32);
             }
             if run.fanout().attempts(shard) > 1 {
--- a/crates/sablebay-gateway/src/ingress.rs
+++ b/crates/sablebay-gateway/src/ingress.rs
@@ -27,11 +27,11 @@
 use crate::tenant_admission::AdmissionRequest;
 
 /// How long a caller is assumed to wait who does not say.
-const ASSUMED_PATIENCE: Duration = Duration::from_secs(10);
+const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long before a caller's deadline its final answer is on the way.
 const ANSWER_MARGIN: Micros = Micros::from_millis(5);
 /// When to come back while what is known of routes is too old to go by.
-const UNPREPARED_RETRY: Duration = Duration::from_millis(400);
+const NOT_READY_RETRY: Duration = Duration::from_millis(400);
 /// When to come back after every replica rejected a request.
 const REJECTED_RETRY: Duration = Duration::from_millis(150);
 
@@ -67,7 +67,7 @@
     };
     let mut record = RequestRecord::new(&caller, received_at);
     if !context.is_confirmed() {
-        let refusal = Refusal::NotRun { retry_after: UNPREPARED_RETRY };
+        let refusal = Refusal::NotRun { retry_after: NOT_READY_RETRY };
         return refuse(context, record, refusal, "the machine was suspended");
     }
     let view = context.view.load_full();
@@ -83,7 +83,7 @@
     let Some(route) = find_route(&routes, &request) else {
         // A newer configuration may have it: another node serves it by then, or this one does.
         if context.catalogue_is_old() || context.is_behind() {
-            let refusal = Refusal::NotRun { retry_after: UNPREPARED_RETRY };
+            let refusal = Refusal::NotRun { retry_after: NOT_READY_RETRY };
             return refuse(context, record, refusal, "no route in an old configuration");
         }
         return refuse(context, record, Refusal::NoRoute, "no route");
@@ -147,23 +147,23 @@
     let targets = context.targets_of(&view, &route);
     let delegations = context.delegations(&route, &targets);
     record.crowding = crowding(context, &targets, &delegations);
-    let patience = Micros::from(caller.patience.unwrap_or(ASSUMED_PATIENCE));
-    let asked = AdmissionRequest {
+    let timeout = Micros::from(caller.timeout.unwrap_or(DEFAULT_CALLER_TIMEOUT));
+    let admission_request = AdmissionRequest {
         route: &route,
         tenant: record.tenant.as_ref(),
         rank: routes.rank(&route, identity.tenant().map(Arc::as_ref)),
         crowding: record.crowding,
-        patience,
+        patience: timeout,
     };
-    let (admission, standing) = context.admission(&asked);
-    record.standing = standing;
+    let (admission, priority) = context.admission(&admission_request);
+    record.priority = priority;
     if let Admission::Refused { retry_after } = admission {
         let refusal = Refusal::NotRun { retry_after: retry_after.as_duration() };
         let why = "work queues at too many of its shards";
         return Served::refused(refuse(context, record, refusal, why));
     }
     let bounds = bounds_of(&caller, &route, record.received_at);
-    let caller_deadline = record.received_at.plus(patience);
+    let caller_deadline = record.received_at.plus(timeout);
     let limit = routes.configuration().limits.body_bytes;
     let body_deadline = context.clock().instant(bounds.deadline);
     let read = read_request(request, caller, &route, limit, caller_deadline, body_deadline).await;
@@ -193,7 +193,7 @@
     let may_have_run =
         !matches!(result.outcome, FanoutOutcome::NotRun | FanoutOutcome::Expired { may_have_run: false });
     let held_back = context.held_back(&forwarded);
-    let response = conclude(context, record, &route, result, held_back);
+    let response = build_response(context, record, &route, result, held_back);
     Served { response, may_have_run }
 }
 
@@ -205,10 +205,10 @@
 ) -> Crowding {
     let now = context.clock().now();
     let dispatch = context.dispatch.lock();
-    let told = |delegated: &DelegatedShards| {
+    let crowded_shards = |delegated: &DelegatedShards| {
         dispatch.gatherers.crowded_fraction(&delegated.gatherer, now) * delegated.shards.len() as f64
     };
-    let delegated: f64 = delegations.iter().map(told).sum();
+    let delegated: f64 = delegations.iter().map(crowded_shards).sum();
     let is_direct = |shard: &usize| delegations.iter().all(|known| !known.shards.contains(shard));
     let is_crowded = |shard: &usize| dispatch.table.is_crowded(&targets[*shard].replicas, now);
     let direct = (0..targets.len()).filter(is_direct).filter(is_crowded).count();
@@ -222,10 +222,10 @@
 }
 
 fn bounds_of(caller: &CallerRequest, route: &Route, received_at: Micros) -> RequestBounds {
-    let patience = Micros::from(caller.patience.unwrap_or(ASSUMED_PATIENCE)).since(ANSWER_MARGIN);
+    let timeout = Micros::from(caller.timeout.unwrap_or(DEFAULT_CALLER_TIMEOUT)).since(ANSWER_MARGIN);
     let limit = match route.time_limit_ms {
-        0 => patience,
-        milliseconds => patience.min(Micros::from_millis(milliseconds)),
+        0 => timeout,
+        milliseconds => timeout.min(Micros::from_millis(milliseconds)),
     };
     RequestBounds { received_at, deadline: received_at.plus(limit) }
 }
@@ -243,7 +243,7 @@
 }
 
 /// Makes the answer out of what a request has come to.
-fn conclude<C: CallerProtocol, B: BackendProtocol>(
+fn build_response<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     record: RequestRecord,
     route: &Route,
@@ -257,17 +257,17 @@
             request_log::answered(context, &record, missing, &work);
             record.tenant.iter().for_each(|tenant| context.node.callers.answered(tenant.as_str()));
             context.metrics.answered(context.clock().now().since(record.received_at), missing);
-            let told = if context.mechanisms.coverage { missing } else { 0 };
-            let response = merge(context, route, parts, told);
-            note_lag(context, partial_at, missing);
+            let reported_missing = if context.mechanisms.coverage { missing } else { 0 };
+            let response = merge(context, route, parts, reported_missing);
+            record_answer_lag(context, partial_at, missing);
             return response;
         }
         FanoutOutcome::NotRun | FanoutOutcome::Expired { may_have_run: false } if held_back.is_some() => {
             Refusal::HeldBack { retry_after: held_back.unwrap_or_default().as_duration() }
         }
         FanoutOutcome::NotRun => {
-            let nobody_to_ask = work.calls == 0 && work.gatherers == 0;
-            Refusal::NotRun { retry_after: if nobody_to_ask { NO_REPLICA_RETRY } else { REJECTED_RETRY } }
+            let has_no_replica = work.calls == 0 && work.gatherers == 0;
+            Refusal::NotRun { retry_after: if has_no_replica { NO_REPLICA_RETRY } else { REJECTED_RETRY } }
         }
         FanoutOutcome::Unknown if !context.mechanisms.not_run => {
             Refusal::NotRun { retry_after: REJECTED_RETRY }
@@ -288,7 +288,7 @@
 }
 
 /// Remembers how late an answer got ready that left at its planned moment.
-fn note_lag<C: CallerProtocol, B: BackendProtocol>(
+fn record_answer_lag<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     planned_at: Micros,
     missing: usize,
--- a/crates/sablebay-gateway/src/installation.rs
+++ b/crates/sablebay-gateway/src/installation.rs
@@ -41,7 +41,7 @@
             let named = |name: &str| routes.configuration().routes.iter().any(|route| route.name == name);
             dispatch.latencies.retain(|name, _| named(name));
             dispatch.splits.retain(|name, _| named(name));
-            dispatch.patience.retain(|name, _| named(name));
+            dispatch.typical_timeouts.retain(|name, _| named(name));
             dispatch.budgets.retain(|service| routes.service(service).is_some());
             dispatch.arrivals.retain(|service, _| routes.service(service).is_some());
             dispatch.tenant_load.retain(|service| routes.service(service).is_some());
--- a/crates/sablebay-gateway/src/prepare_call.rs
+++ b/crates/sablebay-gateway/src/prepare_call.rs
@@ -18,7 +18,7 @@
     /// Its request is held back.
     HeldBack,
     /// No connection came about.
-    Unreached,
+    NoConnection,
     /// The replica may not get it any more.
     Withheld(Withheld),
     /// It could not be sent before its deadline.
@@ -26,11 +26,11 @@
 }
 
 /// Waits until a run of a request may begin. Returns the request's lease where it needs that.
-async fn enter<C: CallerProtocol, B: BackendProtocol>(
+async fn await_permit<C: CallerProtocol, B: BackendProtocol>(
     context: &Arc<Context<C, B>>,
     replica: &RoutableReplica,
     request: &ForwardedRequest,
-    wanted: LeaseRequest,
+    lease_request: LeaseRequest,
 ) -> Result<Option<RunLease<C, B>>, Unsent> {
     loop {
         match context.permit_run(request, &replica.replica.service) {
@@ -38,7 +38,7 @@
             RunPermit::Refused { .. } => return Err(Unsent::HeldBack),
             RunPermit::NeedsLease => {}
         }
-        match acquire_lease(context, context.digest_of(request), wanted).await {
+        match acquire_lease(context, context.digest_of(request), lease_request).await {
             LeaseAnswer::Granted(run_lease) => return Ok(Some(run_lease)),
             LeaseAnswer::Taken => context.node.quarantine.wait().await,
             LeaseAnswer::Unreached => return Err(Unsent::HeldBack),
@@ -52,11 +52,11 @@
     connections: &ReplicaConnections,
     replica: &RoutableReplica,
     request: &ForwardedRequest,
-    wanted: LeaseRequest,
+    lease_request: LeaseRequest,
 ) -> Result<(Lease, Option<RunLease<C, B>>), Unsent> {
     loop {
-        let run_lease = enter(context, replica, request, wanted).await?;
-        let lease = connections.lease().await.ok_or(Unsent::Unreached)?;
+        let run_lease = await_permit(context, replica, request, lease_request).await?;
+        let lease = connections.lease().await.ok_or(Unsent::NoConnection)?;
         // A back end may have ended under the request meanwhile.
         let may_begin = match context.permit_run(request, &replica.replica.service) {
             RunPermit::Free => true,
@@ -76,7 +76,7 @@
 }
 
 /// Notes that nothing of a call was sent. Returns how it failed.
-pub fn note_unsent<C: CallerProtocol, B: BackendProtocol>(
+pub fn record_unsent<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     replica: &RoutableReplica,
     key: CallKey,
@@ -89,15 +89,15 @@
             context.dispatch.lock().table.forget(id, key);
             return CallFailure::HeldBack;
         }
-        Unsent::Unreached => context.dispatch.lock().table.failed(id, key, context.clock().now()),
+        Unsent::NoConnection => context.dispatch.lock().table.failed(id, key, context.clock().now()),
         Unsent::Late => context.dispatch.lock().table.forget(id, key),
-        Unsent::Withheld(why) => note_withheld(context, replica, key, request, why),
+        Unsent::Withheld(why) => log_withheld(context, replica, key, request, why),
     }
     CallFailure::NoConnection
 }
 
 /// Notes that a call was given up before anything of it was sent.
-fn note_withheld<C: CallerProtocol, B: BackendProtocol>(
+fn log_withheld<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     replica: &RoutableReplica,
     key: CallKey,
--- a/crates/sablebay-gateway/src/request_digest.rs
+++ b/crates/sablebay-gateway/src/request_digest.rs
@@ -22,8 +22,8 @@
     pub fn new(fleet: &FleetName, secret: Option<&str>) -> Self {
         let mut keyed = Hmac::<Sha256>::new_from_slice(secret.unwrap_or_default().as_bytes())
             .expect("a keyed hash takes a key of any length");
-        put(&mut keyed, b"request digest");
-        put(&mut keyed, fleet.as_str().as_bytes());
+        update_with_part(&mut keyed, b"request digest");
+        update_with_part(&mut keyed, fleet.as_str().as_bytes());
         Self { keyed }
     }
 
@@ -34,17 +34,17 @@
         caller_headers: impl IntoIterator<Item = &'a str>,
     ) -> RequestDigest {
         let mut hash = self.keyed.clone();
-        put(&mut hash, request.method.as_str().as_bytes());
+        update_with_part(&mut hash, request.method.as_str().as_bytes());
         let host = request.headers.get(header::HOST).map_or(&b""[..], |host| host.as_bytes());
-        put(&mut hash, &host.to_ascii_lowercase());
-        put(&mut hash, request.uri.to_string().as_bytes());
+        update_with_part(&mut hash, &host.to_ascii_lowercase());
+        update_with_part(&mut hash, request.uri.to_string().as_bytes());
         for name in caller_headers {
             for value in request.headers.get_all(name) {
-                put(&mut hash, name.as_bytes());
-                put(&mut hash, value.as_bytes());
+                update_with_part(&mut hash, name.as_bytes());
+                update_with_part(&mut hash, value.as_bytes());
             }
         }
-        put(&mut hash, &request.body);
+        update_with_part(&mut hash, &request.body);
         let mut digest = [0; DIGEST_BYTES];
         digest.copy_from_slice(&hash.finalize().into_bytes()[..DIGEST_BYTES]);
         RequestDigest(digest)
@@ -52,7 +52,7 @@
 }
 
 /// Adds a part with its length, so that no two lists of parts look alike.
-fn put(hash: &mut Hmac<Sha256>, part: &[u8]) {
+fn update_with_part(hash: &mut Hmac<Sha256>, part: &[u8]) {
     hash.update(&(part.len() as u64).to_be_bytes());
     hash.update(part);
 }
--- a/crates/sablebay-gateway/src/request_log.rs
+++ b/crates/sablebay-gateway/src/request_log.rs
@@ -30,7 +30,7 @@
     /// The queues at its shards when it came in.
     pub crowding: Crowding,
     /// How its tenant stood when it asked to be let in.
-    pub standing: TenantStanding,
+    pub priority: TenantPriority,
     /// What it asks for, where that is wanted for its line.
     pub digest: Option<RequestDigest>,
 }
@@ -46,7 +46,7 @@
 
 /// How a request and its tenant stood when it asked to be let in.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TenantStanding {
+pub struct TenantPriority {
     /// How much less urgent it was than the most urgent one for the same services.
     pub rank: u32,
     /// The tenant's part of the work that this node lately saw for these services, from 0 to 1; nothing where nobody
@@ -54,7 +54,7 @@
     pub work_share: Option<f64>,
 }
 
-impl TenantStanding {
+impl TenantPriority {
     /// The part in percent, for a line.
     fn work_percent(&self) -> u32 {
         (self.work_share.unwrap_or_default() * 100.0).round() as u32
@@ -71,7 +71,7 @@
             route: None,
             tenant: None,
             crowding: Crowding::default(),
-            standing: TenantStanding::default(),
+            priority: TenantPriority::default(),
             digest: None,
         }
     }
@@ -129,8 +129,8 @@
         tenant = record.tenant_name(), version = record.version, held_ms = held,
         calls = work.calls, extra_calls = work.extra_calls, gatherers = work.gatherers,
         delegated_shards = work.delegated_shards, failures = failures(work).as_str(),
-        shards = record.crowding.shards, crowded = record.crowding.crowded, rank = record.standing.rank,
-        tenant_work_percent = record.standing.work_percent(),
+        shards = record.crowding.shards, crowded = record.crowding.crowded, rank = record.priority.rank,
+        tenant_work_percent = record.priority.work_percent(),
         catalogue_age_ms = context.catalogue_age().as_millis();
         "gateway: {refusal}: {why}."
     );
--- a/crates/sablebay-gateway/src/tenant_admission.rs
+++ b/crates/sablebay-gateway/src/tenant_admission.rs
@@ -17,7 +17,7 @@
 
 use crate::context::Context;
 use crate::edge::{BackendProtocol, CallerProtocol};
-use crate::request_log::{Crowding, TenantStanding};
+use crate::request_log::{Crowding, TenantPriority};
 
 /// What tenants lately asked for, by the first service of the routes: routes that share it share their back ends.
 #[derive(Debug, Default)]
@@ -74,13 +74,13 @@
 impl<C: CallerProtocol, B: BackendProtocol> Context<C, B> {
     /// Whether a request is run, or refused at once, and how its tenant stood. Requests without a tenant are not
     /// weighed against anybody's.
-    pub fn admission(&self, request: &AdmissionRequest<'_>) -> (Admission, TenantStanding) {
+    pub fn admission(&self, request: &AdmissionRequest<'_>) -> (Admission, TenantPriority) {
         let now = self.clock().now();
         let mut dispatch = self.dispatch.lock();
-        if !dispatch.patience.contains_key(&request.route.name) {
-            dispatch.patience.insert(request.route.name.clone(), TypicalTimeout::default());
+        if !dispatch.typical_timeouts.contains_key(&request.route.name) {
+            dispatch.typical_timeouts.insert(request.route.name.clone(), TypicalTimeout::default());
         }
-        let usual = dispatch.patience.get_mut(&request.route.name).expect("an entry was just added");
+        let usual = dispatch.typical_timeouts.get_mut(&request.route.name).expect("an entry was just added");
         let inputs = AdmissionInputs {
             shards: request.crowding.shards,
             crowded: request.crowding.crowded,
@@ -92,7 +92,7 @@
             dispatch.tenant_load.note(request.route, tenant, now);
         }
         if inputs.crowded == 0 {
-            return (Admission::Admitted, TenantStanding { rank: request.rank, work_share: None });
+            return (Admission::Admitted, TenantPriority { rank: request.rank, work_share: None });
         }
         let demand = request.tenant.map(|tenant| dispatch.tenant_load.demand_of(request.route, tenant));
         drop(dispatch);
@@ -100,13 +100,13 @@
             Some(demand) => admit_fairly(&inputs, demand, rand::random(), rand::random()),
             None => admit(&inputs, rand::random(), rand::random()),
         };
-        let standing =
-            TenantStanding { rank: request.rank, work_share: demand.as_ref().map(TenantDemand::share) };
+        let priority =
+            TenantPriority { rank: request.rank, work_share: demand.as_ref().map(TenantDemand::share) };
         if matches!(admission, Admission::Refused { .. }) {
             let beyond = demand.is_some_and(|demand| demand.exceeds_equal_share());
             self.metrics.refused_for_crowding(request.rank, beyond);
         }
-        (admission, standing)
+        (admission, priority)
     }
 
     /// The tenant that a root wrote into the head of a request.
