--- a/crates/sablebay-gateway/src/call.rs
+++ b/crates/sablebay-gateway/src/call.rs
@@ -1,5 +1,5 @@
-//! One call to one replica: takes a connection, sends, reads the whole answer, and tells the
-//! replica table how it went, also when nobody waits for the answer any more.
+//! One call to one replica: takes a connection, sends the request, reads the whole answer and records the
+//! result in the replica table, even if the call was abandoned.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -22,91 +22,79 @@
 use crate::merge::MergedPart;
 use crate::prepare_call::{Unsent, prepare, record_unsent};
 
-/// The longest answer of a back end.
+/// Maximum size of a back end's answer.
 const MAXIMUM_ANSWER_BYTES: usize = 8 << 20;
 
-/// A caller's request, as it goes to every replica.
+/// A caller's request, as it is sent to every replica.
 #[derive(Debug)]
 pub struct ForwardedRequest {
-    /// The caller's identifier.
+    /// The caller's identifier of this attempt.
     pub id: HeaderValue,
-    /// The method.
     pub method: Method,
-    /// Path and query.
     pub uri: Uri,
-    /// The headers, without those that concern one connection.
+    /// The headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// The body.
     pub body: Bytes,
-    /// The name of its route.
+    /// The name of the route.
     pub route: String,
-    /// When the caller stops waiting.
     pub caller_deadline: Micros,
-    /// What it asks for, once somebody wanted to know.
+    /// The request digest, computed on first use.
     pub digest: OnceLock<RequestDigest>,
 }
 
-/// A call that succeeded.
 #[derive(Debug)]
 pub struct CallSuccess {
-    /// What proves it to the caller.
+    /// Proves to the caller that the back end ran the request.
     pub receipt: HeaderValue,
-    /// The answer.
     pub answer: FullAnswer,
 }
 
-/// How a call ended, for the request that it belongs to.
+/// The result of a call.
 #[derive(Debug)]
 pub enum CallResult {
-    /// With success.
     Success(CallSuccess),
-    /// Without; a back end's own failure comes with its answer.
+    /// A failure, with the back end's answer if it sent one.
     Failure(CallFailure, Option<FullAnswer>),
 }
 
-/// What comes back of a call.
+/// An update on a call or delegation.
 #[derive(Debug)]
 pub enum CallUpdate {
-    /// A call to a replica ended.
     Ended(CallResult),
-    /// A gatherer told how far it is, with what it has merged since.
+    /// A gatherer reported progress, with the records merged since its last report.
     Gathered(GatheredShards, MergedPart),
-    /// A gatherer is of no use.
+    /// A delegation to a gatherer failed.
     GathererFailed(CallFailure),
 }
 
-/// What a call tells its request.
+/// An update on a call, for the request that made the call.
 #[derive(Debug)]
 pub struct CallEvent {
-    /// The call.
     pub call: CallNumber,
-    /// What came back.
     pub update: CallUpdate,
 }
 
-/// One call to be made.
+/// A call to one replica.
 pub struct OutgoingCall {
-    /// Names it in its request.
+    /// Identifies the call within its request.
     pub number: CallNumber,
-    /// Names it among all of this node.
+    /// Identifies the call within this node.
     pub key: CallKey,
-    /// Where to.
     pub replica: RoutableReplica,
-    /// What.
     pub request: Arc<ForwardedRequest>,
-    /// Whether it is a hedge or a retry.
+    /// Whether the call is a hedge or a retry.
     pub extra: bool,
-    /// How long calls of its route usually take.
+    /// Typical duration of calls on this route.
     pub usual: Micros,
-    /// When the answer is no longer wanted.
+    /// When the call times out.
     pub deadline: Micros,
-    /// Ready when nobody waits any more; also when its other end is dropped.
+    /// Resolves when the call is abandoned; also when its sender is dropped.
     pub abandoned: oneshot::Receiver<()>,
-    /// Where the result goes.
+    /// Receives the result.
     pub events: mpsc::UnboundedSender<CallEvent>,
 }
 
-/// Makes a call.
+/// Makes a call and sends its result to the request.
 pub async fn run_call<C: CallerProtocol, B: BackendProtocol>(
     context: Arc<Context<C, B>>,
     call: OutgoingCall,
@@ -120,7 +108,6 @@
     let prepared = tokio::select! {
         prepared = prepare(&context, &connections, &replica, &request, lease_request) => prepared,
         _ = &mut abandoned => {
-            // Nothing was sent.
             context.dispatch.lock().table.forget(&replica.replica.id, key);
             return;
         }
@@ -143,7 +130,7 @@
         _ = &mut abandoned => {
             let now = context.clock().now();
             let grace = match run_lease {
-                // Others wait for word of how this ends.
+                // Other nodes wait for the lease, which is released when this run ends.
                 Some(_) => lease_request.duration,
                 None => context.dispatch.lock().table.abandoned_call_grace(&replica.replica.id, now),
             };
@@ -158,7 +145,7 @@
     let _ = events.send(CallEvent { call: number, update: CallUpdate::Ended(result.0) });
 }
 
-/// Notes what a run says of its request: whether its back end outlived it.
+/// Records in the quarantine whether the back end survived the request.
 async fn record_run<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     connections: &ReplicaConnections,
@@ -195,7 +182,7 @@
     }
 }
 
-/// A back end ended while it had a request.
+/// Records and logs that a back end crashed while it ran a request.
 fn record_crash<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     request: &ForwardedRequest,
@@ -212,7 +199,7 @@
     context.node.quarantine.crashed(digest, &request.route, run, now);
 }
 
-/// Tells the replica table how a call went.
+/// Records the result of a call in the replica table.
 fn record_result<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     replica: &RoutableReplica,
@@ -266,7 +253,7 @@
         read.verdict = AnswerVerdict::Success { receipt: receipt.clone() };
     }
     if matches!(read.verdict, AnswerVerdict::Mismatched { .. }) {
-        // What else comes on this connection cannot be told apart either: it is closed.
+        // Later answers on this connection cannot be matched to requests either, so it is closed.
         return (CallResult::Failure(CallFailure::Mismatched, None), None);
     }
     let Ok(collected) = Limited::new(body, MAXIMUM_ANSWER_BYTES).collect().await else {
@@ -275,7 +262,7 @@
     if let Some(idle) = keep_alive(&head.headers) {
         lease.keep_for(idle);
     }
-    // Where this node has no share, the connection makes room again at once.
+    // A connection beyond this node's share is closed at once to free the slot.
     if replica.beyond_share {
         drop(lease);
     } else {
@@ -301,7 +288,7 @@
     outgoing
 }
 
-/// How long a back end keeps an idle connection, when it says so.
+/// The idle timeout from a `Keep-Alive` header.
 fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let parameters = text.split(',').filter_map(|parameter| parameter.trim().split_once('='));
@@ -310,8 +297,7 @@
     Some(Duration::from_secs(seconds))
 }
 
-/// The headers without those that concern one connection, and without the length, which the
-/// library sets by the body.
+/// Removes hop-by-hop headers, and `Content-Length`, which the HTTP library derives from the body.
 pub fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
     const HOP_BY_HOP: [&str; 9] = [
         "connection",
--- a/crates/sablebay-gateway/src/context.rs
+++ b/crates/sablebay-gateway/src/context.rs
@@ -1,4 +1,4 @@
-//! What the requests of a gateway share.
+//! State shared by all requests of a gateway.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -31,77 +31,67 @@
 use crate::routing_view::RoutingView;
 use crate::tenant_admission::TenantLoad;
 
-/// A life of a node as a witness.
+/// Identifies an incarnation of a node as an observer of back-end crashes.
 fn observer_of(info: &MemberInfo) -> ObserverId {
     ObserverId(xxh3_64(info.key.to_string().as_bytes()))
 }
 
-/// The machines of `sablebay-dispatch`, behind one lock.
+/// The state of `sablebay-dispatch`, behind one lock.
 pub struct Dispatch {
-    /// What is known of the replicas.
     pub table: ReplicaTable,
-    /// The budgets for extra calls.
+    /// Budgets for hedges and retries.
     pub budgets: RetryBudgets,
-    /// Latencies by route.
     pub latencies: HashMap<String, RouteLatency>,
-    /// Splits by route.
+    /// Weighted service selection by route.
     pub splits: HashMap<String, WeightedChoice>,
-    /// What is known of the nodes that gather for this one.
+    /// State of the nodes that gather shards for this node.
     pub gatherers: GathererTable,
-    /// How often requests come in, by the first of their shards.
+    /// Request rates, by the first shard of the request.
     pub arrivals: HashMap<ServiceName, ArrivalRate>,
-    /// How much later than planned answers get ready.
+    /// Delay between the planned and the actual time of partial answers.
     pub answer_lag: AnswerLag,
-    /// How long callers usually wait, by route.
+    /// Typical caller timeouts by route.
     pub typical_timeouts: HashMap<String, TypicalTimeout>,
-    /// What tenants lately asked for.
+    /// Recent load by tenant.
     pub tenant_load: TenantLoad,
 }
 
-/// What the requests of a gateway share.
+/// State shared by all requests of a gateway.
 pub struct Context<C, B> {
-    /// The node that the gateway is a part of.
+    /// The node that runs the gateway.
     pub node: Arc<Shared>,
-    /// What callers speak.
     pub callers: C,
-    /// What back ends speak.
     pub back_ends: B,
-    /// The settings.
     pub settings: ArcSwap<GatewaySettings>,
-    /// Mechanisms that are on.
     pub mechanisms: GatewayMechanisms,
-    /// Routes and replicas.
+    /// The current routes and replicas.
     pub view: ArcSwap<RoutingView>,
-    /// The view whose configuration was replaced last, for the soak that mixes them.
+    /// The previous view. Used only while `pinning` is disabled for fault testing.
     pub replaced: ArcSwap<RoutingView>,
-    /// Decisions.
     pub dispatch: Mutex<Dispatch>,
-    /// Connections by replica.
     pub connections: Mutex<HashMap<ReplicaId, Arc<ReplicaConnections>>>,
-    /// The other nodes.
     pub fleet: Mutex<FleetView>,
-    /// The shards that this node gathers for others.
+    /// The shards that this node gathers for other nodes.
     pub ownership: ArcSwap<Ownership>,
-    /// Nodes that share budgets and connections.
+    /// Number of nodes that share retry budgets and connections.
     pub nodes: AtomicU64,
-    /// This node's position among them.
+    /// This node's position among these nodes.
     pub node_position: AtomicU64,
-    /// Whether the last read of the source failed.
+    /// Whether the last read of the catalogue source failed.
     pub source_fails: AtomicBool,
-    /// Counts and latencies.
     pub metrics: GatewayMetrics,
     next_call: AtomicU64,
-    /// What requests are named under.
+    /// The key for request digests.
     pub digest_key: DigestKey,
-    /// What callers' keys are known by.
+    /// Digests callers' API keys.
     pub keys: KeyDigester,
     observer: ObserverId,
-    /// The requests of tenants that ask for tokens here, and the accounts that this node keeps.
+    /// Pending quota requests, and the accounts that this node owns.
     pub quota: Mutex<QuotaState>,
 }
 
 impl<C: CallerProtocol, B: BackendProtocol> Context<C, B> {
-    /// A context without routes.
+    /// Creates a context without routes.
     pub fn new(
         node: Arc<Shared>,
         callers: C,
@@ -144,22 +134,21 @@
         }
     }
 
-    /// This node as a witness of back ends that end.
+    /// This node's identity as an observer of back-end crashes.
     pub fn observer(&self) -> ObserverId {
         self.observer
     }
 
-    /// The node's clock.
     pub fn clock(&self) -> Clock {
         self.node.clock
     }
 
-    /// A number for one more call.
+    /// Allocates a key for a call, unique within this node.
     pub fn next_call(&self) -> CallKey {
         CallKey(self.next_call.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// What the fleet may send beyond first calls.
+    /// The fleet's allowance for hedges and retries.
     pub fn allowance(&self) -> RetryAllowance {
         let settings = self.settings.load();
         RetryAllowance {
--- a/crates/sablebay-gateway/src/counted_stream.rs
+++ b/crates/sablebay-gateway/src/counted_stream.rs
@@ -1,4 +1,4 @@
-//! A connection to a replica that counts its bytes, by what the call in progress is for.
+//! A TCP stream to a replica that counts its bytes by the kind of the current call.
 
 use std::io;
 use std::pin::Pin;
@@ -11,22 +11,22 @@
 
 use sablebay_node::{TrafficKind, TrafficLedger, TrafficSpan};
 
-/// Where the bytes of one connection are counted.
+/// Traffic counters of one connection.
 #[derive(Debug)]
 pub struct CallTraffic {
     ledger: TrafficLedger,
     span: TrafficSpan,
-    /// Whether the call in progress is a hedge or a retry.
+    /// Whether the current call is a hedge or a retry.
     extra: AtomicBool,
 }
 
 impl CallTraffic {
-    /// Of a connection over `span`.
+    /// Counts the traffic of a connection over `span`.
     pub fn new(ledger: TrafficLedger, span: TrafficSpan) -> Self {
         Self { ledger, span, extra: AtomicBool::new(false) }
     }
 
-    /// The next call on the connection begins.
+    /// Marks the start of a call, which is a hedge or a retry if `extra` is set.
     pub fn begin(&self, extra: bool) {
         self.extra.store(extra, Ordering::Relaxed);
     }
@@ -36,14 +36,13 @@
     }
 }
 
-/// A stream whose bytes are counted.
+/// A TCP stream that counts its bytes.
 pub struct CountedStream {
     stream: TcpStream,
     traffic: Arc<CallTraffic>,
 }
 
 impl CountedStream {
-    /// Counts the bytes of `stream`.
     pub fn new(stream: TcpStream, traffic: Arc<CallTraffic>) -> Self {
         Self { stream, traffic }
     }
--- a/crates/sablebay-gateway/src/delegated.rs
+++ b/crates/sablebay-gateway/src/delegated.rs
@@ -1,4 +1,4 @@
-//! Has another node gather shards: sends it what it needs, and hands its parts on.
+//! Delegates shards to another node, and passes its merged parts on to the request.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,52 +17,49 @@
 use crate::edge::{BackendProtocol, CallerProtocol};
 use crate::merge::MergedPart;
 
-/// The way of a part back to the root: a link between two zones, reading and merging. From the
-/// bench's sites, whose zones are 0.5 to 0.9 ms apart.
+/// Time reserved for sending a part back between zones, reading and merging it.
 const RETURN_LATENCY: Micros = Micros::from_millis(3);
 
-/// When a delegation has to do what.
+/// The time limits of a delegation.
 #[derive(Clone, Copy, Debug)]
 pub struct DelegationTimes {
-    /// The route's target latency; 0 when there is none.
+    /// The route's target latency; 0 if it has none.
     pub target: Micros,
-    /// After how long a node that gave no sign of life is given up.
+    /// The delay after which a gatherer that has not responded is replaced.
     pub gatherer_timeout: Micros,
-    /// When it tells what is in.
+    /// When the gatherer reports the shards answered so far.
     pub report_at: Micros,
-    /// When the request is given up.
+    /// The deadline of the request.
     pub deadline: Micros,
 }
 
-/// One delegation to be made.
+/// A delegation of shards to one node.
 pub struct OutgoingDelegation {
-    /// Names the call in its request.
+    /// Identifies the call within its request.
     pub number: CallNumber,
-    /// Names it among all of this node.
+    /// Identifies the call within this node.
     pub key: CallKey,
-    /// The node and the shards.
+    /// The gatherer and its shards.
     pub delegated: DelegatedShards,
-    /// Where the node listens; none when it has left meanwhile.
+    /// The gatherer's peer address; none if it has left the fleet.
     pub address: Option<SocketAddr>,
-    /// The names of the shards.
+    /// The services of the shards.
     pub shards: Vec<ServiceName>,
-    /// The spare replica of each, where there is one.
+    /// The spare replica of each shard, if any.
     pub spares: Vec<Option<ReplicaId>>,
-    /// Records wanted at the most.
+    /// Maximum number of records.
     pub top: usize,
-    /// Replicas that each shard may be sent to.
+    /// Maximum number of calls per shard.
     pub maximum_attempts: u32,
-    /// What.
     pub request: Arc<ForwardedRequest>,
-    /// When.
     pub times: DelegationTimes,
-    /// Ready when nobody waits any more; also when its other end is dropped.
+    /// Resolves when the delegation is abandoned; also when its sender is dropped.
     pub abandoned: oneshot::Receiver<()>,
-    /// Where what comes back goes.
+    /// Receives the parts, or the failure.
     pub events: mpsc::UnboundedSender<CallEvent>,
 }
 
-/// Makes a delegation.
+/// Makes a delegation, and records its result.
 pub async fn run_delegation<C: CallerProtocol, B: BackendProtocol>(
     context: Arc<Context<C, B>>,
     mut delegation: OutgoingDelegation,
@@ -85,13 +82,13 @@
     let now = context.clock().now();
     context.dispatch.lock().gatherers.failed(&delegation.delegated.gatherer, delegation.key, now);
     context.metrics.delegated("failed");
-    // The request may have ended meanwhile.
+    // Fails if the request has already ended.
     let _ = delegation
         .events
         .send(CallEvent { call: delegation.number, update: CallUpdate::GathererFailed(failure) });
 }
 
-/// Asks, and hands on what comes until the last part.
+/// Sends the delegation and forwards its parts until the last one.
 async fn receive_parts<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     delegation: &OutgoingDelegation,
@@ -176,7 +173,7 @@
     }
 }
 
-/// Its name: nodes of an earlier release know no lives.
+/// The replica's name without its incarnation, which nodes of earlier releases don't know.
 fn spare_text(spare: &Option<ReplicaId>) -> String {
     spare.as_ref().map_or_else(String::new, |spare| spare.name().to_string())
 }
@@ -192,7 +189,7 @@
     context.dispatch.lock().gatherers.reported(gatherer, delegation.key, crowded, now);
 }
 
-/// A part in the positions of the request; nothing when it says what cannot be.
+/// Converts a part to shard positions of the request; `None` if the part is inconsistent.
 fn decode(part: GatheredPart, shards: &[usize], last: bool) -> Option<(GatheredShards, MergedPart)> {
     let positions = |indices: &[u32]| -> Option<Vec<usize>> {
         indices.iter().map(|index| shards.get(*index as usize).copied()).collect()
@@ -212,7 +209,7 @@
     Some((gathered, MergedPart { receipts, records: part.records.into() }))
 }
 
-/// The names of delegated shards.
+/// The services of delegated shards.
 pub fn names_of(gather: &Gather, delegated: &DelegatedShards) -> Vec<ServiceName> {
     delegated.shards.iter().map(|shard| gather.shards[*shard].clone()).collect()
 }
--- a/crates/sablebay-gateway/src/destinations.rs
+++ b/crates/sablebay-gateway/src/destinations.rs
@@ -1,4 +1,4 @@
-//! Where a request goes: its shards, the part of a split, and the nodes that gather for this one.
+//! Resolves a route to its shards, and chooses the nodes that gather them.
 
 use sablebay_catalogue::{Destination, Route, ServiceName, WeightedService};
 use sablebay_dispatch::{DelegatedShards, GathererInputs, ShardTargets, WeightedChoice, choose_gatherers};
@@ -8,7 +8,7 @@
 use crate::routing_view::RoutingView;
 
 impl<C: CallerProtocol, B: BackendProtocol> Context<C, B> {
-    /// The shards that a request on a route goes to: all of a gather, or the drawn part of a split.
+    /// The shards of a request: all shards of a gather route, or one service of a weighted split.
     pub fn targets_of(&self, view: &RoutingView, route: &Route) -> Vec<ShardTargets> {
         match &route.destination {
             Destination::Gather(gather) => {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Which other nodes gather shards of a request that came in now.
+    /// Chooses the nodes that gather shards of a new request, and counts its arrival.
     pub fn delegations(&self, route: &Route, targets: &[ShardTargets]) -> Vec<DelegatedShards> {
         let (Destination::Gather(gather), true) = (&route.destination, self.mechanisms.gathering) else {
             return Vec::new();
@@ -49,7 +49,8 @@
         choose_gatherers(&inputs, &mut rand::rng())
     }
 
-    /// Takes every other shard from the configuration before; for the soak alone.
+    /// Takes every other shard from the previous configuration. Used only while `pinning` is disabled for
+    /// fault testing.
     fn mix_with_replaced(&self, route: &Route, targets: &mut [ShardTargets]) {
         let replaced = self.replaced.load();
         let Some(routes) = replaced.routes.as_ref() else {
--- a/crates/sablebay-gateway/src/driver.rs
+++ b/crates/sablebay-gateway/src/driver.rs
@@ -1,4 +1,4 @@
-//! Runs one request's state machine: performs its actions, feeds it what comes back.
+//! Drives the fan-out state machine of one request: executes its actions and feeds it the results.
 
 use std::sync::Arc;
 
@@ -19,53 +19,48 @@
 use crate::edge::{BackendProtocol, CallerProtocol, FullAnswer};
 use crate::merge::{Part, TakenPart};
 
-/// Events handled in one turn.
+/// Maximum number of events received at once.
 const EVENT_BATCH: usize = 32;
-/// The part of the target latency after which a gatherer without a sign of life is given up. It gives one as
-/// soon as it has asked its replicas, some milliseconds after it was asked itself; from then on there
-/// must be time for another to do the same.
+/// Fraction of the target latency after which a gatherer that has not responded is replaced. A gatherer
+/// reports as soon as it has sent its calls; the replacement needs time to do the same.
 const GATHERER_TIMEOUT_FRACTION: f64 = 0.3;
-/// The target assumed for these of a route that names none.
+/// Target latency of routes that set none, for the gatherer timeout.
 const DEFAULT_TARGET_LATENCY: Micros = Micros::from_millis(500);
 
-/// What one request has come to.
+/// The result of a request.
 pub struct DriverResult {
-    /// How it ended.
     pub outcome: FanoutOutcome,
-    /// The parts that stand.
+    /// The parts that make up the answer.
     pub parts: Vec<TakenPart>,
-    /// The last answer of a back end that failed.
+    /// The last failure answer of a back end.
     pub failed_answer: Option<FullAnswer>,
-    /// When an answer that leaves shards out was planned for.
+    /// When a partial answer was due.
     pub partial_at: Micros,
-    /// What was needed.
     pub work: DriverWork,
 }
 
-/// What one request needed.
+/// Calls made for one request.
 #[derive(Clone, Debug, Default)]
 pub struct DriverWork {
-    /// Calls to replicas of all kinds, of this node.
+    /// Calls from this node to replicas, including hedges and retries.
     pub calls: u32,
-    /// Calls after the first of their shard.
+    /// Hedges and retries.
     pub extra_calls: u32,
-    /// Nodes that were asked to gather shards.
+    /// Delegations to other nodes.
     pub gatherers: u32,
-    /// Shards that they were asked for.
+    /// Shards in these delegations.
     pub delegated_shards: u32,
-    /// The failures of its calls, with the replica or node of each.
+    /// Failed calls, each with its replica or node.
     pub failures: Vec<(String, CallFailure)>,
 }
 
-/// What bounds a request on a route.
+/// The time limits of a request.
 pub struct RequestBounds {
-    /// When it came in.
     pub received_at: Micros,
-    /// When it is given up.
     pub deadline: Micros,
 }
 
-/// What is needed to have other nodes gather shards.
+/// The parameters of delegations of one request.
 #[derive(Clone)]
 pub struct DelegationTerms {
     gather: Gather,
@@ -73,7 +68,7 @@
     times: DelegationTimes,
 }
 
-/// Runs a request to its end. Dropping the future abandons its calls.
+/// Runs a request until its outcome is known. Dropping the future abandons its calls.
 pub async fn drive<C: CallerProtocol, B: BackendProtocol>(
     context: &Arc<Context<C, B>>,
     route: &Route,
@@ -91,7 +86,7 @@
         .with_delegations(delegations);
     let mut run = RunningRequest::start(context, fanout, request, usual, terms);
     run.run_until(Micros::MAX).await;
-    let outcome = run.fanout.outcome().expect("without a limit a request runs to its end");
+    let outcome = run.fanout.outcome().expect("an unlimited run ends with an outcome");
     DriverResult {
         outcome,
         parts: run.take_parts(),
@@ -118,21 +113,19 @@
     Some(DelegationTerms { gather: gather.clone(), maximum_attempts: settings.maximum_attempts, times })
 }
 
-/// When half of the time that a request has is over: a gatherer that has fallen silent by then can still be
-/// replaced.
+/// The midpoint between receipt and deadline: a gatherer that has not reported by then can still be replaced.
 fn midpoint(bounds: &RequestBounds) -> Micros {
     let half = bounds.deadline.since(bounds.received_at).0 / 2;
     bounds.received_at.plus(Micros(half))
 }
 
-/// A part of the time that a request has: its route's target latency, or half of what is left until
-/// it is given up where that is less.
+/// A fraction of the route's target latency, or of half the time until the deadline if that is less.
 fn fraction_of(target: Option<Micros>, bounds: &RequestBounds, fraction: f64) -> Micros {
     let half = bounds.deadline.since(bounds.received_at).0 / 2;
     Micros((target.unwrap_or(DEFAULT_TARGET_LATENCY).0.min(half) as f64 * fraction) as u64)
 }
 
-/// How long the calls of a route usually take, and after how long a silent one is hedged.
+/// The typical duration of calls on a route, and the delay after which a call is hedged.
 pub fn expected_times<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     route: &str,
@@ -182,7 +175,7 @@
     }
 }
 
-/// When an answer that leaves shards out must go, to be with its caller within the target latency.
+/// When a partial answer must be sent to reach its caller within the target latency.
 fn planned_answer<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     received_at: Micros,
@@ -193,7 +186,7 @@
     received_at.plus(target.since(return_latency.plus(lag)))
 }
 
-/// One request being run. Dropping it abandons its calls.
+/// A request in progress. Dropping it abandons its calls.
 pub struct RunningRequest<C: CallerProtocol, B: BackendProtocol> {
     context: Arc<Context<C, B>>,
     fanout: Fanout,
@@ -205,15 +198,15 @@
     receiver: mpsc::UnboundedReceiver<CallEvent>,
     parts: Vec<TakenPart>,
     failed_answer: Option<FullAnswer>,
-    /// By call number: dropping one abandons its call.
+    /// By call number. Dropping a sender abandons its call.
     abandon_senders: Vec<Option<oneshot::Sender<()>>>,
-    /// By call number: the replica or node.
+    /// By call number: the replica or node called.
     call_targets: Vec<String>,
     work: DriverWork,
 }
 
 impl<C: CallerProtocol, B: BackendProtocol> RunningRequest<C, B> {
-    /// Starts a request; calls to its replicas usually take `usual`.
+    /// Starts a request. `usual` is the typical duration of its calls.
     pub fn start(
         context: &Arc<Context<C, B>>,
         fanout: Fanout,
@@ -242,13 +235,13 @@
         run
     }
 
-    /// Runs until the request has ended, and not past `moment`.
+    /// Runs until the request has ended or `moment` is reached.
     pub async fn run_until(&mut self, moment: Micros) {
         let mut events = Vec::with_capacity(EVENT_BATCH);
         while !self.is_finished() && self.context.clock().now() < moment {
             let wake = self.context.clock().instant(self.fanout.next_wake().min(moment));
             let received = self.receiver.recv_many(&mut events, EVENT_BATCH);
-            // Whether anything came or the time ran out shows in what there is.
+            // The result is irrelevant: events and the clock are checked below.
             let _ = tokio::time::timeout_at(wake, received).await;
             for event in events.drain(..) {
                 self.take(event);
@@ -259,22 +252,20 @@
         }
     }
 
-    /// Whether the request has ended.
     pub fn is_finished(&self) -> bool {
         self.fanout.outcome().is_some()
     }
 
-    /// The request's state machine.
     pub fn fanout(&self) -> &Fanout {
         &self.fanout
     }
 
-    /// What was needed so far.
+    /// The calls made so far.
     pub fn work(&self) -> &DriverWork {
         &self.work
     }
 
-    /// Takes the parts that stand; those that others took the place of are dropped.
+    /// Takes the current parts; parts superseded by those of other calls are dropped.
     pub fn take_parts(&mut self) -> Vec<TakenPart> {
         let parts = std::mem::take(&mut self.parts);
         let is_current = |taken: &TakenPart| {
@@ -313,7 +304,7 @@
         }
     }
 
-    /// One step of the machine, and the actions that follow.
+    /// Advances the state machine by one step and executes the resulting actions.
     fn step<T>(&mut self, step: impl FnOnce(&mut Fanout, &mut FanoutContext<'_, SmallRng>) -> T) -> T {
         let mut actions = Vec::new();
         let now = self.context.clock().now();
@@ -348,7 +339,7 @@
         result
     }
 
-    /// Notes a call that is about to be made; what comes back is ready when it is abandoned.
+    /// Registers a call that is about to be made. The returned receiver resolves when the call is abandoned.
     fn open_call(&mut self, call: CallNumber, target: String) -> oneshot::Receiver<()> {
         let (abandon, abandoned) = oneshot::channel();
         debug_assert_eq!(self.abandon_senders.len(), call.0 as usize);
@@ -386,7 +377,7 @@
         spares: Vec<Option<ReplicaId>>,
         now: Micros,
     ) {
-        let terms = self.terms.as_ref().expect("only shards whose records are merged are delegated").clone();
+        let terms = self.terms.as_ref().expect("only gather routes delegate shards").clone();
         let key = self.context.next_call();
         let gatherer_timeout = terms.times.gatherer_timeout;
         self.context.dispatch.lock().gatherers.sent(&delegated.gatherer, key, gatherer_timeout, now);
--- a/crates/sablebay-gateway/src/edge.rs
+++ b/crates/sablebay-gateway/src/edge.rs
@@ -1,6 +1,5 @@
-//! The three edges of the request path, in the product's terms: callers, back ends, and the source
-//! of the catalogue. An adapter implements them with the names and formats of one platform, and
-//! decides nothing.
+//! Protocol traits for callers, back ends and the catalogue source. An adapter implements them for the names
+//! and formats of one platform, and contains no policy.
 
 use std::time::Duration;
 
@@ -16,218 +15,209 @@
 use sablebay_dispatch::LoadHint;
 use sablebay_tenants::{ApiKey, TenantName};
 
-/// What a caller shows to say who it is.
+/// The credential in a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Credential {
-    /// Nothing.
     None,
-    /// A key.
     Key(ApiKey),
-    /// More than one key, or bytes that are none.
+    /// More than one key, or bytes that are not a valid key.
     Malformed,
 }
 
-/// On whose behalf a request runs.
+/// The authenticated identity of a request.
 #[derive(Clone, Copy, Debug)]
 pub enum Identity<'a> {
-    /// The configuration knows no tenants.
+    /// The configuration defines no tenants.
     Untracked,
-    /// Anybody's: its route needs no key.
+    /// The route requires no key.
     Anonymous,
-    /// A tenant's.
     Tenant(&'a TenantName),
 }
 
-/// What the gateway needs to know of a request's head.
+/// The parsed head of a caller's request.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// The caller's identifier of this attempt.
     pub id: HeaderValue,
-    /// How long the caller will wait.
+    /// How long the caller will wait, if stated.
     pub timeout: Option<Duration>,
-    /// Who it says it is.
     pub credential: Credential,
 }
 
-/// Why a request gets no answer of a back end.
+/// Why the gateway refuses a request, or cannot answer it.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Refusal {
-    /// No route serves it.
+    /// No route matches the request.
     #[display("no route")]
     NoRoute,
-    /// It has no identifier.
+    /// The request has no identifier.
     #[display("no identifier")]
     NoIdentifier,
-    /// Its caller shows no key, or one that stands for no tenant.
+    /// The request has no key, or one that belongs to no tenant.
     #[display("unknown caller")]
     UnknownCaller,
-    /// It is beyond its tenant's quota, and did not run.
+    /// The request exceeds its tenant's quota and did not run.
     #[display("over quota")]
     OverQuota {
-        /// When there is quota again.
+        /// Time until quota is available.
         retry_after: Duration,
     },
-    /// Its body is longer than the configuration allows.
+    /// The body exceeds the configured size.
     #[display("body too long")]
     BodyTooLong,
-    /// It did not run, and never will; come back after this time.
+    /// The request did not run and never will; it may be retried.
     #[display("not run")]
     NotRun {
-        /// When to come back.
+        /// Delay before a retry.
         retry_after: Duration,
     },
-    /// It did not run: back ends in a row ended under requests that asked for the same. It is not tried before
-    /// this time has passed.
+    /// The request is quarantined and did not run: consecutive back ends crashed while running the same
+    /// request.
     #[display("held back")]
     HeldBack {
-        /// When it may be tried again.
+        /// Delay before a retry is allowed.
         retry_after: Duration,
     },
-    /// It may have run.
+    /// The request may have run.
     #[display("unknown")]
     Unknown,
-    /// Its time is over; it may have run.
+    /// The deadline has passed; the request may have run.
     #[display("expired")]
     Expired,
 }
 
-/// The whole answer of one back end.
+/// The complete answer of one back end.
 #[derive(Clone, Debug)]
 pub struct FullAnswer {
-    /// Its status.
     pub status: StatusCode,
-    /// Its headers, without those that concern one connection.
+    /// The headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Its body.
     pub body: Bytes,
 }
 
-/// What the answers of all shards were merged to.
+/// The merged answers of the shards of a request.
 #[derive(Clone, Debug)]
 pub struct GatheredAnswer {
-    /// The receipts of the shards that are in.
+    /// The receipts of the shards that answered.
     pub receipts: Vec<HeaderValue>,
-    /// The number of shards left out.
+    /// The number of shards without an answer.
     pub missing: usize,
-    /// The merged records.
     pub body: Bytes,
 }
 
-/// What callers speak.
+/// The protocol between callers and the gateway.
 pub trait CallerProtocol: Send + Sync + 'static {
-    /// Reads the head of a request; nothing when it has no identifier.
+    /// Parses the head of a request; `None` if it has no identifier.
     fn read(&self, headers: &HeaderMap) -> Option<CallerRequest>;
-    /// Puts on whose behalf a request runs into its head, in place of whatever its caller wrote there, and takes
-    /// the caller's key out.
+    /// Sets the identity header, replacing any value sent by the caller, and removes the caller's key.
     fn identify(&self, headers: &mut HeaderMap, identity: Identity<'_>);
-    /// The header in which back ends find on whose behalf a request runs.
+    /// The name of the header that tells back ends the caller's identity.
     fn identity_header(&self) -> HeaderName;
-    /// An answer that one back end gave.
+    /// Builds the response from the answer of one back end.
     fn relayed(&self, answer: FullAnswer) -> Response<Full<Bytes>>;
-    /// An answer that was put together from shards.
+    /// Builds the response from the merged answers of several shards.
     fn gathered(&self, answer: GatheredAnswer) -> Response<Full<Bytes>>;
-    /// An answer of the gateway's own.
+    /// Builds the response for a refusal.
     fn refused(&self, refusal: Refusal) -> Response<Full<Bytes>>;
 }
 
-/// What the head of a back end's answer says.
+/// The outcome stated in the head of a back end's answer.
 #[derive(Clone, Debug)]
 pub enum AnswerVerdict {
-    /// It succeeded; the receipt proves it to the caller.
+    /// The request succeeded.
     Success {
-        /// The receipt.
+        /// Proves to the caller that the request ran.
         receipt: HeaderValue,
     },
-    /// It ran, or may have, and failed.
+    /// The request failed, and ran or may have run.
     Failure,
-    /// It did not run.
+    /// The request did not run.
     NotRun,
-    /// Another replica has the address; it did not run.
+    /// Another replica has taken over the address; the request did not run.
     WrongInstance,
-    /// It is the answer to another request, or names none.
+    /// The answer belongs to another request, or identifies none.
     Mismatched {
-        /// The receipt that it carries, if any.
+        /// The receipt in the answer, if any.
         receipt: Option<HeaderValue>,
     },
 }
 
-/// What the gateway needs to know of an answer's head.
+/// The parsed head of a back end's answer.
 #[derive(Clone, Debug)]
 pub struct BackendAnswer {
-    /// What became of the request.
     pub verdict: AnswerVerdict,
-    /// The back end's load, when it tells it.
+    /// The back end's load, if reported.
     pub load: Option<LoadHint>,
 }
 
-/// What back ends speak.
+/// The protocol between the gateway and back ends.
 pub trait BackendProtocol: Send + Sync + 'static {
-    /// Adds to a request what a replica must be told; `remaining` is how long its answer is wanted.
+    /// Adds the headers for a replica; `remaining` is the time until the deadline.
     fn address_to(&self, request: &mut Request<Full<Bytes>>, replica: &Replica, remaining: Duration);
-    /// Reads the head of an answer to the request `id`.
+    /// Parses the head of an answer to the request `id`.
     fn read(&self, id: &HeaderValue, status: StatusCode, headers: &HeaderMap) -> BackendAnswer;
 }
 
-/// Why the source of the catalogue gave nothing.
+/// Why a read of the catalogue source failed.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum SourceError {
-    /// The changes since the revision asked for are forgotten.
+    /// The source no longer has the changes since the requested revision.
     #[display("history is lost")]
     HistoryLost,
-    /// It has come back from an older copy: what changed since the revision asked for means nothing now.
+    /// The source was restored from an older copy, so changes since the requested revision are invalid.
     #[display("it came back from an older copy")]
     Restored,
-    /// Its answer is of an era that is over: it was on its way for long, or comes from a store that was left behind.
+    /// The answer belongs to an earlier era: it was delayed, or comes from a store that has been replaced.
     #[display("an answer of an earlier era")]
     Outdated,
-    /// It refuses for now.
+    /// The source refuses requests temporarily.
     #[display("refused for now")]
     Busy,
-    /// It does not answer.
+    /// The source does not answer.
     #[display("no answer")]
     Unavailable,
-    /// Its answer cannot be read.
+    /// The answer cannot be parsed.
     #[display("malformed answer")]
     Malformed,
 }
 
-/// Everything that the source holds.
+/// The full contents of the source.
 #[derive(Clone, Debug)]
 pub struct CatalogueListing {
-    /// The configuration; none before the first was published.
+    /// The configuration; none before the first one is published.
     pub configuration: Option<RoutingConfiguration>,
-    /// The replicas and the evacuated zones, and the revision that the listing was begun at.
+    /// The replicas and evacuated zones, with the revision at the start of the listing.
     pub listing: Listing,
-    /// What could not be read and was left out, one sentence each.
+    /// Entries that could not be parsed and were left out, one sentence each.
     pub rejected: Vec<String>,
-    /// Where the configuration lay, and whether it could be read.
+    /// The revision of the configuration, and whether it could be parsed.
     pub revisions: ConfigurationRevisions,
 }
 
-/// What changed after a revision.
+/// The changes after a revision.
 #[derive(Clone, Debug, Default)]
 pub struct CatalogueChanges {
-    /// The configurations that were published, in order.
+    /// The published configurations, in order.
     pub configurations: Vec<RoutingConfiguration>,
     /// Changes of replicas with their revisions, in order.
     pub replicas: Vec<(ReplicaChange, CatalogueRevision)>,
-    /// What the operator said of zones, in order.
+    /// The operator's zone notices, in order.
     pub zones: Vec<ZoneNotice>,
-    /// What could not be read and was left out, one sentence each.
+    /// Entries that could not be parsed and were left out, one sentence each.
     pub rejected: Vec<String>,
-    /// Which configurations among the changes could be read, and could not.
+    /// The revisions of the configurations that could and could not be parsed.
     pub revisions: ConfigurationRevisions,
-    /// Whether there may be further changes at the source that are in no answer yet.
+    /// Whether the source may have further changes that no answer contains yet.
     pub partial: bool,
-    /// The revision to go on from.
+    /// The revision to continue from.
     pub at: CatalogueRevision,
 }
 
-/// Where the catalogue comes from.
+/// The source of the catalogue.
 pub trait CatalogueSource: Send + Sync + 'static {
-    /// Reads everything within `patience`.
+    /// Reads the full contents within `timeout`.
     fn list(&self, timeout: Duration) -> impl Future<Output = Result<CatalogueListing, SourceError>> + Send;
-    /// Waits up to `wait` for changes after a revision; the answer comes within `patience`, and is of the revision's era.
+    /// Waits up to `wait` for changes after a revision. The answer arrives within `timeout`, and belongs to
+    /// the revision's era.
     fn watch(
         &self,
         after: CatalogueRevision,
--- a/crates/sablebay-gateway/src/error.rs
+++ b/crates/sablebay-gateway/src/error.rs
@@ -1,20 +1,17 @@
-//! Errors of this crate.
+//! Errors at the start of a gateway.
 
 use std::net::SocketAddr;
 
 use derive_more::{Display, Error};
 
-/// Why a gateway could not start.
 #[derive(Debug, Display, Error)]
 pub enum GatewayError {
-    /// A listener could not be opened.
+    /// A listener could not be bound.
     #[display("cannot listen on {address} for {purpose}: {source}")]
     Listen {
-        /// The address.
         address: SocketAddr,
-        /// Who connects there.
+        /// What the listener serves.
         purpose: &'static str,
-        /// The system's error.
         source: std::io::Error,
     },
 }
--- a/crates/sablebay-gateway/src/gateway.rs
+++ b/crates/sablebay-gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway: opens its listeners, starts its tasks, and stops as planned.
+//! Starts, reloads and gracefully stops a gateway.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,21 +26,18 @@
 use crate::routing_view::RoutingView;
 use crate::warm_up::warm_up;
 
-/// How long connections that stay silent are kept after the listener has closed.
+/// How long idle connections stay open after the listener has closed.
 const IDLE_GRACE: Duration = Duration::from_millis(700);
 
-/// The addresses that a gateway's listeners got.
+/// The bound addresses of a gateway's listeners.
 #[derive(Clone, Debug, Serialize)]
 pub struct GatewayAddresses {
-    /// For callers.
     pub caller_address: SocketAddr,
-    /// For whoever asks whether the node is ready.
     pub readiness_address: SocketAddr,
 }
 
-/// A running gateway. Dropping it ends its tasks at once; [`Gateway::stop`] is the planned stop.
+/// A running gateway. Dropping it aborts its tasks; [`Gateway::stop`] shuts it down gracefully.
 pub struct Gateway {
-    /// The addresses of its listeners.
     pub addresses: GatewayAddresses,
     settings: GatewaySettings,
     mechanisms: GatewayMechanisms,
@@ -48,11 +45,11 @@
     tasks: Vec<JoinHandle<()>>,
     callers: Option<JoinHandle<()>>,
     phase: watch::Sender<ListenerPhase>,
-    /// Never sends: readiness is answered until the process ends.
+    /// Never changes, so that readiness is answered until the process exits.
     _always_open: watch::Sender<ListenerPhase>,
 }
 
-/// Takes changed settings and seeds into use.
+/// Applies changed settings and seed addresses.
 type Reload = Box<dyn Fn(GatewaySettings, &[SocketAddr]) + Send + Sync>;
 
 impl Drop for Gateway {
@@ -73,7 +70,7 @@
     Ok((listener, bound))
 }
 
-/// What the configuration in force allows a caller's connection.
+/// The limits for callers' connections under the current configuration.
 fn connection_limits(view: &RoutingView) -> ConnectionLimits {
     let configured = view.routes.as_ref().map(|routes| routes.configuration().limits);
     let limits = configured.unwrap_or_default();
@@ -85,10 +82,10 @@
 }
 
 impl Gateway {
-    /// Starts a gateway as a part of a node.
+    /// Starts a gateway within a node.
     ///
     /// # Errors
-    /// When a listener cannot be opened.
+    /// If a listener cannot be bound.
     pub async fn start<C: CallerProtocol, B: BackendProtocol, S: CatalogueSource>(
         node: &Node,
         settings: GatewaySettings,
@@ -104,10 +101,10 @@
             Arc::new(Context::new(node.shared.clone(), callers, back_ends, settings.clone(), mechanisms));
         let gatherer = Arc::new(GatewayGatherer::new(&context));
         if node.shared.gatherer.set(gatherer).is_err() {
-            log::warn!("gateway: another gateway of this node gathers for other nodes already.");
+            log::warn!("gateway: another gateway of this node is already registered as gatherer for peers.");
         }
         if node.shared.account_keeper.set(Arc::new(GatewayAccounts::new(&context))).is_err() {
-            log::warn!("gateway: another gateway of this node keeps accounts already.");
+            log::warn!("gateway: another gateway of this node already owns quota accounts.");
         }
         let traffic = node.shared.peers.traffic();
         node.shared.metrics.extend(|registry| {
@@ -154,15 +151,15 @@
         })
     }
 
-    /// Takes changed settings into use: budgets and margins at once, addresses with the next start.
+    /// Applies changed settings: budgets and margins immediately, addresses at the next start.
     pub fn reload(&self, settings: GatewaySettings, seeds: &[SocketAddr]) {
         (self.reload)(settings, seeds);
     }
 
-    /// The planned stop. The node must already call itself draining: readiness is refused from then
-    /// on, and each answer tells its caller to connect anew. Connections are taken until whoever
-    /// hands them out has noticed; then the listener closes, what is in flight is finished, and
-    /// idle connections are closed. Returns whether nothing was cut.
+    /// Shuts the gateway down gracefully. The node must already be marked as draining, so that readiness
+    /// fails and every response carries `Connection: close`. New connections are accepted during the linger
+    /// period, then the listener closes, in-flight requests finish and idle connections are closed.
+    /// Returns `false` if requests were cut off.
     pub async fn stop(mut self) -> bool {
         let Some(callers) = self.callers.take() else {
             return true;
--- a/crates/sablebay-gateway/src/gatherer.rs
+++ b/crates/sablebay-gateway/src/gatherer.rs
@@ -1,5 +1,5 @@
-//! Gathers shards for another node: one call to one replica of each, hedged and replaced as for
-//! callers of this node, and one merged part back, or two when some shards are late.
+//! Gathers shards for another node, with hedges and retries as for this node's own callers. Reports the
+//! merged records in a single part, or in several if some shards are late.
 
 use std::pin::Pin;
 use std::sync::{Arc, OnceLock, Weak};
@@ -21,14 +21,13 @@
 use crate::request_log;
 use crate::routing_view::RoutingView;
 
-/// Gathers for other nodes by the means of a gateway.
+/// Gathers shards for other nodes through a gateway.
 pub struct GatewayGatherer<C, B> {
-    /// Gone when the gateway has ended.
+    /// Dangles after the gateway has stopped.
     context: Weak<Context<C, B>>,
 }
 
 impl<C, B> GatewayGatherer<C, B> {
-    /// A gatherer of a gateway.
     pub fn new(context: &Arc<Context<C, B>>) -> Self {
         Self { context: Arc::downgrade(context) }
     }
@@ -45,7 +44,7 @@
         Box::pin(async move {
             match context {
                 Some(context) => gather(&context, from, partial, &progress).await,
-                None => refuse(Reason::Stopping, "the gateway has ended"),
+                None => refuse(Reason::Stopping, "the gateway has stopped"),
             }
         })
     }
@@ -55,7 +54,7 @@
     PeerResponse::Refused(Refusal::not_run(reason, message))
 }
 
-/// The moments of a request that is gathered for another node, by this node's clock.
+/// The time limits of a delegated request, by this node's clock.
 #[derive(Clone, Copy, Debug)]
 struct GatherTimes {
     received_at: Micros,
@@ -76,11 +75,11 @@
     let view = context.view.load_full();
     let targets = targets_of(context, &view, &partial);
     if targets.iter().any(|target| target.replicas.is_empty()) {
-        return refuse(Reason::NoReplica, "no replica of some shard is known here");
+        return refuse(Reason::NoReplica, "no replica is known for at least one shard");
     }
     let now = context.clock().now();
     let Some(request) = forwarded(&partial, now) else {
-        return refuse(Reason::BadRequest, "the request cannot be read");
+        return refuse(Reason::BadRequest, "the delegated request is malformed");
     };
     let tenant = context.tenant_of(&request.headers);
     if let Some(tenant) = &tenant {
@@ -98,11 +97,11 @@
     let settings = FanoutSettings {
         repeatability: Repeatability::Repeatable,
         maximum_attempts: partial.maximum_attempts.max(1),
-        // It ends when each shard is in or given up: what is in goes out meanwhile.
+        // The request ends when every shard is answered or closed; reports are sent meanwhile.
         minimum_shards: 0,
         deadline: times.deadline,
         partial_at: times.deadline,
-        // It asks no other node.
+        // A gatherer doesn't delegate further.
         report_at: times.deadline,
         hedge_delay,
         gatherer_timeout: Micros::MAX,
@@ -125,7 +124,8 @@
         run.run_until(times.wanted_at).await;
     }
     if !run.is_finished() {
-        // Also when nothing is in: the root gives up a gatherer that says nothing when the answer is due.
+        // Sent even without answers: the root abandons a gatherer that hasn't reported when the answer is
+        // due.
         progress.send(reported.part(context, &request, &mut run)).await;
         run.run_until(Micros::MAX).await;
     }
@@ -138,8 +138,8 @@
     last
 }
 
-/// The replicas of the shards. Where the root has heard of an evacuation that this node has not, the root's
-/// word counts, for this request and from now on.
+/// The replicas of the shards. Evacuation notices from the root that are new to this node are applied, for
+/// this request and for later ones.
 fn targets_of<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     view: &RoutingView,
@@ -163,7 +163,7 @@
     targets
 }
 
-/// The spare replica of each shard, where there is one, in the life that it has here.
+/// The spare replica of each shard, if any, with its incarnation as known to this node.
 fn spares(partial: &PartialGather, targets: &[ShardTargets]) -> Vec<Option<ReplicaId>> {
     let spare = |(name, targets): (&String, &ShardTargets)| {
         let known = targets.replicas.iter().map(|known| &known.replica.id).find(|id| id.name() == name);
@@ -181,7 +181,7 @@
     targets.iter().filter(|target| dispatch.table.is_crowded(&target.replicas, now)).count()
 }
 
-/// The request as it goes to replicas; nothing when it is none.
+/// The request as it is sent to replicas; `None` if it is malformed.
 fn forwarded(partial: &PartialGather, now: Micros) -> Option<ForwardedRequest> {
     let mut headers = HeaderMap::with_capacity(partial.headers.len());
     for (name, value) in &partial.headers {
@@ -199,7 +199,7 @@
     })
 }
 
-/// What the root was told so far.
+/// What has been reported to the root so far.
 struct GatherProgress {
     top: usize,
     crowded: usize,
@@ -212,7 +212,7 @@
         Self { top, crowded, closed_reported: vec![false; shards], closed: 0 }
     }
 
-    /// What has come in since the last part.
+    /// Builds a report of the shards answered and closed since the last one.
     fn part<C: CallerProtocol, B: BackendProtocol>(
         &mut self,
         context: &Context<C, B>,
--- a/crates/sablebay-gateway/src/ingress.rs
+++ b/crates/sablebay-gateway/src/ingress.rs
@@ -1,4 +1,4 @@
-//! Takes requests from callers: finds their route, runs them, and answers.
+//! Accepts requests from callers: authenticates, admits and runs them, and builds the responses.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,20 +26,20 @@
 use crate::start_delay::retry_during_start;
 use crate::tenant_admission::AdmissionRequest;
 
-/// How long a caller is assumed to wait who does not say.
+/// Timeout of a request that states none.
 const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long before a caller's deadline its final answer is on the way.
+/// Time reserved before the caller's deadline for returning the answer.
 const ANSWER_MARGIN: Micros = Micros::from_millis(5);
-/// When to come back while what is known of routes is too old to go by.
+/// Retry delay while the catalogue is too old or unconfirmed.
 const NOT_READY_RETRY: Duration = Duration::from_millis(400);
-/// When to come back after every replica rejected a request.
+/// Retry delay after every replica rejected the request.
 const REJECTED_RETRY: Duration = Duration::from_millis(150);
 
-/// When to come back where no replica takes work: a replica whose entry was lost writes it anew within about
-/// two heartbeats, and an evacuated zone stays so for longer.
+/// Retry delay when no replica is available. A replica whose entry was lost registers again within about
+/// two heartbeats.
 const NO_REPLICA_RETRY: Duration = Duration::from_millis(2_000);
 
-/// Routes of the callers' listener: everything goes through the gateway.
+/// The router of the callers' listener, with a single handler for all paths.
 pub fn caller_routes<C: CallerProtocol, B: BackendProtocol>(context: Arc<Context<C, B>>) -> Router {
     Router::new().fallback(handle::<C, B>).with_state(context)
 }
@@ -48,7 +48,7 @@
     State(context): State<Arc<Context<C, B>>>,
     request: Request,
 ) -> Response {
-    // A planned stop waits for this request; new ones are taken until the listener is closed.
+    // A graceful stop waits for this request; requests are accepted until the listener closes.
     let _in_flight = context.node.lifecycle.hold();
     let mut response = answer(&context, request).await.map(Body::new);
     if context.node.lifecycle.is_draining() {
@@ -81,7 +81,7 @@
     };
     record.version = routes.version();
     let Some(route) = find_route(&routes, &request) else {
-        // A newer configuration may have it: another node serves it by then, or this one does.
+        // A newer configuration may contain the route, so the caller should retry.
         if context.catalogue_is_old() || context.is_behind() {
             let refusal = Refusal::NotRun { retry_after: NOT_READY_RETRY };
             return refuse(context, record, refusal, "no route in an old configuration");
@@ -97,7 +97,7 @@
         }
     };
     record.tenant = identity.tenant().map(|tenant| tenant.name.clone());
-    // Before anything is counted of the request: what is over a quota is neither demand nor crowding.
+    // Precedes all load accounting: requests over quota count neither as demand nor as crowding.
     let token = match context.take_token(identity.tenant()).await {
         Ok(token) => token,
         Err(retry_after) => {
@@ -113,7 +113,7 @@
     served.response
 }
 
-/// What a request goes by from its start to its end.
+/// A request's configuration snapshot, route and caller, fixed for its whole duration.
 struct ResolvedRequest {
     view: Arc<RoutingView>,
     routes: Arc<RouteTable>,
@@ -121,21 +121,21 @@
     identity: Caller,
 }
 
-/// What became of a request.
+/// The response to a request, and whether the request may have run.
 struct Served {
     response: http::Response<Full<Bytes>>,
-    /// Whether a back end may have run it.
+    /// Whether a back end may have run the request.
     may_have_run: bool,
 }
 
 impl Served {
-    /// A refusal before anything was sent.
+    /// A request that was refused before anything was sent.
     fn refused(response: http::Response<Full<Bytes>>) -> Self {
         Self { response, may_have_run: false }
     }
 }
 
-/// Runs a request of a known caller that is within its quota, or refuses it.
+/// Runs an authenticated request that is within its quota, or refuses it.
 async fn serve<C: CallerProtocol, B: BackendProtocol>(
     context: &Arc<Context<C, B>>,
     mut record: RequestRecord,
@@ -181,9 +181,9 @@
     if let Some(retry_after) = context.held_back(&forwarded) {
         record.digest = Some(context.digest_of(&forwarded));
         let refusal = Refusal::HeldBack { retry_after: retry_after.as_duration() };
-        return Served::refused(refuse(context, record, refusal, "back ends in a row ended under it"));
+        return Served::refused(refuse(context, record, refusal, "consecutive back ends crashed on it"));
     }
-    // Nodes that gather would send it to back ends of their own at the same time.
+    // Gatherers would send a suspect request to several back ends at once.
     let delegations = if context.is_suspect(&forwarded) { Vec::new() } else { delegations };
     let forwarded = Arc::new(forwarded);
     let result = drive(context, &route, targets, delegations, forwarded.clone(), bounds).await;
@@ -197,7 +197,7 @@
     Served { response, may_have_run }
 }
 
-/// How many of a request's shards are crowded.
+/// Counts the shards of a request and how many of them are crowded.
 fn crowding<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     targets: &[ShardTargets],
@@ -242,7 +242,7 @@
     context.callers.refused(refusal)
 }
 
-/// Makes the answer out of what a request has come to.
+/// Builds the caller's response from the outcome of a request, and records the outcome.
 fn build_response<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     record: RequestRecord,
@@ -287,7 +287,7 @@
     }
 }
 
-/// Remembers how late an answer got ready that left at its planned moment.
+/// Records how late a partial answer was ready compared with its planned time.
 fn record_answer_lag<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     planned_at: Micros,
--- a/crates/sablebay-gateway/src/lib.rs
+++ b/crates/sablebay-gateway/src/lib.rs
@@ -1,8 +1,8 @@
 //! Forwards requests to one replica of each of their shards.
 //!
-//! This is the shell: it owns sockets, tasks and clocks, and does what `sablebay-dispatch` and
-//! `sablebay-catalogue` decide. What callers, back ends and the source of the catalogue speak is
-//! behind the traits in [`edge`].
+//! This crate owns the sockets, tasks and clocks, and carries out the decisions of `sablebay-dispatch`
+//! and `sablebay-catalogue`. The protocols of callers, back ends and the catalogue source are behind
+//! the traits in [`edge`].
 
 mod authentication;
 mod call;
--- a/crates/sablebay-gateway/src/mechanisms.rs
+++ b/crates/sablebay-gateway/src/mechanisms.rs
@@ -1,41 +1,43 @@
-//! Mechanisms that the soak can turn off, to show that its checker notices.
+//! Safety mechanisms that fault-injection runs can disable, to verify that the checker detects their absence.
 
-/// Which mechanisms are on.
+/// The enabled mechanisms.
 #[derive(Clone, Copy, Debug)]
 pub struct GatewayMechanisms {
-    /// Turning away answers to other requests. Off: they are taken.
+    /// Rejects back-end answers to other requests. Off: they are accepted.
     pub correlation: bool,
-    /// Saying how many shards are left out. Off: none, always.
+    /// Reports the number of missing shards. Off: always reports 0.
     pub coverage: bool,
-    /// Never repeating what may not be repeated. Off: everything may.
+    /// Enforces at-most-once routes. Off: every request may be repeated.
     pub at_most_once: bool,
-    /// Saying "not run" only when that is known. Off: it is said of every failure.
+    /// Reports "not run" only if no back end can have run the request. Off: reports it for every failure with
+    /// an unknown outcome.
     pub not_run: bool,
-    /// Giving leaving replicas no work. Off: they get it like others.
+    /// Excludes leaving replicas from new work. Off: they are used like others.
     pub leaving: bool,
-    /// Giving replicas of evacuated zones no work. Off: they get it like others.
+    /// Excludes replicas in evacuated zones from new work. Off: they are used like others.
     pub evacuation: bool,
-    /// Taking all shards of an answer from one configuration. Off: every other one from the one
-    /// before.
+    /// Takes all shards of a request from one configuration. Off: every other shard comes from the previous
+    /// configuration.
     pub pinning: bool,
-    /// Taking new configurations into force. Off: the first one stays.
+    /// Applies new configurations. Off: the first one stays in force.
     pub configuration: bool,
-    /// Finishing what is in flight at a planned stop. Off: it is cut.
+    /// Finishes in-flight requests on a graceful stop. Off: they are aborted.
     pub planned_stop: bool,
-    /// Holding back requests that back ends end under. Off: they are sent like others.
+    /// Quarantines requests that crash back ends. Off: they are sent like others.
     pub quarantine: bool,
-    /// Running requests by their callers' keys. Off: whoever calls passes for the first tenant.
+    /// Authenticates callers by API key. Off: every caller is taken for the first tenant.
     pub authentication: bool,
-    /// Saying to back ends who calls. Off: they get what the caller says.
+    /// Sets the identity header for back ends. Off: the caller's own header is forwarded.
     pub identity: bool,
-    /// Running nothing by a configuration that is too old. Off: its age is not looked at.
+    /// Rejects requests when the configuration is too old to authenticate callers. Off: its age is ignored.
     pub revocation: bool,
-    /// Refusing what is over a tenant's quota. Off: it is sent like others.
+    /// Enforces tenants' quotas. Off: requests over quota are sent like others.
     pub quota: bool,
-    /// Keeping what was known when the source comes back from an older copy. Off: the copy's word is taken at once.
+    /// Retains known entries when the catalogue source was restored from an older copy. Off: the copy
+    /// replaces them at once.
     pub returns: bool,
-    /// Having other nodes gather shards. Off: each node calls every replica itself; no promise
-    /// depends on it, and the soak does not break it.
+    /// Delegates shards to other nodes. Off: each node calls every replica itself. This is an optimization
+    /// only, so it has no name in [`Self::NAMES`].
     pub gathering: bool,
 }
 
@@ -63,7 +65,7 @@
 }
 
 impl GatewayMechanisms {
-    /// The names of the mechanisms.
+    /// The mechanisms that can be disabled by name.
     pub const NAMES: [&'static str; 15] = [
         "correlation",
         "coverage",
@@ -82,7 +84,7 @@
         "returns",
     ];
 
-    /// All but the one named; nothing when there is none of that name.
+    /// All mechanisms except the named one; `None` if the name is unknown.
     pub fn without(name: &str) -> Option<Self> {
         let mut mechanisms = Self::default();
         let mechanism = match name {
--- a/crates/sablebay-gateway/src/merge.rs
+++ b/crates/sablebay-gateway/src/merge.rs
@@ -1,4 +1,4 @@
-//! Makes the caller's answer out of the answers of back ends.
+//! Merges the answers of back ends into the caller's response.
 
 use bytes::Bytes;
 use http::{HeaderValue, Response};
@@ -14,33 +14,33 @@
 /// The merged answers of several shards.
 #[derive(Clone, Debug)]
 pub struct MergedPart {
-    /// What proves the answers to the caller, by shard.
+    /// The receipts of the answers, by shard.
     pub receipts: Vec<HeaderValue>,
-    /// Their greatest records, greatest first.
+    /// The greatest records, in descending order.
     pub records: Bytes,
 }
 
-/// What answers one shard, or several.
+/// An answer for one or more shards.
 #[derive(Debug)]
 pub enum Part {
     /// The whole answer of one replica.
     Single(CallSuccess),
-    /// What a gatherer merged. It stands for all of its shards, or for none.
+    /// The records merged by a gatherer, used for all of its shards or for none.
     Merged(MergedPart),
 }
 
-/// A part that was taken for some shards.
+/// An accepted part.
 #[derive(Debug)]
 pub struct TakenPart {
-    /// The call that it came from.
+    /// The call that returned the part.
     pub call: CallNumber,
-    /// The shards.
+    /// The shards that the part answers.
     pub shards: Vec<usize>,
-    /// The part.
     pub part: Part,
 }
 
-/// The answer to a request that enough shards answered; `missing` is what its caller is told.
+/// Builds the response to a request that enough shards answered. `missing` is the number of missing shards to
+/// report to the caller.
 pub fn merge<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     route: &Route,
@@ -55,16 +55,16 @@
             context.callers.gathered(GatheredAnswer { receipts, missing, body: records })
         }
         Destination::Services(_) => {
-            let only = parts.pop().expect("an answered request over one shard has its answer");
+            let only = parts.pop().expect("an answered single-shard request has one part");
             match only.part {
                 Part::Single(success) => context.callers.relayed(success.answer),
-                Part::Merged(_) => unreachable!("only shards whose records are merged are delegated"),
+                Part::Merged(_) => unreachable!("only gather routes delegate shards"),
             }
         }
     }
 }
 
-/// The greatest `top` records of all parts, with the receipts of each.
+/// Merges the greatest `top` records of all parts, and collects their receipts.
 pub fn merge_parts(top: usize, parts: Vec<TakenPart>) -> MergedPart {
     let mut records = TopRecords::new(top);
     let mut receipts = Vec::with_capacity(parts.len());
--- a/crates/sablebay-gateway/src/prepare_call.rs
+++ b/crates/sablebay-gateway/src/prepare_call.rs
@@ -1,4 +1,5 @@
-//! What a call waits for before it is sent: that its request may run, a connection, and that its replica may still get it.
+//! Prepares a call: waits for the quarantine's permit and a connection, and checks that the replica still
+//! accepts work.
 
 use std::sync::Arc;
 
@@ -12,20 +13,20 @@
 use crate::quarantine::{LeaseAnswer, RunLease, acquire_lease};
 use crate::routing_view::Withheld;
 
-/// Why nothing of a call was sent.
+/// Why a call was not sent.
 #[derive(Clone, Copy, Debug)]
 pub enum Unsent {
-    /// Its request is held back.
+    /// The request is quarantined, or its lease could not be acquired.
     HeldBack,
-    /// No connection came about.
+    /// No connection could be established.
     NoConnection,
-    /// The replica may not get it any more.
+    /// The replica was excluded after it had been chosen.
     Withheld(Withheld),
-    /// It could not be sent before its deadline.
+    /// The deadline passed first.
     Late,
 }
 
-/// Waits until a run of a request may begin. Returns the request's lease where it needs that.
+/// Waits until a request may run. Returns its lease if it needs one.
 async fn await_permit<C: CallerProtocol, B: BackendProtocol>(
     context: &Arc<Context<C, B>>,
     replica: &RoutableReplica,
@@ -46,7 +47,7 @@
     }
 }
 
-/// Waits until a call may be sent, with a connection to send it on.
+/// Waits until a call may be sent, and returns a connection and the request's lease, if it needs one.
 pub async fn prepare<C: CallerProtocol, B: BackendProtocol>(
     context: &Arc<Context<C, B>>,
     connections: &ReplicaConnections,
@@ -57,7 +58,7 @@
     loop {
         let run_lease = await_permit(context, replica, request, lease_request).await?;
         let lease = connections.lease().await.ok_or(Unsent::NoConnection)?;
-        // A back end may have ended under the request meanwhile.
+        // The request may have been quarantined during the wait for a connection.
         let may_begin = match context.permit_run(request, &replica.replica.service) {
             RunPermit::Free => true,
             RunPermit::NeedsLease => run_lease.is_some(),
@@ -75,7 +76,7 @@
     }
 }
 
-/// Notes that nothing of a call was sent. Returns how it failed.
+/// Records that a call was not sent, and returns the failure.
 pub fn record_unsent<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     replica: &RoutableReplica,
@@ -96,7 +97,7 @@
     CallFailure::NoConnection
 }
 
-/// Notes that a call was given up before anything of it was sent.
+/// Releases the replica's entry for a call that was withheld, and logs the reason.
 fn log_withheld<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     replica: &RoutableReplica,
--- a/crates/sablebay-gateway/src/request_body.rs
+++ b/crates/sablebay-gateway/src/request_body.rs
@@ -1,4 +1,4 @@
-//! Reads the whole body of a caller's request, within its limits of length and time.
+//! Reads the body of a caller's request, with limits on its size and time.
 
 use std::sync::OnceLock;
 use std::time::Duration;
@@ -14,22 +14,23 @@
 use crate::call::{ForwardedRequest, end_to_end_headers};
 use crate::edge::{CallerRequest, Refusal};
 
-/// When to come back with a body that broke off or did not come.
+/// Retry delay after a body was truncated or timed out.
 const BROKEN_BODY_RETRY: Duration = Duration::from_millis(150);
 
-/// Why the body of a request was not read to its end.
+/// Why the body of a request could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFailure {
-    /// It is longer than the configuration allows.
+    /// The body exceeds the configured size.
     TooLong,
-    /// Its connection ended before it did.
+    /// The connection ended before the end of the body.
     BrokenOff,
-    /// It did not come within the request's time.
+    /// The body did not arrive before the deadline.
     TooSlow,
 }
 
 impl BodyFailure {
-    /// What the caller is told. Nothing of the request has gone on: unless it can never be taken, it may come back.
+    /// The refusal for the caller. Nothing was forwarded, so the request may be retried unless its body is
+    /// too long.
     pub fn refusal(self) -> Refusal {
         match self {
             BodyFailure::TooLong => Refusal::BodyTooLong,
@@ -39,20 +40,20 @@
         }
     }
 
-    /// The reason for the log.
+    /// The reason as written to the log.
     pub fn reason(self) -> &'static str {
         match self {
-            BodyFailure::TooLong => "the body is too long",
-            BodyFailure::BrokenOff => "the body was broken off",
-            BodyFailure::TooSlow => "the body did not come within the request's time",
+            BodyFailure::TooLong => "the body exceeds the size limit",
+            BodyFailure::BrokenOff => "the connection ended before the whole body arrived",
+            BodyFailure::TooSlow => "the body did not arrive before the deadline",
         }
     }
 }
 
-/// The request as it goes on, once its whole body is in.
+/// Reads the whole body and returns the request to forward.
 ///
 /// # Errors
-/// Why its body is not.
+/// If the body is too long, truncated or late.
 pub async fn read_request(
     request: Request,
     caller: CallerRequest,
--- a/crates/sablebay-gateway/src/request_digest.rs
+++ b/crates/sablebay-gateway/src/request_digest.rs
@@ -1,6 +1,6 @@
-//! What makes two requests the same: the method, the host, path and query, the headers that tell callers
-//! apart, and the body. What belongs to one attempt alone, such as its identifier and how long it is wanted,
-//! does not count, nor does the order of headers.
+//! Digests requests, to recognize repeated attempts of the same request. A digest covers the method, host,
+//! path and query, the headers that identify the caller, and the body. It excludes other headers, such as the
+//! attempt's identifier and deadline, and the order of headers.
 
 use hmac::{Hmac, Mac};
 use http::header;
@@ -10,15 +10,15 @@
 
 use crate::call::ForwardedRequest;
 
-/// Digests requests under the fleet's key: all nodes agree, and no caller can make up a request whose digest
-/// is another's.
+/// Digests requests with the fleet's key: all nodes compute the same digest, and callers cannot construct
+/// collisions.
 #[derive(Clone)]
 pub struct DigestKey {
     keyed: Hmac<Sha256>,
 }
 
 impl DigestKey {
-    /// The key of a fleet.
+    /// Derives the key from the fleet's name and secret.
     pub fn new(fleet: &FleetName, secret: Option<&str>) -> Self {
         let mut keyed = Hmac::<Sha256>::new_from_slice(secret.unwrap_or_default().as_bytes())
             .expect("a keyed hash takes a key of any length");
@@ -27,7 +27,7 @@
         Self { keyed }
     }
 
-    /// The digest of a request. `caller_headers` names the headers that tell callers apart.
+    /// The digest of a request. `caller_headers` are the headers that identify the caller.
     pub fn digest<'a>(
         &self,
         request: &ForwardedRequest,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Adds a part with its length, so that no two lists of parts look alike.
+/// Hashes a part with its length as prefix, so that different lists of parts cannot collide.
 fn update_with_part(hash: &mut Hmac<Sha256>, part: &[u8]) {
     hash.update(&(part.len() as u64).to_be_bytes());
     hash.update(part);
--- a/crates/sablebay-gateway/src/request_digest_tests.rs
+++ b/crates/sablebay-gateway/src/request_digest_tests.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same, by near misses.
+//! Tests which differences between requests change the digest.
 
 use std::sync::OnceLock;
 
@@ -12,7 +12,6 @@
 
 const CALLER_HEADERS: [&str; 2] = ["authorization", "cookie"];
 
-/// A request with these headers, in this order.
 fn request(
     method: Method,
     uri: &str,
@@ -54,7 +53,7 @@
         [("accept", "text/plain"), ("x-attempt", "2"), ("authorization", "one"), ("host", "DESK.example")];
     let again = request(Method::POST, "/search/1?page=2", &reordered, "flour");
     assert_eq!(digest(&first), digest(&again));
-    assert_eq!(first.digest.get(), None, "nothing is worked out that nobody asks for");
+    assert_eq!(first.digest.get(), None, "the digest is computed only on request");
 }
 
 #[test]
--- a/crates/sablebay-gateway/src/request_log.rs
+++ b/crates/sablebay-gateway/src/request_log.rs
@@ -1,5 +1,4 @@
-//! One log line for each request that was refused, failed or came out incomplete, with what
-//! decided it. Requests that went well are logged at debug level.
+//! Logs refused, failed and partially answered requests, one line each, within a rate limit.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -15,54 +14,51 @@
 use crate::driver::DriverWork;
 use crate::edge::{BackendProtocol, CallerProtocol, CallerRequest, Refusal};
 
-/// What is known of a request when its line is written.
+/// Details of a request for its log line.
 pub struct RequestRecord {
-    /// The caller's identifier.
     pub id: HeaderValue,
-    /// When it came in.
     pub received_at: Micros,
-    /// The configuration that it was routed by; 0 when there was none.
+    /// Version of the configuration that routed the request; 0 if there was none.
     pub version: u64,
-    /// Its route, once found.
+    /// The route, once found.
     pub route: Option<Arc<Route>>,
-    /// Its caller's tenant, where there is one.
+    /// The caller's tenant, if any.
     pub tenant: Option<TenantName>,
-    /// The queues at its shards when it came in.
+    /// Queueing at the request's shards on arrival.
     pub crowding: Crowding,
-    /// How its tenant stood when it asked to be let in.
+    /// The priority used for admission.
     pub priority: TenantPriority,
-    /// What it asks for, where that is wanted for its line.
+    /// The request digest, if the log line needs it.
     pub digest: Option<RequestDigest>,
 }
 
-/// The queues at the shards of a request when it came in.
+/// Queueing at the shards of a request on arrival.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Crowding {
-    /// Shards that it goes to.
+    /// Number of shards of the request.
     pub shards: usize,
-    /// Those at which work queued at every replica.
+    /// Number of shards with queues at every replica.
     pub crowded: usize,
 }
 
-/// How a request and its tenant stood when it asked to be let in.
+/// Priority of a request and load of its tenant at admission.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TenantPriority {
-    /// How much less urgent it was than the most urgent one for the same services.
+    /// Priority rank among requests for the same services; 0 is the most urgent.
     pub rank: u32,
-    /// The tenant's part of the work that this node lately saw for these services, from 0 to 1; nothing where nobody
-    /// was weighed against others.
+    /// The tenant's share of this node's recent work for these services, from 0 to 1; `None` if admission did
+    /// not compare tenants.
     pub work_share: Option<f64>,
 }
 
 impl TenantPriority {
-    /// The part in percent, for a line.
+    /// The work share in percent, for the log.
     fn work_percent(&self) -> u32 {
         (self.work_share.unwrap_or_default() * 100.0).round() as u32
     }
 }
 
 impl RequestRecord {
-    /// Of a request that came in.
     pub fn new(caller: &CallerRequest, received_at: Micros) -> Self {
         Self {
             id: caller.id.clone(),
@@ -93,13 +89,13 @@
     }
 }
 
-/// Failures that one line names at the most.
+/// Maximum number of failures listed in a log line.
 const NAMED_FAILURES: usize = 6;
 
 fn failures(work: &DriverWork) -> String {
     let mut text = String::new();
     for (replica, failure) in work.failures.iter().take(NAMED_FAILURES) {
-        // Writing to a text does not fail.
+        // Writing to a `String` cannot fail.
         let _ = write!(text, "{replica}: {failure}; ");
     }
     if work.failures.len() > NAMED_FAILURES {
@@ -108,7 +104,7 @@
     text
 }
 
-/// A request that was refused or failed.
+/// Logs a request that was refused or failed.
 pub fn refused<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     record: &RequestRecord,
@@ -136,7 +132,7 @@
     );
 }
 
-/// Shards that were gathered for another node, of which some were late or given up.
+/// Logs a delegated request that was late or closed shards without an answer.
 pub fn gathered<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     partial: &PartialGather,
@@ -157,7 +153,7 @@
     );
 }
 
-/// A request that was answered.
+/// Logs a request that was answered without some shards.
 pub fn answered<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     record: &RequestRecord,
--- a/crates/sablebay-gateway/src/routing_view.rs
+++ b/crates/sablebay-gateway/src/routing_view.rs
@@ -1,4 +1,4 @@
-//! The routes and replicas that may get new work at one moment, and whether a chosen replica still may.
+//! A snapshot of the routes and replicas available for new work, and the check before a call is sent.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -12,54 +12,54 @@
 use crate::context::Context;
 use crate::edge::{BackendProtocol, CallerProtocol};
 
-/// The replicas that may get new work, at one moment.
+/// A snapshot of the routes and replicas available for new work.
 #[derive(Debug, Default)]
 pub struct RoutingView {
-    /// The routes; none before a configuration is known.
+    /// The routes; none before the first configuration.
     pub routes: Option<Arc<RouteTable>>,
-    /// The replicas by service; none of an evacuated zone is among them.
+    /// The replicas by service, without those in evacuated zones.
     pub replicas: HashMap<ServiceName, Arc<[RoutableReplica]>>,
-    /// The zones whose replicas get nothing new.
+    /// The evacuated zones, whose replicas get no new work.
     pub evacuated: BTreeSet<ZoneName>,
 }
 
 impl RoutingView {
-    /// The replicas of a service.
+    /// A service with its available replicas.
     pub fn targets(&self, service: &ServiceName) -> ShardTargets {
         let replicas = self.replicas.get(service).cloned().unwrap_or_else(|| Arc::from([]));
         ShardTargets { service: service.clone(), replicas }
     }
 
-    /// A replica as it may get new work now; nothing when it may not.
+    /// The current entry of a replica; `None` if it gets no new work.
     pub fn routable(&self, replica: &RoutableReplica) -> Option<&RoutableReplica> {
         let known = self.replicas.get(&replica.replica.service)?;
         known.iter().find(|known| known.replica.id == replica.replica.id)
     }
 }
 
-/// Why nothing is sent to a replica that was chosen a while ago.
+/// Why a call is not sent to the replica chosen for it.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Withheld {
-    /// The machine was suspended, and the catalogue was not confirmed since.
+    /// The machine was suspended and the catalogue has not been confirmed since.
     #[display("the machine was suspended, and the catalogue is not confirmed since")]
     Unconfirmed,
-    /// Its zone was evacuated meanwhile.
+    /// The replica's zone has been evacuated.
     #[display("its zone is evacuated")]
     Evacuated,
-    /// It is leaving, or its entry is gone.
+    /// The replica is leaving, or its entry was removed.
     #[display("it takes no new work any more")]
     Leaving,
-    /// It is cold, and this node's share of what it bears is used up.
+    /// The replica is cold, and this node's share of its capacity is used up.
     #[display("it is cold")]
     Cold,
 }
 
 impl<C: CallerProtocol, B: BackendProtocol> Context<C, B> {
-    /// Whether a request may be sent now to a replica that was chosen a while ago. Every first call, hedge,
-    /// retry and gathered part asks, after it waited for a connection.
+    /// Checks that a chosen replica still accepts work. Called for every call, including hedges, retries and
+    /// delegated ones, after the wait for a connection.
     ///
     /// # Errors
-    /// Why it may not.
+    /// The reason why the call must not be sent.
     pub fn permit_sending(&self, replica: &RoutableReplica) -> Result<(), Withheld> {
         if !self.is_confirmed() {
             return Err(Withheld::Unconfirmed);
@@ -73,7 +73,7 @@
         if granted { Ok(()) } else { Err(Withheld::Cold) }
     }
 
-    /// Whether this node keeps connections to a replica, by the view in force.
+    /// Whether the current view has this node keep connections to a replica.
     pub fn keeps_connections_to(&self, replica: &RoutableReplica) -> bool {
         self.view.load().routable(replica).is_some_and(|known| !known.beyond_share)
     }
--- a/crates/sablebay-gateway/src/start_delay.rs
+++ b/crates/sablebay-gateway/src/start_delay.rs
@@ -1,17 +1,16 @@
-//! When callers come back to a node that knows no configuration yet.
+//! Retry delays of a node that has no configuration yet.
 
 use std::time::Duration;
 
-/// How long a start takes where the source of the catalogue or another node answers: some ways there and back, and
-/// the reading of the answer on a small machine.
+/// Typical time until a starting node has read a configuration from the source or from a peer.
 const TYPICAL_STARTUP: Duration = Duration::from_millis(150);
-/// When to come back during a usual start.
+/// Retry delay within the typical startup time.
 const TYPICAL_STARTUP_RETRY: Duration = Duration::from_millis(400);
-/// When to come back once a start takes longer: nobody answers, and what nodes and sources are down for is counted in
-/// seconds. A caller that comes back sooner is mostly refused again, and has used up a retry.
+/// Retry delay after the typical startup time. The source and peers are then likely to be down for seconds,
+/// and earlier retries would be refused again.
 const STALLED_STARTUP_RETRY: Duration = Duration::from_millis(1_000);
 
-/// When a caller comes back to a node that knows no configuration after it has run for some time.
+/// The retry delay for requests refused after `uptime` for lack of a configuration.
 pub fn retry_during_start(uptime: Duration) -> Duration {
     if uptime < TYPICAL_STARTUP { TYPICAL_STARTUP_RETRY } else { STALLED_STARTUP_RETRY }
 }
--- a/crates/sablebay-gateway/src/start_delay_tests.rs
+++ b/crates/sablebay-gateway/src/start_delay_tests.rs
@@ -1,4 +1,4 @@
-//! When callers come back to a node that knows no configuration yet.
+//! Tests the retry delays of a node that has no configuration yet.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     assert_eq!(retry, Duration::from_millis(400));
 }
 
-/// All nodes were restarted while the source is down for 0.7 s more: a caller that has one retry is served by it.
+/// Guards against retry delays so short that a caller's only retry is refused during a short source outage.
 #[test]
 fn a_caller_with_one_retry_outlasts_a_source_that_comes_back_within_the_second() {
     let source_is_back_at = Duration::from_millis(850);
