--- a/crates/sablebay-gateway/src/request_body.rs
+++ b/crates/sablebay-gateway/src/request_body.rs
@@ -15,7 +15,7 @@
 use crate::edge::{CallerRequest, Refusal};
 
 /// Retry delay after a body was truncated or timed out.
-const BROKEN_BODY_RETRY: Duration = Duration::from_millis(150);
+const BODY_RETRY: Duration = Duration::from_millis(150);
 
 /// Why the body of a request could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,9 +23,9 @@
     /// The body exceeds the configured size.
     TooLong,
     /// The connection ended before the end of the body.
-    BrokenOff,
+    Truncated,
     /// The body did not arrive before the deadline.
-    TooSlow,
+    TimedOut,
 }
 
 impl BodyFailure {
@@ -34,9 +34,7 @@
     pub fn refusal(self) -> Refusal {
         match self {
             BodyFailure::TooLong => Refusal::BodyTooLong,
-            BodyFailure::BrokenOff | BodyFailure::TooSlow => {
-                Refusal::NotRun { retry_after: BROKEN_BODY_RETRY }
-            }
+            BodyFailure::Truncated | BodyFailure::TimedOut => Refusal::NotRun { retry_after: BODY_RETRY },
         }
     }
 
@@ -44,8 +42,8 @@
     pub fn reason(self) -> &'static str {
         match self {
             BodyFailure::TooLong => "the body exceeds the size limit",
-            BodyFailure::BrokenOff => "the connection ended before the whole body arrived",
-            BodyFailure::TooSlow => "the body did not arrive before the deadline",
+            BodyFailure::Truncated => "the connection ended before the whole body arrived",
+            BodyFailure::TimedOut => "the body did not arrive before the deadline",
         }
     }
 }
@@ -65,9 +63,9 @@
     let (head, body) = request.into_parts();
     let reading = Limited::new(body, limit).collect();
     let body = match tokio::time::timeout_at(body_deadline, reading).await {
-        Err(_) => return Err(BodyFailure::TooSlow),
+        Err(_) => return Err(BodyFailure::TimedOut),
         Ok(Err(error)) if error.is::<LengthLimitError>() => return Err(BodyFailure::TooLong),
-        Ok(Err(_)) => return Err(BodyFailure::BrokenOff),
+        Ok(Err(_)) => return Err(BodyFailure::Truncated),
         Ok(Ok(collected)) => collected.to_bytes(),
     };
     let path = head.uri.path_and_query().expect("the route was found by the path").clone();
