--- a/crates/sablebay-gateway/src/call.rs
+++ b/crates/sablebay-gateway/src/call.rs
@@ -1,5 +1,5 @@
-//! One call to one replica: takes a connection, sends, reads the whole answer, and tells the
-//! replica table how it went, also when nobody waits for the answer any more.
+//! One call to one replica: takes a connection, sends the request, reads the whole answer and records the
+//! result in the replica table, even if the call was abandoned.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -18,109 +18,96 @@
 
 use crate::connections::{Lease, Liveness, ReplicaConnections};
 use crate::context::Context;
-use crate::edge::{AnswerVerdict, BackendProtocol, CallerProtocol, WholeAnswer};
+use crate::edge::{AnswerVerdict, BackendProtocol, CallerProtocol, FullAnswer};
 use crate::merge::MergedPart;
-use crate::prepare_call::{Unsent, note_unsent, prepare};
+use crate::prepare_call::{Unsent, prepare, record_unsent};
 
-/// The longest answer of a back end.
+/// Maximum size of a back end's answer.
 const MAXIMUM_ANSWER_BYTES: usize = 8 << 20;
 
-/// A caller's request, as it goes to every replica.
+/// A caller's request, as it is sent to every replica.
 #[derive(Debug)]
 pub struct ForwardedRequest {
-    /// The caller's identifier.
+    /// The caller's identifier of this attempt.
     pub id: HeaderValue,
-    /// The method.
     pub method: Method,
-    /// Path and query.
     pub uri: Uri,
-    /// The headers, without those that concern one connection.
+    /// The headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// The body.
     pub body: Bytes,
-    /// The name of its route.
+    /// The name of the route.
     pub route: String,
-    /// When the caller stops waiting.
     pub caller_deadline: Micros,
-    /// What it asks for, once somebody wanted to know.
+    /// The request digest, computed on first use.
     pub digest: OnceLock<RequestDigest>,
 }
 
-/// A call that succeeded.
 #[derive(Debug)]
 pub struct CallSuccess {
-    /// What proves it to the caller.
+    /// Proves to the caller that the back end ran the request.
     pub receipt: HeaderValue,
-    /// The answer.
-    pub answer: WholeAnswer,
+    pub answer: FullAnswer,
 }
 
-/// How a call ended, for the request that it belongs to.
+/// The result of a call.
 #[derive(Debug)]
 pub enum CallResult {
-    /// With success.
     Success(CallSuccess),
-    /// Without; a back end's own failure comes with its answer.
-    Failure(CallFailure, Option<WholeAnswer>),
+    /// A failure, with the back end's answer if it sent one.
+    Failure(CallFailure, Option<FullAnswer>),
 }
 
-/// What comes back of a call.
+/// An update on a call or delegation.
 #[derive(Debug)]
-pub enum CallNews {
-    /// A call to a replica ended.
+pub enum CallUpdate {
     Ended(CallResult),
-    /// A gatherer told how far it is, with what it has merged since.
+    /// A gatherer reported progress, with the records merged since its last report.
     Gathered(GatheredShards, MergedPart),
-    /// A gatherer is of no use.
+    /// A delegation to a gatherer failed.
     GathererFailed(CallFailure),
 }
 
-/// What a call tells its request.
+/// An update on a call, for the request that made the call.
 #[derive(Debug)]
 pub struct CallEvent {
-    /// The call.
     pub call: CallNumber,
-    /// What came back.
-    pub news: CallNews,
+    pub update: CallUpdate,
 }
 
-/// One call to be made.
+/// A call to one replica.
 pub struct OutgoingCall {
-    /// Names it in its request.
+    /// Identifies the call within its request.
     pub number: CallNumber,
-    /// Names it among all of this node.
+    /// Identifies the call within this node.
     pub key: CallKey,
-    /// Where to.
     pub replica: RoutableReplica,
-    /// What.
     pub request: Arc<ForwardedRequest>,
-    /// Whether it is a hedge or a retry.
+    /// Whether the call is a hedge or a retry.
     pub extra: bool,
-    /// How long calls of its route usually take.
+    /// Typical duration of calls on this route.
     pub usual: Micros,
-    /// When the answer is no longer wanted.
+    /// When the call times out.
     pub deadline: Micros,
-    /// Ready when nobody waits any more; also when its other end is dropped.
+    /// Resolves when the call is abandoned; also when its sender is dropped.
     pub abandoned: oneshot::Receiver<()>,
-    /// Where the result goes.
+    /// Receives the result.
     pub events: mpsc::UnboundedSender<CallEvent>,
 }
 
-/// Makes a call.
+/// Makes a call and sends its result to the request.
 pub async fn run_call<C: CallerProtocol, B: BackendProtocol>(
     context: Arc<Context<C, B>>,
     call: OutgoingCall,
 ) {
     let connections = context.connections_to(&call.replica);
     let OutgoingCall { number, key, replica, request, extra, usual, deadline, mut abandoned, events } = call;
-    let wanted = LeaseRequest {
+    let lease_request = LeaseRequest {
         run: RunId { node: context.observer(), call: key.0 },
         duration: lease_duration(usual),
     };
     let prepared = tokio::select! {
-        prepared = prepare(&context, &connections, &replica, &request, wanted) => prepared,
+        prepared = prepare(&context, &connections, &replica, &request, lease_request) => prepared,
         _ = &mut abandoned => {
-            // Nothing was sent.
             context.dispatch.lock().table.forget(&replica.replica.id, key);
             return;
         }
@@ -129,9 +116,9 @@
     let (lease, run_lease) = match prepared {
         Ok(prepared) => prepared,
         Err(why) => {
-            let failure = note_unsent(&context, &replica, key, &request, why);
+            let failure = record_unsent(&context, &replica, key, &request, why);
             let unsent = CallResult::Failure(failure, None);
-            let _ = events.send(CallEvent { call: number, news: CallNews::Ended(unsent) });
+            let _ = events.send(CallEvent { call: number, update: CallUpdate::Ended(unsent) });
             return;
         }
     };
@@ -142,24 +129,24 @@
         result = &mut exchange => Some(result),
         _ = &mut abandoned => {
             let now = context.clock().now();
-            let patience = match run_lease {
-                // Others wait for word of how this ends.
-                Some(_) => wanted.duration,
+            let grace = match run_lease {
+                // Other nodes wait for the lease, which is released when this run ends.
+                Some(_) => lease_request.duration,
                 None => context.dispatch.lock().table.abandoned_call_grace(&replica.replica.id, now),
             };
-            tokio::time::timeout(patience.as_duration(), &mut exchange).await.ok()
+            tokio::time::timeout(grace.as_duration(), &mut exchange).await.ok()
         }
         () = tokio::time::sleep_until(context.clock().instant(deadline)) => None,
     };
     let result = finished.unwrap_or((CallResult::Failure(CallFailure::TimedOut, None), None));
-    note_run(&context, &connections, &replica, &request, started_at, &result.0).await;
+    record_run(&context, &connections, &replica, &request, started_at, &result.0).await;
     drop(run_lease);
-    note(&context, &replica, key, &request, &result);
-    let _ = events.send(CallEvent { call: number, news: CallNews::Ended(result.0) });
+    record_result(&context, &replica, key, &request, &result);
+    let _ = events.send(CallEvent { call: number, update: CallUpdate::Ended(result.0) });
 }
 
-/// Notes what a run says of its request: whether its back end outlived it.
-async fn note_run<C: CallerProtocol, B: BackendProtocol>(
+/// Records in the quarantine whether the back end survived the request.
+async fn record_run<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     connections: &ReplicaConnections,
     replica: &RoutableReplica,
@@ -189,14 +176,14 @@
                 known_at: ended_at,
                 is_remote: false,
             };
-            note_crash(context, request, run);
+            record_crash(context, request, run);
         }
         CallResult::Failure(..) => {}
     }
 }
 
-/// A back end ended while it had a request.
-fn note_crash<C: CallerProtocol, B: BackendProtocol>(
+/// Records and logs that a back end crashed while it ran a request.
+fn record_crash<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     request: &ForwardedRequest,
     run: CrashedRun,
@@ -212,8 +199,8 @@
     context.node.quarantine.crashed(digest, &request.route, run, now);
 }
 
-/// Tells the replica table how a call went.
-fn note<C: CallerProtocol, B: BackendProtocol>(
+/// Records the result of a call in the replica table.
+fn record_result<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     replica: &RoutableReplica,
     key: CallKey,
@@ -266,7 +253,7 @@
         read.verdict = AnswerVerdict::Success { receipt: receipt.clone() };
     }
     if matches!(read.verdict, AnswerVerdict::Mismatched { .. }) {
-        // What else comes on this connection cannot be told apart either: it is closed.
+        // Later answers on this connection cannot be matched to requests either, so it is closed.
         return (CallResult::Failure(CallFailure::Mismatched, None), None);
     }
     let Ok(collected) = Limited::new(body, MAXIMUM_ANSWER_BYTES).collect().await else {
@@ -275,14 +262,14 @@
     if let Some(idle) = keep_alive(&head.headers) {
         lease.keep_for(idle);
     }
-    // Where this node has no share, the connection makes room again at once.
+    // A connection beyond this node's share is closed at once to free the slot.
     if replica.beyond_share {
         drop(lease);
     } else {
         connections.give_back(lease);
     }
     let headers = end_to_end_headers(head.headers);
-    let answer = WholeAnswer { status: head.status, headers, body: collected.to_bytes() };
+    let answer = FullAnswer { status: head.status, headers, body: collected.to_bytes() };
     let result = match read.verdict {
         AnswerVerdict::Success { receipt } => CallResult::Success(CallSuccess { receipt, answer }),
         AnswerVerdict::Failure => CallResult::Failure(CallFailure::Failed, Some(answer)),
@@ -301,7 +288,7 @@
     outgoing
 }
 
-/// How long a back end keeps an idle connection, when it says so.
+/// The idle timeout from a `Keep-Alive` header.
 fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let parameters = text.split(',').filter_map(|parameter| parameter.trim().split_once('='));
@@ -310,10 +297,9 @@
     Some(Duration::from_secs(seconds))
 }
 
-/// The headers without those that concern one connection, and without the length, which the
-/// library sets by the body.
+/// Removes hop-by-hop headers, and `Content-Length`, which the HTTP library derives from the body.
 pub fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
-    const OF_ONE_CONNECTION: [&str; 9] = [
+    const HOP_BY_HOP: [&str; 9] = [
         "connection",
         "keep-alive",
         "proxy-authenticate",
@@ -331,7 +317,7 @@
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    for name in OF_ONE_CONNECTION.iter().copied().chain(named.iter().map(String::as_str)) {
+    for name in HOP_BY_HOP.iter().copied().chain(named.iter().map(String::as_str)) {
         headers.remove(name);
     }
     headers.remove(header::CONTENT_LENGTH);
--- a/crates/sablebay-gateway/src/driver.rs
+++ b/crates/sablebay-gateway/src/driver.rs
@@ -1,4 +1,4 @@
-//! Runs one request's state machine: performs its actions, feeds it what comes back.
+//! Drives the fan-out state machine of one request: executes its actions and feeds it the results.
 
 use std::sync::Arc;
 
@@ -13,59 +13,54 @@
 };
 use sablebay_model::Micros;
 
-use crate::call::{CallEvent, CallNews, CallResult, ForwardedRequest, OutgoingCall, run_call};
+use crate::call::{CallEvent, CallResult, CallUpdate, ForwardedRequest, OutgoingCall, run_call};
 use crate::context::Context;
 use crate::delegated::{DelegationTimes, OutgoingDelegation, names_of, run_delegation};
-use crate::edge::{BackendProtocol, CallerProtocol, WholeAnswer};
+use crate::edge::{BackendProtocol, CallerProtocol, FullAnswer};
 use crate::merge::{Part, TakenPart};
 
-/// Events handled in one turn.
-const EVENTS_PER_TURN: usize = 32;
-/// The part of the target latency after which a gatherer without a sign of life is given up. It gives one as
-/// soon as it has asked its replicas, some milliseconds after it was asked itself; from then on there
-/// must be time for another to do the same.
-const RESCUE_PART: f64 = 0.3;
-/// The target assumed for these of a route that names none.
-const ASSUMED_TARGET: Micros = Micros::from_millis(500);
+/// Maximum number of events received at once.
+const EVENT_BATCH: usize = 32;
+/// Fraction of the target latency after which a gatherer that has not responded is replaced. A gatherer
+/// reports as soon as it has sent its calls; the replacement needs time to do the same.
+const GATHERER_TIMEOUT_FRACTION: f64 = 0.3;
+/// Target latency of routes that set none, for the gatherer timeout.
+const DEFAULT_TARGET_LATENCY: Micros = Micros::from_millis(500);
 
-/// What one request has come to.
+/// The result of a request.
 pub struct DriverResult {
-    /// How it ended.
     pub outcome: FanoutOutcome,
-    /// The parts that stand.
+    /// The parts that make up the answer.
     pub parts: Vec<TakenPart>,
-    /// The last answer of a back end that failed.
-    pub failed_answer: Option<WholeAnswer>,
-    /// When an answer that leaves shards out was planned for.
+    /// The last failure answer of a back end.
+    pub failed_answer: Option<FullAnswer>,
+    /// When a partial answer was due.
     pub partial_at: Micros,
-    /// What was needed.
     pub work: DriverWork,
 }
 
-/// What one request needed.
+/// Calls made for one request.
 #[derive(Clone, Debug, Default)]
 pub struct DriverWork {
-    /// Calls to replicas of all kinds, of this node.
+    /// Calls from this node to replicas, including hedges and retries.
     pub calls: u32,
-    /// Calls after the first of their shard.
+    /// Hedges and retries.
     pub extra_calls: u32,
-    /// Nodes that were asked to gather shards.
+    /// Delegations to other nodes.
     pub gatherers: u32,
-    /// Shards that they were asked for.
+    /// Shards in these delegations.
     pub delegated_shards: u32,
-    /// The failures of its calls, with the replica or node of each.
+    /// Failed calls, each with its replica or node.
     pub failures: Vec<(String, CallFailure)>,
 }
 
-/// What bounds a request on a route.
+/// The time limits of a request.
 pub struct RequestBounds {
-    /// When it came in.
     pub received_at: Micros,
-    /// When it is given up.
     pub deadline: Micros,
 }
 
-/// What is needed to have other nodes gather shards.
+/// The parameters of delegations of one request.
 #[derive(Clone)]
 pub struct DelegationTerms {
     gather: Gather,
@@ -73,7 +68,7 @@
     times: DelegationTimes,
 }
 
-/// Runs a request to its end. Dropping the future abandons its calls.
+/// Runs a request until its outcome is known. Dropping the future abandons its calls.
 pub async fn drive<C: CallerProtocol, B: BackendProtocol>(
     context: &Arc<Context<C, B>>,
     route: &Route,
@@ -90,8 +85,8 @@
         .with_tenant(context.tenant_of(&request.headers))
         .with_delegations(delegations);
     let mut run = RunningRequest::start(context, fanout, request, usual, terms);
-    run.until(Micros::MAX).await;
-    let outcome = run.fanout.outcome().expect("without a limit a request runs to its end");
+    run.run_until(Micros::MAX).await;
+    let outcome = run.fanout.outcome().expect("an unlimited run ends with an outcome");
     DriverResult {
         outcome,
         parts: run.take_parts(),
@@ -118,21 +113,19 @@
     Some(DelegationTerms { gather: gather.clone(), maximum_attempts: settings.maximum_attempts, times })
 }
 
-/// When half of the time that a request has is over: a gatherer that has fallen silent by then can still be
-/// replaced.
-fn halfway(bounds: &RequestBounds) -> Micros {
+/// The midpoint between receipt and deadline: a gatherer that has not reported by then can still be replaced.
+fn midpoint(bounds: &RequestBounds) -> Micros {
     let half = bounds.deadline.since(bounds.received_at).0 / 2;
     bounds.received_at.plus(Micros(half))
 }
 
-/// A part of the time that a request has: its route's target latency, or half of what is left until
-/// it is given up where that is less.
-fn part_of(target: Option<Micros>, bounds: &RequestBounds, part: f64) -> Micros {
+/// A fraction of the route's target latency, or of half the time until the deadline if that is less.
+fn fraction_of(target: Option<Micros>, bounds: &RequestBounds, fraction: f64) -> Micros {
     let half = bounds.deadline.since(bounds.received_at).0 / 2;
-    Micros((target.unwrap_or(ASSUMED_TARGET).0.min(half) as f64 * part) as u64)
+    Micros((target.unwrap_or(DEFAULT_TARGET_LATENCY).0.min(half) as f64 * fraction) as u64)
 }
 
-/// How long the calls of a route usually take, and after how long a silent one is hedged.
+/// The typical duration of calls on a route, and the delay after which a call is hedged.
 pub fn expected_times<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     route: &str,
@@ -173,27 +166,27 @@
         minimum_shards,
         deadline: bounds.deadline,
         partial_at,
-        report_at: partial_at.min(halfway(bounds)),
+        report_at: partial_at.min(midpoint(bounds)),
         hedge_delay: match route.repeatability {
             Repeatability::Repeatable => hedge_delay,
             Repeatability::AtMostOnce => Micros::MAX,
         },
-        gatherer_timeout: part_of(target, bounds, RESCUE_PART),
+        gatherer_timeout: fraction_of(target, bounds, GATHERER_TIMEOUT_FRACTION),
     }
 }
 
-/// When an answer that leaves shards out must go, to be with its caller within the target latency.
+/// When a partial answer must be sent to reach its caller within the target latency.
 fn planned_answer<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     received_at: Micros,
     target: Micros,
 ) -> Micros {
-    let way_back = Micros::from_millis(context.settings.load().partial_margin_ms);
+    let return_latency = Micros::from_millis(context.settings.load().partial_margin_ms);
     let lag = context.dispatch.lock().answer_lag.margin(target, context.clock().now());
-    received_at.plus(target.since(way_back.plus(lag)))
+    received_at.plus(target.since(return_latency.plus(lag)))
 }
 
-/// One request being run. Dropping it abandons its calls.
+/// A request in progress. Dropping it abandons its calls.
 pub struct RunningRequest<C: CallerProtocol, B: BackendProtocol> {
     context: Arc<Context<C, B>>,
     fanout: Fanout,
@@ -204,16 +197,16 @@
     events: mpsc::UnboundedSender<CallEvent>,
     receiver: mpsc::UnboundedReceiver<CallEvent>,
     parts: Vec<TakenPart>,
-    failed_answer: Option<WholeAnswer>,
-    /// By call number: dropping one abandons its call.
-    open: Vec<Option<oneshot::Sender<()>>>,
-    /// By call number: the replica or node.
-    called: Vec<String>,
+    failed_answer: Option<FullAnswer>,
+    /// By call number. Dropping a sender abandons its call.
+    abandon_senders: Vec<Option<oneshot::Sender<()>>>,
+    /// By call number: the replica or node called.
+    call_targets: Vec<String>,
     work: DriverWork,
 }
 
 impl<C: CallerProtocol, B: BackendProtocol> RunningRequest<C, B> {
-    /// Starts a request; calls to its replicas usually take `usual`.
+    /// Starts a request. `usual` is the typical duration of its calls.
     pub fn start(
         context: &Arc<Context<C, B>>,
         fanout: Fanout,
@@ -234,21 +227,21 @@
             receiver,
             parts: Vec::with_capacity(shards),
             failed_answer: None,
-            open: Vec::with_capacity(shards),
-            called: Vec::with_capacity(shards),
+            abandon_senders: Vec::with_capacity(shards),
+            call_targets: Vec::with_capacity(shards),
             work: DriverWork::default(),
         };
         run.step(|fanout, fanout_context| fanout.start(fanout_context));
         run
     }
 
-    /// Runs until the request has ended, and not past `moment`.
-    pub async fn until(&mut self, moment: Micros) {
-        let mut events = Vec::with_capacity(EVENTS_PER_TURN);
+    /// Runs until the request has ended or `moment` is reached.
+    pub async fn run_until(&mut self, moment: Micros) {
+        let mut events = Vec::with_capacity(EVENT_BATCH);
         while !self.is_finished() && self.context.clock().now() < moment {
             let wake = self.context.clock().instant(self.fanout.next_wake().min(moment));
-            let received = self.receiver.recv_many(&mut events, EVENTS_PER_TURN);
-            // Whether anything came or the time ran out shows in what there is.
+            let received = self.receiver.recv_many(&mut events, EVENT_BATCH);
+            // The result is irrelevant: events and the clock are checked below.
             let _ = tokio::time::timeout_at(wake, received).await;
             for event in events.drain(..) {
                 self.take(event);
@@ -259,45 +252,43 @@
         }
     }
 
-    /// Whether the request has ended.
     pub fn is_finished(&self) -> bool {
         self.fanout.outcome().is_some()
     }
 
-    /// The request's state machine.
     pub fn fanout(&self) -> &Fanout {
         &self.fanout
     }
 
-    /// What was needed so far.
+    /// The calls made so far.
     pub fn work(&self) -> &DriverWork {
         &self.work
     }
 
-    /// Takes the parts that stand; those that others took the place of are dropped.
+    /// Takes the current parts; parts superseded by those of other calls are dropped.
     pub fn take_parts(&mut self) -> Vec<TakenPart> {
         let parts = std::mem::take(&mut self.parts);
-        let stands = |taken: &TakenPart| {
+        let is_current = |taken: &TakenPart| {
             taken.shards.iter().all(|shard| self.fanout.answered_by(*shard) == Some(taken.call))
         };
-        parts.into_iter().filter(stands).collect()
+        parts.into_iter().filter(is_current).collect()
     }
 
     fn take(&mut self, event: CallEvent) {
         let call = event.call;
-        match event.news {
-            CallNews::Ended(CallResult::Success(success)) => {
+        match event.update {
+            CallUpdate::Ended(CallResult::Success(success)) => {
                 let taken = self.step(|fanout, fanout_context| fanout.on_answer(call, fanout_context));
                 let taken =
                     taken.map(|shard| TakenPart { call, shards: vec![shard], part: Part::Single(success) });
                 self.parts.extend(taken);
             }
-            CallNews::Ended(CallResult::Failure(failure, answer)) => {
-                self.note_failure(call, failure);
+            CallUpdate::Ended(CallResult::Failure(failure, answer)) => {
+                self.record_failure(call, failure);
                 self.failed_answer = answer.or(self.failed_answer.take());
                 self.step(|fanout, fanout_context| fanout.on_failure(call, failure, fanout_context));
             }
-            CallNews::Gathered(gathered, merged) => {
+            CallUpdate::Gathered(gathered, merged) => {
                 if self.step(|fanout, fanout_context| fanout.on_gathered(call, &gathered, fanout_context)) {
                     self.parts.push(TakenPart {
                         call,
@@ -306,14 +297,14 @@
                     });
                 }
             }
-            CallNews::GathererFailed(failure) => {
-                self.note_failure(call, failure);
+            CallUpdate::GathererFailed(failure) => {
+                self.record_failure(call, failure);
                 self.step(|fanout, fanout_context| fanout.on_gatherer_failure(call, failure, fanout_context));
             }
         }
     }
 
-    /// One step of the machine, and the actions that follow.
+    /// Advances the state machine by one step and executes the resulting actions.
     fn step<T>(&mut self, step: impl FnOnce(&mut Fanout, &mut FanoutContext<'_, SmallRng>) -> T) -> T {
         let mut actions = Vec::new();
         let now = self.context.clock().now();
@@ -342,18 +333,18 @@
                 FanoutAction::Delegate { call, delegated, spares } => {
                     self.delegate(call, delegated, spares, now);
                 }
-                FanoutAction::Abandon { call } => self.open[call.0 as usize] = None,
+                FanoutAction::Abandon { call } => self.abandon_senders[call.0 as usize] = None,
             }
         }
         result
     }
 
-    /// Notes a call that is about to be made; what comes back is ready when it is abandoned.
-    fn open_call(&mut self, call: CallNumber, called: String) -> oneshot::Receiver<()> {
+    /// Registers a call that is about to be made. The returned receiver resolves when the call is abandoned.
+    fn open_call(&mut self, call: CallNumber, target: String) -> oneshot::Receiver<()> {
         let (abandon, abandoned) = oneshot::channel();
-        debug_assert_eq!(self.open.len(), call.0 as usize);
-        self.open.push(Some(abandon));
-        self.called.push(called);
+        debug_assert_eq!(self.abandon_senders.len(), call.0 as usize);
+        self.abandon_senders.push(Some(abandon));
+        self.call_targets.push(target);
         abandoned
     }
 
@@ -386,7 +377,7 @@
         spares: Vec<Option<ReplicaId>>,
         now: Micros,
     ) {
-        let terms = self.terms.as_ref().expect("only shards whose records are merged are delegated").clone();
+        let terms = self.terms.as_ref().expect("only gather routes delegate shards").clone();
         let key = self.context.next_call();
         let gatherer_timeout = terms.times.gatherer_timeout;
         self.context.dispatch.lock().gatherers.sent(&delegated.gatherer, key, gatherer_timeout, now);
@@ -410,8 +401,8 @@
         tokio::spawn(run_delegation(self.context.clone(), outgoing));
     }
 
-    fn note_failure(&mut self, call: CallNumber, failure: CallFailure) {
-        let called = self.called.get(call.0 as usize).cloned().unwrap_or_default();
-        self.work.failures.push((called, failure));
+    fn record_failure(&mut self, call: CallNumber, failure: CallFailure) {
+        let target = self.call_targets.get(call.0 as usize).cloned().unwrap_or_default();
+        self.work.failures.push((target, failure));
     }
 }
--- a/crates/sablebay-gateway/src/gatherer.rs
+++ b/crates/sablebay-gateway/src/gatherer.rs
@@ -1,5 +1,5 @@
-//! Gathers shards for another node: one call to one replica of each, hedged and replaced as for
-//! callers of this node, and one merged part back, or two when some shards are late.
+//! Gathers shards for another node, with hedges and retries as for this node's own callers. Reports the
+//! merged records in a single part, or in several if some shards are late.
 
 use std::pin::Pin;
 use std::sync::{Arc, OnceLock, Weak};
@@ -21,14 +21,13 @@
 use crate::request_log;
 use crate::routing_view::RoutingView;
 
-/// Gathers for other nodes by the means of a gateway.
+/// Gathers shards for other nodes through a gateway.
 pub struct GatewayGatherer<C, B> {
-    /// Gone when the gateway has ended.
+    /// Dangles after the gateway has stopped.
     context: Weak<Context<C, B>>,
 }
 
 impl<C, B> GatewayGatherer<C, B> {
-    /// A gatherer of a gateway.
     pub fn new(context: &Arc<Context<C, B>>) -> Self {
         Self { context: Arc::downgrade(context) }
     }
@@ -45,7 +44,7 @@
         Box::pin(async move {
             match context {
                 Some(context) => gather(&context, from, partial, &progress).await,
-                None => refuse(Reason::Stopping, "the gateway has ended"),
+                None => refuse(Reason::Stopping, "the gateway has stopped"),
             }
         })
     }
@@ -55,7 +54,7 @@
     PeerResponse::Refused(Refusal::not_run(reason, message))
 }
 
-/// The moments of a request that is gathered for another node, by this node's clock.
+/// The time limits of a delegated request, by this node's clock.
 #[derive(Clone, Copy, Debug)]
 struct GatherTimes {
     received_at: Micros,
@@ -76,11 +75,11 @@
     let view = context.view.load_full();
     let targets = targets_of(context, &view, &partial);
     if targets.iter().any(|target| target.replicas.is_empty()) {
-        return refuse(Reason::NoReplica, "no replica of some shard is known here");
+        return refuse(Reason::NoReplica, "no replica is known for at least one shard");
     }
     let now = context.clock().now();
     let Some(request) = forwarded(&partial, now) else {
-        return refuse(Reason::BadRequest, "the request cannot be read");
+        return refuse(Reason::BadRequest, "the delegated request is malformed");
     };
     let tenant = context.tenant_of(&request.headers);
     if let Some(tenant) = &tenant {
@@ -98,11 +97,11 @@
     let settings = FanoutSettings {
         repeatability: Repeatability::Repeatable,
         maximum_attempts: partial.maximum_attempts.max(1),
-        // It ends when each shard is in or given up: what is in goes out meanwhile.
+        // The request ends when every shard is answered or closed; reports are sent meanwhile.
         minimum_shards: 0,
         deadline: times.deadline,
         partial_at: times.deadline,
-        // It asks no other node.
+        // A gatherer doesn't delegate further.
         report_at: times.deadline,
         hedge_delay,
         gatherer_timeout: Micros::MAX,
@@ -118,28 +117,29 @@
     }
     let request = Arc::new(request);
     let mut run = RunningRequest::start(context, fanout, request.clone(), usual, None);
-    let mut told = Told::new(partial.shards.len(), partial.top as usize, crowded);
-    run.until(times.progress_at).await;
+    let mut reported = GatherProgress::new(partial.shards.len(), partial.top as usize, crowded);
+    run.run_until(times.progress_at).await;
     if !run.is_finished() {
-        progress.send(told.part(context, &request, &mut run)).await;
-        run.until(times.wanted_at).await;
+        progress.send(reported.part(context, &request, &mut run)).await;
+        run.run_until(times.wanted_at).await;
     }
     if !run.is_finished() {
-        // Also when nothing is in: the root gives up a gatherer that says nothing when the answer is due.
-        progress.send(told.part(context, &request, &mut run)).await;
-        run.until(Micros::MAX).await;
+        // Sent even without answers: the root abandons a gatherer that hasn't reported when the answer is
+        // due.
+        progress.send(reported.part(context, &request, &mut run)).await;
+        run.run_until(Micros::MAX).await;
     }
-    let last = told.part(context, &request, &mut run);
+    let last = reported.part(context, &request, &mut run);
     context.metrics.work(run.work());
-    if told.closed > 0 || context.clock().now() > times.wanted_at {
+    if reported.closed > 0 || context.clock().now() > times.wanted_at {
         let held = context.clock().now().since(times.received_at);
-        request_log::gathered(context, &partial, from.node.as_str(), told.closed, held, run.work());
+        request_log::gathered(context, &partial, from.node.as_str(), reported.closed, held, run.work());
     }
     last
 }
 
-/// The replicas of the shards. Where the root has heard of an evacuation that this node has not, the root's
-/// word counts, for this request and from now on.
+/// The replicas of the shards. Evacuation notices from the root that are new to this node are applied, for
+/// this request and for later ones.
 fn targets_of<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     view: &RoutingView,
@@ -147,23 +147,23 @@
 ) -> Vec<ShardTargets> {
     let mut targets: Vec<ShardTargets> = partial.shards.iter().map(|shard| view.targets(shard)).collect();
     let now = context.clock().now();
-    let hear = |view: &mut CatalogueView| {
+    let apply_notices = |view: &mut CatalogueView| {
         let changes = partial.zones.iter().filter(|notice| view.apply_notice(notice, now));
         changes.count() > 0
     };
-    if partial.zones.is_empty() || !context.node.catalogue.update(hear) {
+    if partial.zones.is_empty() || !context.node.catalogue.update(apply_notices) {
         return targets;
     }
     context.node.catalogue.read(|known| {
         for target in &mut targets {
-            let takes_work = |replica: &&RoutableReplica| !known.is_evacuated(&replica.replica.zone);
-            target.replicas = target.replicas.iter().filter(takes_work).cloned().collect();
+            let is_available = |replica: &&RoutableReplica| !known.is_evacuated(&replica.replica.zone);
+            target.replicas = target.replicas.iter().filter(is_available).cloned().collect();
         }
     });
     targets
 }
 
-/// The spare replica of each shard, where there is one, in the life that it has here.
+/// The spare replica of each shard, if any, with its incarnation as known to this node.
 fn spares(partial: &PartialGather, targets: &[ShardTargets]) -> Vec<Option<ReplicaId>> {
     let spare = |(name, targets): (&String, &ShardTargets)| {
         let known = targets.replicas.iter().map(|known| &known.replica.id).find(|id| id.name() == name);
@@ -181,7 +181,7 @@
     targets.iter().filter(|target| dispatch.table.is_crowded(&target.replicas, now)).count()
 }
 
-/// The request as it goes to replicas; nothing when it is none.
+/// The request as it is sent to replicas; `None` if it is malformed.
 fn forwarded(partial: &PartialGather, now: Micros) -> Option<ForwardedRequest> {
     let mut headers = HeaderMap::with_capacity(partial.headers.len());
     for (name, value) in &partial.headers {
@@ -199,20 +199,20 @@
     })
 }
 
-/// What the root was told so far.
-struct Told {
+/// What has been reported to the root so far.
+struct GatherProgress {
     top: usize,
     crowded: usize,
-    closed_told: Vec<bool>,
+    closed_reported: Vec<bool>,
     closed: usize,
 }
 
-impl Told {
+impl GatherProgress {
     fn new(shards: usize, top: usize, crowded: usize) -> Self {
-        Self { top, crowded, closed_told: vec![false; shards], closed: 0 }
+        Self { top, crowded, closed_reported: vec![false; shards], closed: 0 }
     }
 
-    /// What has come in since the last part.
+    /// Builds a report of the shards answered and closed since the last one.
     fn part<C: CallerProtocol, B: BackendProtocol>(
         &mut self,
         context: &Context<C, B>,
@@ -226,9 +226,9 @@
         let merged = merge_parts(self.top, parts);
         let mut closed = Vec::new();
         let mut retried = Vec::new();
-        for (shard, told) in self.closed_told.iter_mut().enumerate() {
-            if run.fanout().is_closed(shard) && !*told {
-                *told = true;
+        for (shard, reported) in self.closed_reported.iter_mut().enumerate() {
+            if run.fanout().is_closed(shard) && !*reported {
+                *reported = true;
                 closed.push(shard as u32);
             }
             if run.fanout().attempts(shard) > 1 {
--- a/crates/sablebay-gateway/src/ingress.rs
+++ b/crates/sablebay-gateway/src/ingress.rs
@@ -1,4 +1,4 @@
-//! Takes requests from callers: finds their route, runs them, and answers.
+//! Accepts requests from callers: authenticates, admits and runs them, and builds the responses.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,20 +26,20 @@
 use crate::start_delay::retry_during_start;
 use crate::tenant_admission::AdmissionRequest;
 
-/// How long a caller is assumed to wait who does not say.
-const ASSUMED_PATIENCE: Duration = Duration::from_secs(10);
-/// How long before a caller's deadline its final answer is on the way.
+/// Timeout of a request that states none.
+const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time reserved before the caller's deadline for returning the answer.
 const ANSWER_MARGIN: Micros = Micros::from_millis(5);
-/// When to come back while what is known of routes is too old to go by.
-const UNPREPARED_RETRY: Duration = Duration::from_millis(400);
-/// When to come back after every replica rejected a request.
+/// Retry delay while the catalogue is too old or unconfirmed.
+const NOT_READY_RETRY: Duration = Duration::from_millis(400);
+/// Retry delay after every replica rejected the request.
 const REJECTED_RETRY: Duration = Duration::from_millis(150);
 
-/// When to come back where no replica takes work: a replica whose entry was lost writes it anew within about
-/// two heartbeats, and an evacuated zone stays so for longer.
+/// Retry delay when no replica is available. A replica whose entry was lost registers again within about
+/// two heartbeats.
 const NO_REPLICA_RETRY: Duration = Duration::from_millis(2_000);
 
-/// Routes of the callers' listener: everything goes through the gateway.
+/// The router of the callers' listener, with a single handler for all paths.
 pub fn caller_routes<C: CallerProtocol, B: BackendProtocol>(context: Arc<Context<C, B>>) -> Router {
     Router::new().fallback(handle::<C, B>).with_state(context)
 }
@@ -48,7 +48,7 @@
     State(context): State<Arc<Context<C, B>>>,
     request: Request,
 ) -> Response {
-    // A planned stop waits for this request; new ones are taken until the listener is closed.
+    // A graceful stop waits for this request; requests are accepted until the listener closes.
     let _in_flight = context.node.lifecycle.hold();
     let mut response = answer(&context, request).await.map(Body::new);
     if context.node.lifecycle.is_draining() {
@@ -67,7 +67,7 @@
     };
     let mut record = RequestRecord::new(&caller, received_at);
     if !context.is_confirmed() {
-        let refusal = Refusal::NotRun { retry_after: UNPREPARED_RETRY };
+        let refusal = Refusal::NotRun { retry_after: NOT_READY_RETRY };
         return refuse(context, record, refusal, "the machine was suspended");
     }
     let view = context.view.load_full();
@@ -81,9 +81,9 @@
     };
     record.version = routes.version();
     let Some(route) = find_route(&routes, &request) else {
-        // A newer configuration may have it: another node serves it by then, or this one does.
+        // A newer configuration may contain the route, so the caller should retry.
         if context.catalogue_is_old() || context.is_behind() {
-            let refusal = Refusal::NotRun { retry_after: UNPREPARED_RETRY };
+            let refusal = Refusal::NotRun { retry_after: NOT_READY_RETRY };
             return refuse(context, record, refusal, "no route in an old configuration");
         }
         return refuse(context, record, Refusal::NoRoute, "no route");
@@ -97,7 +97,7 @@
         }
     };
     record.tenant = identity.tenant().map(|tenant| tenant.name.clone());
-    // Before anything is counted of the request: what is over a quota is neither demand nor crowding.
+    // Precedes all load accounting: requests over quota count neither as demand nor as crowding.
     let token = match context.take_token(identity.tenant()).await {
         Ok(token) => token,
         Err(retry_after) => {
@@ -113,7 +113,7 @@
     served.response
 }
 
-/// What a request goes by from its start to its end.
+/// A request's configuration snapshot, route and caller, fixed for its whole duration.
 struct ResolvedRequest {
     view: Arc<RoutingView>,
     routes: Arc<RouteTable>,
@@ -121,21 +121,21 @@
     identity: Caller,
 }
 
-/// What became of a request.
+/// The response to a request, and whether the request may have run.
 struct Served {
     response: http::Response<Full<Bytes>>,
-    /// Whether a back end may have run it.
+    /// Whether a back end may have run the request.
     may_have_run: bool,
 }
 
 impl Served {
-    /// A refusal before anything was sent.
+    /// A request that was refused before anything was sent.
     fn refused(response: http::Response<Full<Bytes>>) -> Self {
         Self { response, may_have_run: false }
     }
 }
 
-/// Runs a request of a known caller that is within its quota, or refuses it.
+/// Runs an authenticated request that is within its quota, or refuses it.
 async fn serve<C: CallerProtocol, B: BackendProtocol>(
     context: &Arc<Context<C, B>>,
     mut record: RequestRecord,
@@ -147,23 +147,23 @@
     let targets = context.targets_of(&view, &route);
     let delegations = context.delegations(&route, &targets);
     record.crowding = crowding(context, &targets, &delegations);
-    let patience = Micros::from(caller.patience.unwrap_or(ASSUMED_PATIENCE));
-    let asked = AdmissionRequest {
+    let timeout = Micros::from(caller.timeout.unwrap_or(DEFAULT_CALLER_TIMEOUT));
+    let admission_request = AdmissionRequest {
         route: &route,
         tenant: record.tenant.as_ref(),
         rank: routes.rank(&route, identity.tenant().map(Arc::as_ref)),
         crowding: record.crowding,
-        patience,
+        patience: timeout,
     };
-    let (admission, standing) = context.admission(&asked);
-    record.standing = standing;
+    let (admission, priority) = context.admission(&admission_request);
+    record.priority = priority;
     if let Admission::Refused { retry_after } = admission {
         let refusal = Refusal::NotRun { retry_after: retry_after.as_duration() };
         let why = "work queues at too many of its shards";
         return Served::refused(refuse(context, record, refusal, why));
     }
     let bounds = bounds_of(&caller, &route, record.received_at);
-    let caller_deadline = record.received_at.plus(patience);
+    let caller_deadline = record.received_at.plus(timeout);
     let limit = routes.configuration().limits.body_bytes;
     let body_deadline = context.clock().instant(bounds.deadline);
     let read = read_request(request, caller, &route, limit, caller_deadline, body_deadline).await;
@@ -181,9 +181,9 @@
     if let Some(retry_after) = context.held_back(&forwarded) {
         record.digest = Some(context.digest_of(&forwarded));
         let refusal = Refusal::HeldBack { retry_after: retry_after.as_duration() };
-        return Served::refused(refuse(context, record, refusal, "back ends in a row ended under it"));
+        return Served::refused(refuse(context, record, refusal, "consecutive back ends crashed on it"));
     }
-    // Nodes that gather would send it to back ends of their own at the same time.
+    // Gatherers would send a suspect request to several back ends at once.
     let delegations = if context.is_suspect(&forwarded) { Vec::new() } else { delegations };
     let forwarded = Arc::new(forwarded);
     let result = drive(context, &route, targets, delegations, forwarded.clone(), bounds).await;
@@ -193,11 +193,11 @@
     let may_have_run =
         !matches!(result.outcome, FanoutOutcome::NotRun | FanoutOutcome::Expired { may_have_run: false });
     let held_back = context.held_back(&forwarded);
-    let response = conclude(context, record, &route, result, held_back);
+    let response = build_response(context, record, &route, result, held_back);
     Served { response, may_have_run }
 }
 
-/// How many of a request's shards are crowded.
+/// Counts the shards of a request and how many of them are crowded.
 fn crowding<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     targets: &[ShardTargets],
@@ -205,10 +205,10 @@
 ) -> Crowding {
     let now = context.clock().now();
     let dispatch = context.dispatch.lock();
-    let told = |delegated: &DelegatedShards| {
+    let crowded_shards = |delegated: &DelegatedShards| {
         dispatch.gatherers.crowded_fraction(&delegated.gatherer, now) * delegated.shards.len() as f64
     };
-    let delegated: f64 = delegations.iter().map(told).sum();
+    let delegated: f64 = delegations.iter().map(crowded_shards).sum();
     let is_direct = |shard: &usize| delegations.iter().all(|known| !known.shards.contains(shard));
     let is_crowded = |shard: &usize| dispatch.table.is_crowded(&targets[*shard].replicas, now);
     let direct = (0..targets.len()).filter(is_direct).filter(is_crowded).count();
@@ -222,10 +222,10 @@
 }
 
 fn bounds_of(caller: &CallerRequest, route: &Route, received_at: Micros) -> RequestBounds {
-    let patience = Micros::from(caller.patience.unwrap_or(ASSUMED_PATIENCE)).since(ANSWER_MARGIN);
+    let timeout = Micros::from(caller.timeout.unwrap_or(DEFAULT_CALLER_TIMEOUT)).since(ANSWER_MARGIN);
     let limit = match route.time_limit_ms {
-        0 => patience,
-        milliseconds => patience.min(Micros::from_millis(milliseconds)),
+        0 => timeout,
+        milliseconds => timeout.min(Micros::from_millis(milliseconds)),
     };
     RequestBounds { received_at, deadline: received_at.plus(limit) }
 }
@@ -242,8 +242,8 @@
     context.callers.refused(refusal)
 }
 
-/// Makes the answer out of what a request has come to.
-fn conclude<C: CallerProtocol, B: BackendProtocol>(
+/// Builds the caller's response from the outcome of a request, and records the outcome.
+fn build_response<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     record: RequestRecord,
     route: &Route,
@@ -257,17 +257,17 @@
             request_log::answered(context, &record, missing, &work);
             record.tenant.iter().for_each(|tenant| context.node.callers.answered(tenant.as_str()));
             context.metrics.answered(context.clock().now().since(record.received_at), missing);
-            let told = if context.mechanisms.coverage { missing } else { 0 };
-            let response = merge(context, route, parts, told);
-            note_lag(context, partial_at, missing);
+            let reported_missing = if context.mechanisms.coverage { missing } else { 0 };
+            let response = merge(context, route, parts, reported_missing);
+            record_answer_lag(context, partial_at, missing);
             return response;
         }
         FanoutOutcome::NotRun | FanoutOutcome::Expired { may_have_run: false } if held_back.is_some() => {
             Refusal::HeldBack { retry_after: held_back.unwrap_or_default().as_duration() }
         }
         FanoutOutcome::NotRun => {
-            let nobody_to_ask = work.calls == 0 && work.gatherers == 0;
-            Refusal::NotRun { retry_after: if nobody_to_ask { NO_REPLICA_RETRY } else { REJECTED_RETRY } }
+            let has_no_replica = work.calls == 0 && work.gatherers == 0;
+            Refusal::NotRun { retry_after: if has_no_replica { NO_REPLICA_RETRY } else { REJECTED_RETRY } }
         }
         FanoutOutcome::Unknown if !context.mechanisms.not_run => {
             Refusal::NotRun { retry_after: REJECTED_RETRY }
@@ -287,8 +287,8 @@
     }
 }
 
-/// Remembers how late an answer got ready that left at its planned moment.
-fn note_lag<C: CallerProtocol, B: BackendProtocol>(
+/// Records how late a partial answer was ready compared with its planned time.
+fn record_answer_lag<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     planned_at: Micros,
     missing: usize,
--- a/crates/sablebay-gateway/src/prepare_call.rs
+++ b/crates/sablebay-gateway/src/prepare_call.rs
@@ -1,4 +1,5 @@
-//! What a call waits for before it is sent: that its request may run, a connection, and that its replica may still get it.
+//! Prepares a call: waits for the quarantine's permit and a connection, and checks that the replica still
+//! accepts work.
 
 use std::sync::Arc;
 
@@ -12,25 +13,25 @@
 use crate::quarantine::{LeaseAnswer, RunLease, acquire_lease};
 use crate::routing_view::Withheld;
 
-/// Why nothing of a call was sent.
+/// Why a call was not sent.
 #[derive(Clone, Copy, Debug)]
 pub enum Unsent {
-    /// Its request is held back.
+    /// The request is quarantined, or its lease could not be acquired.
     HeldBack,
-    /// No connection came about.
-    Unreached,
-    /// The replica may not get it any more.
+    /// No connection could be established.
+    NoConnection,
+    /// The replica was excluded after it had been chosen.
     Withheld(Withheld),
-    /// It could not be sent before its deadline.
+    /// The deadline passed first.
     Late,
 }
 
-/// Waits until a run of a request may begin. Returns the request's lease where it needs that.
-async fn enter<C: CallerProtocol, B: BackendProtocol>(
+/// Waits until a request may run. Returns its lease if it needs one.
+async fn await_permit<C: CallerProtocol, B: BackendProtocol>(
     context: &Arc<Context<C, B>>,
     replica: &RoutableReplica,
     request: &ForwardedRequest,
-    wanted: LeaseRequest,
+    lease_request: LeaseRequest,
 ) -> Result<Option<RunLease<C, B>>, Unsent> {
     loop {
         match context.permit_run(request, &replica.replica.service) {
@@ -38,7 +39,7 @@
             RunPermit::Refused { .. } => return Err(Unsent::HeldBack),
             RunPermit::NeedsLease => {}
         }
-        match acquire_lease(context, context.digest_of(request), wanted).await {
+        match acquire_lease(context, context.digest_of(request), lease_request).await {
             LeaseAnswer::Granted(run_lease) => return Ok(Some(run_lease)),
             LeaseAnswer::Taken => context.node.quarantine.wait().await,
             LeaseAnswer::Unreached => return Err(Unsent::HeldBack),
@@ -46,18 +47,18 @@
     }
 }
 
-/// Waits until a call may be sent, with a connection to send it on.
+/// Waits until a call may be sent, and returns a connection and the request's lease, if it needs one.
 pub async fn prepare<C: CallerProtocol, B: BackendProtocol>(
     context: &Arc<Context<C, B>>,
     connections: &ReplicaConnections,
     replica: &RoutableReplica,
     request: &ForwardedRequest,
-    wanted: LeaseRequest,
+    lease_request: LeaseRequest,
 ) -> Result<(Lease, Option<RunLease<C, B>>), Unsent> {
     loop {
-        let run_lease = enter(context, replica, request, wanted).await?;
-        let lease = connections.lease().await.ok_or(Unsent::Unreached)?;
-        // A back end may have ended under the request meanwhile.
+        let run_lease = await_permit(context, replica, request, lease_request).await?;
+        let lease = connections.lease().await.ok_or(Unsent::NoConnection)?;
+        // The request may have been quarantined during the wait for a connection.
         let may_begin = match context.permit_run(request, &replica.replica.service) {
             RunPermit::Free => true,
             RunPermit::NeedsLease => run_lease.is_some(),
@@ -75,8 +76,8 @@
     }
 }
 
-/// Notes that nothing of a call was sent. Returns how it failed.
-pub fn note_unsent<C: CallerProtocol, B: BackendProtocol>(
+/// Records that a call was not sent, and returns the failure.
+pub fn record_unsent<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     replica: &RoutableReplica,
     key: CallKey,
@@ -89,15 +90,15 @@
             context.dispatch.lock().table.forget(id, key);
             return CallFailure::HeldBack;
         }
-        Unsent::Unreached => context.dispatch.lock().table.failed(id, key, context.clock().now()),
+        Unsent::NoConnection => context.dispatch.lock().table.failed(id, key, context.clock().now()),
         Unsent::Late => context.dispatch.lock().table.forget(id, key),
-        Unsent::Withheld(why) => note_withheld(context, replica, key, request, why),
+        Unsent::Withheld(why) => log_withheld(context, replica, key, request, why),
     }
     CallFailure::NoConnection
 }
 
-/// Notes that a call was given up before anything of it was sent.
-fn note_withheld<C: CallerProtocol, B: BackendProtocol>(
+/// Releases the replica's entry for a call that was withheld, and logs the reason.
+fn log_withheld<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     replica: &RoutableReplica,
     key: CallKey,
