--- a/crates/sablebay-gateway/src/authentication.rs
+++ b/crates/sablebay-gateway/src/authentication.rs
@@ -84,7 +84,7 @@
     }
 
     /// The word under which it is counted.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Self::NoKey => "no_key",
             Self::MalformedKey => "malformed_key",
--- a/crates/sablebay-gateway/src/call.rs
+++ b/crates/sablebay-gateway/src/call.rs
@@ -177,7 +177,7 @@
         }
         CallResult::Failure(CallFailure::Broken, _) => {
             let ended_at = context.clock().now();
-            if connections.check(!replica.beyond_share).await != Liveness::Ended {
+            if connections.probe(!replica.beyond_share).await != Liveness::Ended {
                 return;
             }
             let run = CrashedRun {
@@ -273,7 +273,7 @@
         return (CallResult::Failure(CallFailure::Broken, None), read.load);
     };
     if let Some(idle) = keep_alive(&head.headers) {
-        lease.keep_for(idle);
+        lease.set_idle_timeout(idle);
     }
     // Where this node has no share, the connection makes room again at once.
     if replica.beyond_share {
--- a/crates/sablebay-gateway/src/catalogue_reader.rs
+++ b/crates/sablebay-gateway/src/catalogue_reader.rs
@@ -16,7 +16,7 @@
 
 use crate::context::Context;
 use crate::edge::{BackendProtocol, CallerProtocol, CatalogueNews, CatalogueSource, SourceError};
-use crate::peer_catalogue::MEETING_TIME;
+use crate::peer_catalogue::DISCOVERY_TIME;
 use crate::routing_view::RoutingView;
 
 /// Follows the source until the node ends: reads it when it is this node's turn.
@@ -136,7 +136,7 @@
         view.note_revisions(read.revisions);
         view.replace(read.listing, now) || configured
     });
-    context.note_contact(asked_at, now);
+    context.record_contact(asked_at, now);
     context.confirm_by_source(asked_at, bound_of_listing(asked_at));
     Ok(true)
 }
@@ -155,7 +155,7 @@
     let now = context.clock().now();
     let partial = news.partial;
     let changed = context.node.catalogue.update(|view| apply(view, news, now));
-    context.note_contact(asked_at, now);
+    context.record_contact(asked_at, now);
     if !partial {
         context.confirm_by_source(asked_at, bound_of_wait(asked_at));
     }
@@ -270,7 +270,7 @@
         context.node.catalogue.read(|view| (view.has_caught_up(now), view.replicas_at().era()));
     // A large configuration arrives after the answer that tells of it.
     let has_all = has_learnt && (era == Era::UNNAMED || !context.is_behind());
-    let is_alone = running_for >= MEETING_TIME && !context.fleet.lock().has_peers();
+    let is_alone = running_for >= DISCOVERY_TIME && !context.fleet.lock().has_peers();
     !has_all && !is_alone && running_for < LEARNING_LIMIT
 }
 
@@ -285,7 +285,7 @@
     let (position, kept, version, age) = context.node.catalogue.read(read);
     let before = std::mem::replace(known_up_to, position);
     context.metrics.source_era.set(position.era().count() as i64);
-    context.metrics.kept.set(kept as i64);
+    context.metrics.retained.set(kept as i64);
     if before.is_nothing() || before.stage() == position.stage() {
         return;
     }
--- a/crates/sablebay-gateway/src/confirmation.rs
+++ b/crates/sablebay-gateway/src/confirmation.rs
@@ -43,10 +43,10 @@
     }
 
     /// Puts both ages into the metrics, and how far this node knows itself behind.
-    pub fn note_ages(&self) {
+    pub fn record_ages(&self) {
         let now = self.clock().now();
         let (version, heard) = self.node.catalogue.read(|view| (view.version(), view.incoming().announced()));
-        self.metrics.heard_version.set(heard.map_or(version, |heard| heard.version) as i64);
+        self.metrics.announced_version.set(heard.map_or(version, |heard| heard.version) as i64);
         self.metrics.behind.set(heard.map_or(0, |heard| now.since(heard.since).as_millis()) as i64);
         self.metrics.catalogue_age.set(self.catalogue_age().as_millis() as i64);
         self.metrics.configuration_age.observe(self.configuration_age().as_secs_f64());
@@ -61,7 +61,7 @@
 
     /// Looks whether the machine was suspended. Connections that rested meanwhile are closed: their other ends have
     /// forgotten them, or have passed their addresses on.
-    pub fn look_for_suspension(&self) {
+    pub fn check_suspension(&self) {
         let Some(slept) = self.node.suspension.look(&self.clock()) else {
             return;
         };
@@ -74,14 +74,14 @@
     /// Whether what this node knows may be acted on: not after its machine was suspended, until the catalogue has
     /// been confirmed.
     pub fn is_confirmed(&self) -> bool {
-        self.look_for_suspension();
+        self.check_suspension();
         self.node.suspension.is_confirmed(self.node.catalogue.last_contact(), self.clock().now())
     }
 
     /// Notes that there was nothing newer at `at`, by an answer to what was asked at `asked_at`. One that may have
     /// waited here while the machine was suspended says nothing.
-    pub fn note_contact(&self, asked_at: Micros, at: Micros) {
-        self.look_for_suspension();
+    pub fn record_contact(&self, asked_at: Micros, at: Micros) {
+        self.check_suspension();
         if !self.node.suspension.woke_since(asked_at) {
             self.node.catalogue.hear(at);
         }
@@ -97,7 +97,7 @@
     /// Notes that the configuration known here is the newest up to `bound` at the least, by such an answer. Not while
     /// one is known of that could not be read.
     pub fn confirm_configuration(&self, asked_at: Micros, bound: Micros) {
-        self.look_for_suspension();
+        self.check_suspension();
         let newest = self.node.catalogue.read(CatalogueView::has_newest_configuration);
         if newest && !self.node.suspension.woke_since(asked_at) {
             self.node.catalogue.confirm(bound);
--- a/crates/sablebay-gateway/src/connections.rs
+++ b/crates/sablebay-gateway/src/connections.rs
@@ -73,7 +73,7 @@
     }
 
     /// Notes how long the replica keeps the connection when it is idle.
-    pub fn keep_for(&mut self, idle: Duration) {
+    pub fn set_idle_timeout(&mut self, idle: Duration) {
         self.connection.usable_until = Some(Instant::now() + idle.saturating_sub(IDLE_MARGIN));
     }
 }
@@ -155,7 +155,7 @@
     /// Whether the replica still listens, after a call to it broke. A broken connection alone is no sign that its
     /// back end has ended. The connection that this opens takes the broken one's place where `keep` allows it, so
     /// that it costs nothing where the replica lives.
-    pub async fn check(&self, keep: bool) -> Liveness {
+    pub async fn probe(&self, keep: bool) -> Liveness {
         self.opened.inc();
         match tokio::time::timeout(self.connect_timeout, self.try_open()).await {
             Ok(Ok(connection)) => {
--- a/crates/sablebay-gateway/src/fleet_view.rs
+++ b/crates/sablebay-gateway/src/fleet_view.rs
@@ -14,7 +14,7 @@
 use sablebay_model::{Micros, NodeId, RequestDigest, ZoneName};
 use sablebay_node::Shared;
 
-use crate::peer_turn::PeerTurn;
+use crate::peer_rotation::PeerRotation;
 
 /// A node as the gateway sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -59,7 +59,7 @@
     pub(crate) own: NodeId,
     /// Every node met in this life with its zone, this one among them. Names come back after a
     /// restart.
-    pub(crate) met: BTreeMap<NodeId, ZoneName>,
+    pub(crate) discovered: BTreeMap<NodeId, ZoneName>,
     /// How many share what is bounded for the fleet.
     pub(crate) census: FleetCensus,
     /// The part of the fleet that the log last told of.
@@ -115,7 +115,7 @@
         let (own, zone) = (info.key.node.clone(), info.zone.clone());
         let this = gatherer_node(info);
         Self {
-            met: BTreeMap::from([(own.clone(), zone)]),
+            discovered: BTreeMap::from([(own.clone(), zone)]),
             own,
             census: FleetCensus::new(info.peer_address, seeds),
             said_part: None,
@@ -162,7 +162,7 @@
         };
         let mut ranked: Vec<FleetPeer> = others().map(peer).collect();
         let met: Vec<_> = others().map(|info| (info.key.node.clone(), info.zone.clone())).collect();
-        self.met.extend(met);
+        self.discovered.extend(met);
         if gatherers != self.gatherers.others {
             self.gatherers = Arc::new(Gatherers { own: self.gatherers.own.clone(), others: gatherers });
         }
@@ -206,7 +206,7 @@
 
     /// The nodes that keep account of a request, the first of which gives out its lease. Nothing stands for
     /// this node itself.
-    pub fn keepers_of(&self, digest: &RequestDigest) -> Vec<Option<SocketAddr>> {
+    pub fn quarantine_owners(&self, digest: &RequestDigest) -> Vec<Option<SocketAddr>> {
         let others = self.ranked.iter().filter(|peer| peer.shares_quarantine);
         let others = others.map(|peer| (rendezvous_key(&peer.node, &digest.0), Some(peer.address)));
         let mut nodes: Vec<_> = others.chain([(rendezvous_key(&self.own, &digest.0), None)]).collect();
@@ -216,7 +216,7 @@
 
     /// Every node met in this life, this one among them.
     pub fn names(&self) -> Vec<NodeId> {
-        self.met.keys().cloned().collect()
+        self.discovered.keys().cloned().collect()
     }
 
     /// Where a present peer listens.
@@ -245,7 +245,7 @@
     }
 
     /// Whom to ask for news. Through relays: those of the zone at the first try.
-    pub fn source_of_news(&self, turn: PeerTurn, through_relays: bool) -> Option<&FleetPeer> {
+    pub fn update_source(&self, turn: PeerRotation, through_relays: bool) -> Option<&FleetPeer> {
         match &self.relays {
             Relays::Others(relays) if through_relays && turn.is_first_try() => {
                 relays.get(turn.place(relays.len()))
@@ -256,8 +256,8 @@
 
     /// The nodes of a zone, and the other zones with whether one of the replicas is there.
     pub fn zones(&self, own: &ZoneName, replicas: &[RoutableReplica]) -> (usize, Vec<ZoneNodes>) {
-        let nodes_in = |zone: &ZoneName| self.met.values().filter(|other| *other == zone).count();
-        let others: BTreeSet<&ZoneName> = self.met.values().filter(|zone| *zone != own).collect();
+        let nodes_in = |zone: &ZoneName| self.discovered.values().filter(|other| *other == zone).count();
+        let others: BTreeSet<&ZoneName> = self.discovered.values().filter(|zone| *zone != own).collect();
         let zone_nodes = |zone: &ZoneName| ZoneNodes {
             nodes: nodes_in(zone),
             has_replica: replicas.iter().any(|known| known.replica.zone == *zone),
@@ -266,7 +266,7 @@
     }
 
     /// Notes the number of nodes that a peer told which knows the fleet.
-    pub fn note_told(&mut self, nodes: Option<u64>, now: Micros) {
+    pub fn record_reported_size(&mut self, nodes: Option<u64>, now: Micros) {
         let Some(nodes) = nodes.map(|nodes| nodes as usize) else {
             return;
         };
@@ -275,7 +275,7 @@
     }
 
     /// Whether the part of the fleet that this node sees is news for the log.
-    pub fn say_part(&mut self, part: FleetPart) -> bool {
+    pub fn should_log_part(&mut self, part: FleetPart) -> bool {
         /// A change of the share that is worth a line: nodes come and go one by one all the time.
         const WORTH_A_LINE: f64 = 0.1;
         let is_news = self.said_part.is_none_or(|said| {
@@ -290,10 +290,10 @@
 
     /// How many share what is bounded, and this node's position among the sorted names met.
     pub fn size(&self, running_for: Micros) -> (FleetSize, usize) {
-        let position = self.met.keys().take_while(|node| **node != self.own).count();
+        let position = self.discovered.keys().take_while(|node| **node != self.own).count();
         (
             FleetSize {
-                discovered: self.met.len().max(self.nodes_by_seeds()),
+                discovered: self.discovered.len().max(self.nodes_by_seeds()),
                 reported: self.told,
                 running_for,
             },
--- a/crates/sablebay-gateway/src/gatherer.rs
+++ b/crates/sablebay-gateway/src/gatherer.rs
@@ -84,7 +84,7 @@
     };
     let tenant = context.tenant_of(&request.headers);
     if let Some(tenant) = &tenant {
-        context.note_gathered(&partial.route, tenant);
+        context.record_gathered_request(&partial.route, tenant);
     }
     let target = (partial.target_us > 0).then_some(Micros(partial.target_us));
     let lag = context.dispatch.lock().answer_lag.margin(target.unwrap_or_default(), now);
--- a/crates/sablebay-gateway/src/ingress.rs
+++ b/crates/sablebay-gateway/src/ingress.rs
@@ -92,7 +92,7 @@
     let identity = match context.authenticate(&caller, &route) {
         Ok(identity) => identity,
         Err(failure) => {
-            context.node.callers.refused(failure.word());
+            context.node.callers.refused(failure.label());
             return refuse(context, record, failure.refusal(), &failure.reason());
         }
     };
@@ -153,7 +153,7 @@
         tenant: record.tenant.as_ref(),
         rank: routes.rank(&route, identity.tenant().map(Arc::as_ref)),
         crowding: record.crowding,
-        patience,
+        timeout: patience,
     };
     let (admission, standing) = context.admission(&asked);
     record.standing = standing;
--- a/crates/sablebay-gateway/src/installation.rs
+++ b/crates/sablebay-gateway/src/installation.rs
@@ -17,9 +17,9 @@
         let routes = view.routes.clone();
         for (service, replicas) in &mut view.replicas {
             let maximum = maximum_connections(routes.as_deref(), service);
-            self.keep_to_share(maximum, &ownership, replicas);
+            self.mark_beyond_share(maximum, &ownership, replicas);
             if let Some(routes) = &routes {
-                self.bound_cold_calls(routes, &ownership, service, replicas);
+                self.limit_cold_calls(routes, &ownership, service, replicas);
             }
         }
         let budget_shares = ownership.budget_shares();
--- a/crates/sablebay-gateway/src/lib.rs
+++ b/crates/sablebay-gateway/src/lib.rs
@@ -31,13 +31,13 @@
 #[cfg(test)]
 mod ownership_tests;
 mod peer_catalogue;
-mod peer_turn;
+mod peer_rotation;
 #[cfg(test)]
-mod peer_turn_tests;
+mod peer_rotation_tests;
 mod prepare_call;
 mod quarantine;
 mod quota;
-mod quota_keepers;
+mod quota_owners;
 mod quota_state;
 mod readiness;
 mod replica_shares;
--- a/crates/sablebay-gateway/src/metrics.rs
+++ b/crates/sablebay-gateway/src/metrics.rs
@@ -85,7 +85,7 @@
     /// The era of the source: it rises when the source comes back from an older copy.
     pub source_era: Gauge,
     /// Replicas and evacuated zones that are kept by what was known before the source came back from an older copy.
-    pub kept: Gauge,
+    pub retained: Gauge,
     /// Items of the catalogue's source that could not be read.
     pub rejected_items: Counter,
     /// Questions to peers for news of the catalogue, by outcome.
@@ -95,7 +95,7 @@
     /// The version of the configuration in force.
     pub configuration_version: Gauge,
     /// The newest version that was heard of.
-    pub heard_version: Gauge,
+    pub announced_version: Gauge,
     /// For how long a newer version than the one in force has been heard of, in milliseconds; 0 when there is none.
     pub behind: Gauge,
     /// Since anybody said that there is nothing newer than the catalogue, in milliseconds.
@@ -134,12 +134,12 @@
             source_reads: Family::default(),
             source_revision: Gauge::default(),
             source_era: Gauge::default(),
-            kept: Gauge::default(),
+            retained: Gauge::default(),
             rejected_items: Counter::default(),
             peer_questions: Family::default(),
             documents: Family::default(),
             configuration_version: Gauge::default(),
-            heard_version: Gauge::default(),
+            announced_version: Gauge::default(),
             behind: Gauge::default(),
             catalogue_age: Gauge::default(),
             configuration_age: Histogram::new(AGE_BUCKETS),
@@ -159,7 +159,7 @@
     }
 }
 
-fn refusal_word(refusal: Refusal) -> &'static str {
+fn refusal_label(refusal: Refusal) -> &'static str {
     match refusal {
         Refusal::NoRoute => "no_route",
         Refusal::NoIdentifier => "no_identifier",
@@ -184,7 +184,7 @@
 
     /// A request was refused or failed.
     pub fn refused(&self, refusal: Refusal) {
-        self.requests.get_or_create(&OutcomeLabel { outcome: refusal_word(refusal) }).inc();
+        self.requests.get_or_create(&OutcomeLabel { outcome: refusal_label(refusal) }).inc();
     }
 
     /// A request was refused for queues at its shards.
@@ -289,7 +289,7 @@
         registry.register(
             "kept_after_return",
             "Replicas and zones kept by what was known before the source came back from an older copy",
-            self.kept.clone(),
+            self.retained.clone(),
         );
         registry.register(
             "rejected_items",
@@ -306,7 +306,7 @@
         registry.register(
             "configuration_heard_version",
             "The newest version that was heard of",
-            self.heard_version.clone(),
+            self.announced_version.clone(),
         );
         registry.register(
             "configuration_behind_milliseconds",
--- a/crates/sablebay-gateway/src/ownership.rs
+++ b/crates/sablebay-gateway/src/ownership.rs
@@ -10,7 +10,7 @@
 
 /// Which nodes keep connections to the replicas of a service that not all nodes have room at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Keepers {
+pub enum ConnectionOwners {
     /// The nodes that gather the shard; whether this one does.
     Owners(bool),
     /// Each node keeps to some of the replicas, by its position among all nodes.
@@ -73,14 +73,14 @@
     }
 
     /// Which nodes keep connections to the replicas of a service.
-    pub fn keepers(&self, service: &ServiceName) -> Keepers {
+    pub fn connection_owners(&self, service: &ServiceName) -> ConnectionOwners {
         if let Some(owned) = self.shards.get(service) {
-            return Keepers::Owners(owned.own);
+            return ConnectionOwners::Owners(owned.own);
         }
         if !self.known || self.called_by_all.contains(service) {
-            return Keepers::ByPosition;
+            return ConnectionOwners::ByPosition;
         }
-        Keepers::Nobody
+        ConnectionOwners::Nobody
     }
 
     /// Who spends the budgets of the services that a few nodes own.
--- a/crates/sablebay-gateway/src/ownership_tests.rs
+++ b/crates/sablebay-gateway/src/ownership_tests.rs
@@ -5,7 +5,7 @@
 use sablebay_model::{NodeId, ZoneName};
 
 use crate::fleet_view::Gatherers;
-use crate::ownership::{Keepers, Ownership};
+use crate::ownership::{ConnectionOwners, Ownership};
 
 const SHARDS: usize = 90;
 
@@ -46,9 +46,9 @@
 #[test]
 fn nobody_keeps_connections_to_services_that_no_route_names() {
     let mut ownership = Ownership::of_known_fleet();
-    assert_eq!(ownership.keepers(&shard(1)), Keepers::Nobody, "there is no route yet");
+    assert_eq!(ownership.connection_owners(&shard(1)), ConnectionOwners::Nobody, "there is no route yet");
     ownership.add(&gatherers(50), &gather(), |_| 0.2);
-    assert_eq!(ownership.keepers(&ServiceName::new("later")), Keepers::Nobody);
+    assert_eq!(ownership.connection_owners(&ServiceName::new("later")), ConnectionOwners::Nobody);
 }
 
 #[test]
@@ -57,9 +57,9 @@
     ownership.add(&gatherers(50), &gather(), |_| 0.2);
     let only = WeightedService { service: ServiceName::new("single"), weight: 1.0 };
     ownership.add(&gatherers(50), &route(Destination::Services(vec![only])), |_| 0.2);
-    assert_eq!(ownership.keepers(&ServiceName::new("single")), Keepers::ByPosition);
-    let owned = (0..SHARDS).filter(|number| match ownership.keepers(&shard(*number)) {
-        Keepers::Owners(own) => own,
+    assert_eq!(ownership.connection_owners(&ServiceName::new("single")), ConnectionOwners::ByPosition);
+    let owned = (0..SHARDS).filter(|number| match ownership.connection_owners(&shard(*number)) {
+        ConnectionOwners::Owners(own) => own,
         other => panic!("a few nodes own the shard: {other:?}"),
     });
     assert!(owned.count() < SHARDS / 2, "three of 50 nodes own each");
@@ -69,10 +69,10 @@
 fn shards_that_every_node_gathers_are_kept_by_position() {
     let mut ownership = Ownership::of_known_fleet();
     ownership.add(&gatherers(3), &gather(), |_| 50.0);
-    assert_eq!(ownership.keepers(&shard(1)), Keepers::ByPosition);
+    assert_eq!(ownership.connection_owners(&shard(1)), ConnectionOwners::ByPosition);
 }
 
 #[test]
 fn before_the_fleet_is_known_nodes_keep_to_their_position() {
-    assert_eq!(Ownership::default().keepers(&shard(1)), Keepers::ByPosition);
+    assert_eq!(Ownership::default().connection_owners(&shard(1)), ConnectionOwners::ByPosition);
 }
--- a/crates/sablebay-gateway/src/peer_catalogue.rs
+++ b/crates/sablebay-gateway/src/peer_catalogue.rs
@@ -16,7 +16,7 @@
 use crate::document_fetch::fetch_document;
 use crate::edge::{BackendProtocol, CallerProtocol};
 use crate::fleet_view::FleetPeer;
-use crate::peer_turn::PeerTurn;
+use crate::peer_rotation::PeerRotation;
 
 /// How long a peer may wait until it has news.
 const WAIT: Duration = Duration::from_millis(700);
@@ -39,7 +39,7 @@
 const UNLEARNT_PAUSE: Duration = Duration::from_millis(20);
 /// How long after its start a node has met one of its fleet, where its seeds are there. A fleet that starts anew as a whole meets
 /// after 0.7 to 0.9 s: none of it knows more than the source says.
-pub const MEETING_TIME: Duration = Duration::from_millis(300);
+pub const DISCOVERY_TIME: Duration = Duration::from_millis(300);
 
 /// How long a newer configuration than the one in force may be heard of before the log says so: a large one needs some
 /// tenths of a second to get here.
@@ -47,19 +47,19 @@
 
 /// Asks peers until the node ends.
 pub async fn follow_peers<C: CallerProtocol, B: BackendProtocol>(context: Arc<Context<C, B>>) {
-    let mut turn = PeerTurn::default();
+    let mut turn = PeerRotation::default();
     let mut fetches = JoinSet::new();
     let mut told_of = 0;
     let mut unlearnt_peers = 0;
     loop {
         note_nodes(&context);
         // Also where nothing is asked for: the line says when the machine was suspended.
-        context.look_for_suspension();
-        context.note_ages();
+        context.check_suspension();
+        context.record_ages();
         note_behind(&context, &mut told_of);
         // A relay's word is older by what it waits itself, which a limited age has no room for.
         let through_relays = context.revocation_limit().is_none();
-        let peer = context.fleet.lock().source_of_news(turn, through_relays).cloned();
+        let peer = context.fleet.lock().update_source(turn, through_relays).cloned();
         let Some(peer) = peer else {
             tokio::time::sleep(LONELY_PERIOD).await;
             continue;
@@ -114,7 +114,7 @@
     context: &Context<C, B>,
     unlearnt_peers: usize,
 ) {
-    let has_met_others = context.clock().running_for() >= MEETING_TIME;
+    let has_met_others = context.clock().running_for() >= DISCOVERY_TIME;
     if has_met_others && unlearnt_peers >= context.fleet.lock().ranked.len() {
         context.node.catalogue.update(|view| {
             view.end_catch_up();
@@ -164,7 +164,7 @@
 fn note_fleet_part<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>, part: FleetPart) {
     context.metrics.fleet_share.set(part.share);
     *context.node.fleet_part.lock() = Some(part);
-    if context.fleet.lock().say_part(part) {
+    if context.fleet.lock().should_log_part(part) {
         log::info!(fleet_share = part.share, nodes = part.nodes; "quota: the share of the fleet's limits that this part may use: {}.", part.basis);
     }
 }
@@ -175,7 +175,10 @@
 }
 
 /// How long a peer may hold the question until it has news.
-fn wait_for_news<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>, turn: PeerTurn) -> Duration {
+fn wait_for_news<C: CallerProtocol, B: BackendProtocol>(
+    context: &Context<C, B>,
+    turn: PeerRotation,
+) -> Duration {
     if turn.asks_anybody() && is_near_limit(context) {
         return Duration::ZERO;
     }
@@ -201,7 +204,7 @@
 async fn ask<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     peer: &FleetPeer,
-    turn: PeerTurn,
+    turn: PeerRotation,
 ) -> Answer {
     let asked_at = context.clock().now();
     let (version, position, learns_from) = context.node.catalogue.read(|view| {
@@ -242,7 +245,7 @@
     let contact_ago = snapshot.heard_ms_ago.filter(|_| snapshot.zones.is_some() && is_in_touch);
     let confirmation = snapshot.confirmation.filter(|_| is_in_touch);
     let is_unlearnt = learns_from.is_some() && !snapshot.caught_up && offer.is_none();
-    context.fleet.lock().note_told(snapshot.nodes_met, context.clock().now());
+    context.fleet.lock().record_reported_size(snapshot.nodes_met, context.clock().now());
     if context.node.catalogue.update(|view| view.merge(*snapshot, now)) {
         log::info!(peer = peer.node.as_str(), version = told.0.unwrap_or(version), replicas_at = told.1.to_string().as_str(), had = replicas_at.to_string().as_str(), heard_ms_ago = contact_ago.unwrap_or(0), confirmed_ms_ago = confirmation.map_or(-1, |said| said.age.as_millis() as i64); "catalogue: news from a peer.");
     }
@@ -257,7 +260,7 @@
         return if is_unlearnt { Answer::Unlearnt } else { Answer::News };
     }
     if let Some(ago) = contact_ago {
-        context.note_contact(asked_at, now.since(Micros::from_millis(ago)));
+        context.record_contact(asked_at, now.since(Micros::from_millis(ago)));
     }
     if let Some(said) = confirmation {
         context.confirm_configuration(asked_at, said.bound(asked_at, now));
@@ -282,7 +285,7 @@
 fn note_no_news<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     peer: &FleetPeer,
-    turn: PeerTurn,
+    turn: PeerRotation,
     asked_at: Micros,
     outcome: &'static str,
 ) {
--- a/crates/sablebay-gateway/src/peer_turn.rs
+++ b/crates/sablebay-gateway/src/peer_rotation.rs
@@ -4,12 +4,12 @@
 
 /// Where a node is among its peers, in an order that is the same on every node and begins with the readers.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PeerTurn {
+pub struct PeerRotation {
     turn: usize,
     failures: usize,
 }
 
-impl PeerTurn {
+impl PeerRotation {
     /// The place of the next peer among this many: the readers in turn, and after failures anybody in turn.
     pub fn place(self, peers: usize) -> usize {
         let among = if self.asks_anybody() { peers } else { READERS.min(peers) };
--- a/crates/sablebay-gateway/src/peer_turn_tests.rs
+++ b/crates/sablebay-gateway/src/peer_rotation_tests.rs
@@ -4,7 +4,7 @@
 
 use sablebay_catalogue::READERS;
 
-use crate::peer_turn::PeerTurn;
+use crate::peer_rotation::PeerRotation;
 
 const PEERS: usize = 76;
 
@@ -13,7 +13,7 @@
 #[test]
 fn after_a_reader_that_fails_the_other_one_is_asked() {
     for before in 0..4 {
-        let mut turn = PeerTurn::default();
+        let mut turn = PeerRotation::default();
         (0..before).for_each(|_| turn.answered());
         let failed = turn.place(PEERS);
         turn.failed();
@@ -24,7 +24,7 @@
 
 #[test]
 fn after_both_readers_everybody_is_asked_one_after_the_other() {
-    let mut turn = PeerTurn::default();
+    let mut turn = PeerRotation::default();
     let mut asked = BTreeSet::new();
     for _ in 0..READERS + PEERS {
         asked.insert(turn.place(PEERS));
@@ -37,7 +37,7 @@
 
 #[test]
 fn readers_that_answer_are_asked_in_turn() {
-    let mut turn = PeerTurn::default();
+    let mut turn = PeerRotation::default();
     let places: Vec<usize> = (0..4)
         .map(|_| {
             let place = turn.place(PEERS);
@@ -46,5 +46,5 @@
         })
         .collect();
     assert_eq!(places, [0, 1, 0, 1]);
-    assert_eq!(PeerTurn::default().place(1), 0);
+    assert_eq!(PeerRotation::default().place(1), 0);
 }
--- a/crates/sablebay-gateway/src/quarantine.rs
+++ b/crates/sablebay-gateway/src/quarantine.rs
@@ -136,7 +136,7 @@
         match audience {
             Audience::AllNodes => for_everyone.push(notice),
             Audience::Owners => {
-                let keepers = context.fleet.lock().keepers_of(&notice.digest);
+                let keepers = context.fleet.lock().quarantine_owners(&notice.digest);
                 for address in keepers.into_iter().flatten() {
                     tell(context, address, vec![notice.clone()], false);
                 }
@@ -240,7 +240,7 @@
         return LeaseAnswer::Taken;
     }
     let asking = Asking { context: context.clone(), digest, run: wanted.run };
-    let keepers = context.fleet.lock().keepers_of(&digest);
+    let keepers = context.fleet.lock().quarantine_owners(&digest);
     for keeper in keepers {
         let now = context.clock().now();
         let Some(address) = keeper else {
--- a/crates/sablebay-gateway/src/quota.rs
+++ b/crates/sablebay-gateway/src/quota.rs
@@ -20,8 +20,8 @@
 
 use crate::context::Context;
 use crate::edge::{BackendProtocol, CallerProtocol};
-use crate::quota_keepers::{AccountKeeperNode, FleetKnowledge};
-use crate::quota_state::{Lent, LentToken, Token, Waiter};
+use crate::quota_owners::{AccountOwnerNode, FleetKnowledge};
+use crate::quota_state::{LentToken, Token, TokenGrant, Waiter};
 
 /// How long a keeper may take to answer: some ways there and back between zones, and the pause of a machine that
 /// has used up its share of a processor for a moment.
@@ -183,10 +183,10 @@
 
     /// Asks the keeper of a tenant's account, then whoever stands in for it; what neither lends may be within
     /// this node's own part.
-    async fn ask_keepers(&self, tenant: &TenantName, waiting: usize) -> Lent {
+    async fn ask_keepers(&self, tenant: &TenantName, waiting: usize) -> TokenGrant {
         let wanted = u32::try_from(waiting).unwrap_or(u32::MAX);
         let Some((version, quota)) = self.known_quota(tenant).filter(|(_, quota)| quota.is_limited()) else {
-            return Lent { granted: wanted, ..Lent::default() };
+            return TokenGrant { granted: wanted, ..TokenGrant::default() };
         };
         let now = self.clock().now();
         let question = {
@@ -204,7 +204,7 @@
         let keepers = {
             let mut fleet = self.fleet.lock();
             fleet.refresh(&self.node);
-            fleet.account_keepers(tenant)
+            fleet.account_owners(tenant)
         };
         for keeper in keepers {
             if let Some(grant) = self.ask_keeper(&keeper, &question).await {
@@ -216,15 +216,15 @@
                 let missing = wanted.saturating_sub(grant.granted);
                 let more = if grant.from_standby { self.take_own_part(tenant, &quota, missing) } else { 0 };
                 let granted = grant.granted.min(wanted) + more;
-                return Lent { granted, empty_for: grant.empty_for, account: Some(grant.account) };
+                return TokenGrant { granted, empty_for: grant.empty_for, account: Some(grant.account) };
             }
         }
-        Lent { granted: self.take_own_part(tenant, &quota, wanted), ..Lent::default() }
+        TokenGrant { granted: self.take_own_part(tenant, &quota, wanted), ..TokenGrant::default() }
     }
 
     /// Asks the seeds, where this node has just started and does not know who keeps the account. Returns nothing where
     /// it does, or a seed does.
-    async fn ask_seeds(&self, question: &QuotaRequest) -> Option<Lent> {
+    async fn ask_seeds(&self, question: &QuotaRequest) -> Option<TokenGrant> {
         let seeds = {
             let mut fleet = self.fleet.lock();
             fleet.refresh(&self.node);
@@ -246,11 +246,11 @@
             }
             granted += grant.granted.min(wanted);
             if granted == question.wanted {
-                return Some(Lent { granted, ..Lent::default() });
+                return Some(TokenGrant { granted, ..TokenGrant::default() });
             }
         }
         self.metrics.quota("seeds_empty", 1);
-        Some(Lent { granted, empty_for: SEEDS_EMPTY, ..Lent::default() })
+        Some(TokenGrant { granted, empty_for: SEEDS_EMPTY, ..TokenGrant::default() })
     }
 
     async fn ask_seed(&self, seed: Option<SocketAddr>, question: &QuotaRequest) -> Option<QuotaGrant> {
@@ -288,7 +288,7 @@
         quota.accounts.answer_starting(question, known, &rule, place, now)
     }
 
-    async fn ask_keeper(&self, keeper: &AccountKeeperNode, question: &QuotaRequest) -> Option<QuotaGrant> {
+    async fn ask_keeper(&self, keeper: &AccountOwnerNode, question: &QuotaRequest) -> Option<QuotaGrant> {
         let Some(address) = keeper.address else {
             return Some(self.lend(question));
         };
@@ -324,7 +324,7 @@
         let mut quota = self.quota.lock();
         quota.note_awake(now);
         let known_fleet = self.fleet_knowledge(quota.awake_since);
-        let standing = fleet.keeper_standing(&question.tenant, &known_fleet);
+        let standing = fleet.owner_status(&question.tenant, &known_fleet);
         let basis = fleet.part(&known_fleet).basis;
         let (grant, event) = quota.accounts.answer(question, known, &rule, &standing, now);
         drop((fleet, quota));
--- a/crates/sablebay-gateway/src/quota_keepers.rs
+++ b/crates/sablebay-gateway/src/quota_owners.rs
@@ -13,7 +13,7 @@
 
 /// A node that keeps the account of a tenant, or stands in for the one that does.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AccountKeeperNode {
+pub struct AccountOwnerNode {
     /// Its name.
     pub node: NodeId,
     /// Where it listens; nothing for this node itself.
@@ -33,14 +33,14 @@
 
 impl FleetView {
     /// The present node that keeps the account of a tenant, and the one that stands in for it.
-    pub fn account_keepers(&self, tenant: &TenantName) -> Vec<AccountKeeperNode> {
+    pub fn account_owners(&self, tenant: &TenantName) -> Vec<AccountOwnerNode> {
         let key = |node: &NodeId| rendezvous_key(node, tenant.as_str().as_bytes());
         let others = self.ranked.iter().filter(|peer| peer.keeps_accounts);
         let others = others.map(|peer| (key(&peer.node), &peer.node, Some(peer.address)));
         let mut nodes: Vec<_> = others.chain([(key(&self.own), &self.own, None)]).collect();
         nodes.sort_unstable_by_key(|(key, node, _)| (*key, *node));
         nodes.truncate(2);
-        let keeper = |(_, node, address): (u64, &NodeId, Option<SocketAddr>)| AccountKeeperNode {
+        let keeper = |(_, node, address): (u64, &NodeId, Option<SocketAddr>)| AccountOwnerNode {
             node: node.clone(),
             address,
         };
@@ -54,8 +54,8 @@
     }
 
     /// How this node stands as the keeper of a tenant's account.
-    pub fn keeper_standing(&mut self, tenant: &TenantName, known: &FleetKnowledge) -> OwnerStatus {
-        let first = self.account_keepers(tenant).into_iter().next();
+    pub fn owner_status(&mut self, tenant: &TenantName, known: &FleetKnowledge) -> OwnerStatus {
+        let first = self.account_owners(tenant).into_iter().next();
         OwnerStatus {
             is_first: first.is_some_and(|keeper| keeper.address.is_none()),
             share: self.part(known).share,
--- a/crates/sablebay-gateway/src/quota_state.rs
+++ b/crates/sablebay-gateway/src/quota_state.rs
@@ -99,7 +99,7 @@
 
 /// What the requests of one question got.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Lent {
+pub struct TokenGrant {
     /// Requests that may run.
     pub granted: u32,
     /// How long there is nothing more.
@@ -108,7 +108,7 @@
     pub account: Option<AccountId>,
 }
 
-impl Lent {
+impl TokenGrant {
     /// The token of one of them.
     pub fn token(&self, tenant: &TenantName, now: Micros) -> Token {
         let lent = |account| LentToken { tenant: tenant.clone(), account, at: now };
--- a/crates/sablebay-gateway/src/replica_shares.rs
+++ b/crates/sablebay-gateway/src/replica_shares.rs
@@ -15,7 +15,7 @@
 use crate::connections::ReplicaConnections;
 use crate::context::Context;
 use crate::edge::{BackendProtocol, CallerProtocol};
-use crate::ownership::{Keepers, Ownership};
+use crate::ownership::{ConnectionOwners, Ownership};
 use crate::routing_view::RoutingView;
 
 /// The connections that a replica of a service takes from all nodes together.
@@ -82,15 +82,20 @@
     }
 
     /// Marks the replicas that have no room for a connection of this node.
-    pub fn keep_to_share(&self, maximum: u32, ownership: &Ownership, replicas: &mut Arc<[RoutableReplica]>) {
+    pub fn mark_beyond_share(
+        &self,
+        maximum: u32,
+        ownership: &Ownership,
+        replicas: &mut Arc<[RoutableReplica]>,
+    ) {
         let nodes = self.nodes.load(Ordering::Relaxed) as usize;
         let Some(first) = replicas.first().filter(|_| !has_room_for_all(maximum, nodes)) else {
             return;
         };
-        let own = match ownership.keepers(&first.replica.service) {
-            Keepers::Owners(owner) => vec![owner; replicas.len()],
-            Keepers::Nobody => vec![false; replicas.len()],
-            Keepers::ByPosition => self.own_by_position(maximum, nodes, replicas),
+        let own = match ownership.connection_owners(&first.replica.service) {
+            ConnectionOwners::Owners(owner) => vec![owner; replicas.len()],
+            ConnectionOwners::Nobody => vec![false; replicas.len()],
+            ConnectionOwners::ByPosition => self.own_by_position(maximum, nodes, replicas),
         };
         let marked = replicas
             .iter()
@@ -100,7 +105,7 @@
     }
 
     /// Shares out what the cold replicas of a service bear, among the nodes that may call them.
-    pub fn bound_cold_calls(
+    pub fn limit_cold_calls(
         &self,
         routes: &RouteTable,
         ownership: &Ownership,
@@ -115,10 +120,12 @@
         let settings = self.settings.load();
         let (overage, slack) = (settings.warm_up_overage, settings.warm_up_slack);
         let bearing = ColdCapacity { requests_per_s, overage, slack };
-        let (known, at_least) = match ownership.keepers(service) {
-            Keepers::Owners(false) | Keepers::Nobody => (Vec::new(), usize::MAX),
-            Keepers::Owners(true) => (self.owners_of(routes, service), 0),
-            Keepers::ByPosition => (self.fleet.lock().names(), self.nodes.load(Ordering::Relaxed) as usize),
+        let (known, at_least) = match ownership.connection_owners(service) {
+            ConnectionOwners::Owners(false) | ConnectionOwners::Nobody => (Vec::new(), usize::MAX),
+            ConnectionOwners::Owners(true) => (self.owners_of(routes, service), 0),
+            ConnectionOwners::ByPosition => {
+                (self.fleet.lock().names(), self.nodes.load(Ordering::Relaxed) as usize)
+            }
         };
         let callers = Callers { own: &self.node.info.key.node, known: &known, at_least };
         let bounded = |replica: &RoutableReplica| RoutableReplica {
--- a/crates/sablebay-gateway/src/tenant_admission.rs
+++ b/crates/sablebay-gateway/src/tenant_admission.rs
@@ -27,7 +27,7 @@
 
 impl TenantLoad {
     /// Counts a request.
-    pub fn note(&mut self, route: &Route, tenant: &TenantName, now: Micros) {
+    pub fn record(&mut self, route: &Route, tenant: &TenantName, now: Micros) {
         let mut services = route.destination.services();
         let Some(first) = services.next() else {
             return;
@@ -68,7 +68,7 @@
     /// The queues at its shards.
     pub crowding: Crowding,
     /// How long its caller will wait.
-    pub patience: Micros,
+    pub timeout: Micros,
 }
 
 impl<C: CallerProtocol, B: BackendProtocol> Context<C, B> {
@@ -85,11 +85,11 @@
             shards: request.crowding.shards,
             crowded: request.crowding.crowded,
             rank: request.rank,
-            is_retry: usual.note(request.patience),
-            timeout: request.patience,
+            is_retry: usual.note(request.timeout),
+            timeout: request.timeout,
         };
         if let Some(tenant) = request.tenant {
-            dispatch.tenant_load.note(request.route, tenant, now);
+            dispatch.tenant_load.record(request.route, tenant, now);
         }
         if inputs.crowded == 0 {
             return (Admission::Admitted, TenantStanding { rank: request.rank, work_share: None });
@@ -115,7 +115,7 @@
     }
 
     /// Counts a request that another node took, and of which this one gathers a part.
-    pub fn note_gathered(&self, route_name: &str, tenant: &TenantName) {
+    pub fn record_gathered_request(&self, route_name: &str, tenant: &TenantName) {
         let view = self.view.load();
         let Some(routes) = view.routes.as_ref() else {
             return;
@@ -123,7 +123,7 @@
         let known = routes.configuration().routes.iter().find(|known| known.name == route_name);
         if let Some(route) = known {
             let now = self.clock().now();
-            self.dispatch.lock().tenant_load.note(route, tenant, now);
+            self.dispatch.lock().tenant_load.record(route, tenant, now);
         }
     }
 }
--- a/crates/sablebay-gateway/src/tenant_admission_tests.rs
+++ b/crates/sablebay-gateway/src/tenant_admission_tests.rs
@@ -41,10 +41,10 @@
     let other = gather("other", &["b-1", "b-2"]);
     let (one, two) = (TenantName::new("one"), TenantName::new("two"));
     let mut load = TenantLoad::default();
-    load.note(&urgent, &one, NOW);
-    load.note(&patient, &one, NOW);
-    load.note(&patient, &two, NOW);
-    load.note(&other, &two, NOW);
+    load.record(&urgent, &one, NOW);
+    load.record(&patient, &one, NOW);
+    load.record(&patient, &two, NOW);
+    load.record(&other, &two, NOW);
     assert!(load.demand_of(&urgent, &one).exceeds_equal_share());
     assert!(!load.demand_of(&urgent, &two).exceeds_equal_share());
     assert_eq!(load.demand_of(&other, &two).share(), 1.0);
@@ -56,8 +56,8 @@
     let (whole, part) = (gather("whole", &["a-1", "a-2", "a-3"]), split("part", &["a-1", "a-2", "a-3"]));
     let (one, two) = (TenantName::new("one"), TenantName::new("two"));
     let mut load = TenantLoad::default();
-    load.note(&whole, &one, NOW);
-    load.note(&part, &two, NOW);
+    load.record(&whole, &one, NOW);
+    load.record(&part, &two, NOW);
     assert_eq!(load.demand_of(&whole, &one).share(), 0.75);
     assert_eq!(load.demand_of(&part, &two).share(), 0.25);
 }
@@ -67,7 +67,7 @@
     let old = gather("old", &["a-1", "a-2"]);
     let one = TenantName::new("one");
     let mut load = TenantLoad::default();
-    load.note(&old, &one, NOW);
+    load.record(&old, &one, NOW);
     load.retain(|service| service != &ServiceName::new("a-1"));
     assert_eq!(load.demand_of(&old, &one).share(), 0.0);
 }
