--- a/crates/sablebay-gateway/src/catalogue_reader.rs
+++ b/crates/sablebay-gateway/src/catalogue_reader.rs
@@ -25,7 +25,7 @@
     source: Arc<S>,
 ) {
     let mut policy = ReadingPolicy::default();
-    let mut answered_before = false;
+    let mut has_answered = false;
     loop {
         let inputs = reading_inputs(&context);
         let read = match policy.next(&inputs) {
@@ -43,12 +43,12 @@
         };
         let pause = match outcome {
             Ok(changed) => {
-                note_success(&context, policy.is_failing() || !answered_before);
-                answered_before = true;
+                record_success(&context, policy.is_failing() || !has_answered);
+                has_answered = true;
                 policy.succeeded(changed, &inputs)
             }
             Err(error) => {
-                note_failure(&context, error, policy.is_failing());
+                record_failure(&context, error, policy.is_failing());
                 policy.failed(failure_of(error), inputs.is_reader, rand::rng().random())
             }
         };
@@ -82,15 +82,15 @@
     }
 }
 
-fn note_success<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>, regained: bool) {
+fn record_success<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>, recovered: bool) {
     context.metrics.source_read("read");
     context.source_fails.store(false, Ordering::Relaxed);
-    if regained {
+    if recovered {
         log::info!("catalogue: the source answers.");
     }
 }
 
-fn note_failure<C: CallerProtocol, B: BackendProtocol>(
+fn record_failure<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     error: SourceError,
     failing: bool,
@@ -123,11 +123,11 @@
 async fn read_all<C: CallerProtocol, B: BackendProtocol, S: CatalogueSource>(
     context: &Context<C, B>,
     source: &S,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<bool, SourceError> {
     let asked_at = context.clock().now();
-    let read = source.list(patience).await?;
-    note_rejected(context, &read.rejected);
+    let read = source.list(timeout).await?;
+    log_rejected(context, &read.rejected);
     check_era(context, read.listing.at)?;
     let now = context.clock().now();
     context.node.catalogue.update(|view| {
@@ -146,15 +146,15 @@
     source: &S,
     after: CatalogueRevision,
     wait: Duration,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<bool, SourceError> {
     let asked_at = context.clock().now();
-    let news = source.watch(after, wait, patience).await?;
-    note_rejected(context, &news.rejected);
-    check_era(context, news.at)?;
+    let update = source.watch(after, wait, timeout).await?;
+    log_rejected(context, &update.rejected);
+    check_era(context, update.at)?;
     let now = context.clock().now();
-    let partial = news.partial;
-    let changed = context.node.catalogue.update(|view| apply(view, news, now));
+    let partial = update.partial;
+    let changed = context.node.catalogue.update(|view| apply(view, update, now));
     context.record_contact(asked_at, now);
     if !partial {
         context.confirm_by_source(asked_at, bound_of_wait(asked_at));
@@ -163,31 +163,31 @@
 }
 
 /// Lines about items of one answer that cannot be read: somebody may write thousands at once.
-const REJECTION_LINES: usize = 5;
+const MAXIMUM_REJECTION_LINES: usize = 5;
 
 /// What cannot be read is left out, and everything else is taken: the configuration in force stays, an entry names no
 /// replica.
-fn note_rejected<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>, rejected: &[String]) {
+fn log_rejected<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>, rejected: &[String]) {
     context.metrics.rejected_items.inc_by(rejected.len() as u64);
-    for finding in rejected.iter().take(REJECTION_LINES) {
+    for finding in rejected.iter().take(MAXIMUM_REJECTION_LINES) {
         log::error!(finding = finding.as_str(); "catalogue: an item is rejected and left out.");
     }
-    if rejected.len() > REJECTION_LINES {
-        let more = rejected.len() - REJECTION_LINES;
+    if rejected.len() > MAXIMUM_REJECTION_LINES {
+        let more = rejected.len() - MAXIMUM_REJECTION_LINES;
         log::error!(more = more; "catalogue: further items are rejected and left out.");
     }
 }
 
-fn apply(view: &mut CatalogueView, news: CatalogueNews, now: Micros) -> bool {
-    let mut changed = view.offer_configurations(news.configurations);
-    view.note_revisions(news.revisions);
-    for (change, revision) in news.replicas {
+fn apply(view: &mut CatalogueView, update: CatalogueNews, now: Micros) -> bool {
+    let mut changed = view.offer_configurations(update.configurations);
+    view.note_revisions(update.revisions);
+    for (change, revision) in update.replicas {
         changed |= view.apply(change, revision, now);
     }
-    for notice in &news.zones {
+    for notice in &update.zones {
         changed |= view.apply_notice(notice, now);
     }
-    view.advance(news.at);
+    view.advance(update.at);
     changed
 }
 
@@ -205,11 +205,11 @@
     let mut changes = context.node.catalogue.subscribe();
     let mut version = 0;
     let mut known_up_to = CataloguePosition::NOTHING;
-    break_mechanisms(&context);
-    learn(&context).await;
+    disable_mechanisms(&context);
+    wait_for_catch_up(&context).await;
     loop {
         let now = context.clock().now();
-        note_return(&context, &mut known_up_to, now);
+        log_restoration(&context, &mut known_up_to, now);
         let read = |catalogue: &CatalogueView| (routing_view(catalogue, now), catalogue.next_expiry(now));
         let (mut view, next_expiry) = context.node.catalogue.read(read);
         if !context.mechanisms.configuration && version > 0 {
@@ -222,7 +222,7 @@
             version = routes;
             context.metrics.configuration_version.set(routes as i64);
         }
-        note_evacuations(&context.view.load(), &view);
+        log_evacuations(&context.view.load(), &view);
         let serves = view.routes.is_some();
         context.install(view);
         if serves {
@@ -251,41 +251,41 @@
 }
 
 /// How often a starting node looks whether it has learnt what the fleet knows.
-const LEARNING_PERIOD: Duration = Duration::from_millis(20);
+const CATCH_UP_POLL_PERIOD: Duration = Duration::from_millis(20);
 
 /// How long a starting node waits at the most. One that is told of a configuration which does not come serves by what it has.
-const LEARNING_LIMIT: Duration = Duration::from_millis(1_500);
+const CATCH_UP_LIMIT: Duration = Duration::from_millis(1_500);
 
 /// Waits until this node knows what the fleet knew before it started, or nobody is there to tell: a source that has just come
 /// back from an older copy says less, and what it does not say would be undone here.
-async fn learn<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>) {
-    while has_to_learn(context) {
-        tokio::time::sleep(LEARNING_PERIOD).await;
+async fn wait_for_catch_up<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>) {
+    while must_wait_for_catch_up(context) {
+        tokio::time::sleep(CATCH_UP_POLL_PERIOD).await;
     }
 }
 
-fn has_to_learn<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>) -> bool {
+fn must_wait_for_catch_up<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>) -> bool {
     let (now, running_for) = (context.clock().now(), context.clock().running_for());
-    let (has_learnt, era) =
+    let (has_caught_up, era) =
         context.node.catalogue.read(|view| (view.has_caught_up(now), view.replicas_at().era()));
     // A large configuration arrives after the answer that tells of it.
-    let has_all = has_learnt && (era == Era::UNNAMED || !context.is_behind());
+    let has_all = has_caught_up && (era == Era::UNNAMED || !context.is_behind());
     let is_alone = running_for >= DISCOVERY_TIME && !context.fleet.lock().has_peers();
-    !has_all && !is_alone && running_for < LEARNING_LIMIT
+    !has_all && !is_alone && running_for < CATCH_UP_LIMIT
 }
 
 /// Says when the source has come back from an older copy, and when what was kept meanwhile is no longer.
-fn note_return<C: CallerProtocol, B: BackendProtocol>(
+fn log_restoration<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     known_up_to: &mut CataloguePosition,
     now: Micros,
 ) {
     let read =
         |view: &CatalogueView| (view.replicas_at(), view.retained(), view.version(), view.source().age(now));
-    let (position, kept, version, age) = context.node.catalogue.read(read);
+    let (position, retained, version, age) = context.node.catalogue.read(read);
     let before = std::mem::replace(known_up_to, position);
     context.metrics.source_era.set(position.era().count() as i64);
-    context.metrics.retained.set(kept as i64);
+    context.metrics.retained.set(retained as i64);
     if before.is_nothing() || before.stage() == position.stage() {
         return;
     }
@@ -293,14 +293,14 @@
     let (position, before) = (position.to_string(), before.to_string());
     if !settled {
         let settles_in_ms = SETTLE_PERIOD.since(age).as_millis();
-        log::warn!(up_to = position.as_str(), before = before.as_str(), version = version, kept = kept, settles_in_ms = settles_in_ms; "catalogue: the source came back from an older copy; what was known is kept until it settles.");
+        log::warn!(up_to = position.as_str(), before = before.as_str(), version = version, kept = retained, settles_in_ms = settles_in_ms; "catalogue: the source came back from an older copy; what was known is kept until it settles.");
     } else {
         log::info!(up_to = position.as_str(), before = before.as_str(), version = version; "catalogue: the source's era is settled; what it does not have is gone.");
     }
 }
 
 /// Turns off what the soak breaks.
-fn break_mechanisms<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>) {
+fn disable_mechanisms<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>) {
     let (leaving, evacuation) = (context.mechanisms.leaving, context.mechanisms.evacuation);
     let returns = context.mechanisms.returns;
     context.node.catalogue.update(|view| {
@@ -318,7 +318,7 @@
 }
 
 /// Says which zones get nothing new from now on, and which do again.
-fn note_evacuations(before: &RoutingView, next: &RoutingView) {
+fn log_evacuations(before: &RoutingView, next: &RoutingView) {
     for zone in next.evacuated.difference(&before.evacuated) {
         log::info!(zone = zone.as_str(); "catalogue: a zone is evacuated; its replicas get nothing new.");
     }
--- a/crates/sablebay-gateway/src/confirmation.rs
+++ b/crates/sablebay-gateway/src/confirmation.rs
@@ -45,9 +45,12 @@
     /// Puts both ages into the metrics, and how far this node knows itself behind.
     pub fn record_ages(&self) {
         let now = self.clock().now();
-        let (version, heard) = self.node.catalogue.read(|view| (view.version(), view.incoming().announced()));
-        self.metrics.announced_version.set(heard.map_or(version, |heard| heard.version) as i64);
-        self.metrics.behind.set(heard.map_or(0, |heard| now.since(heard.since).as_millis()) as i64);
+        let (version, announced) =
+            self.node.catalogue.read(|view| (view.version(), view.incoming().announced()));
+        self.metrics.announced_version.set(announced.map_or(version, |announced| announced.version) as i64);
+        self.metrics
+            .behind
+            .set(announced.map_or(0, |announced| now.since(announced.since).as_millis()) as i64);
         self.metrics.catalogue_age.set(self.catalogue_age().as_millis() as i64);
         self.metrics.configuration_age.observe(self.configuration_age().as_secs_f64());
     }
--- a/crates/sablebay-gateway/src/connections.rs
+++ b/crates/sablebay-gateway/src/connections.rs
@@ -160,7 +160,7 @@
         match tokio::time::timeout(self.connect_timeout, self.try_open()).await {
             Ok(Ok(connection)) => {
                 if keep {
-                    self.keep(connection);
+                    self.keep_idle(connection);
                 }
                 Liveness::Alive
             }
@@ -172,7 +172,7 @@
     }
 
     /// Keeps a connection if there is room and none is idle.
-    fn keep(&self, connection: Connection) {
+    fn keep_idle(&self, connection: Connection) {
         let Ok(_permit) = self.permits.clone().try_acquire_owned() else {
             return;
         };
@@ -186,8 +186,8 @@
         let now = Instant::now();
         let mut idle = self.idle.lock();
         idle.retain(|connection| {
-            let forgotten = connection.usable_until.is_some_and(|until| until <= now);
-            !connection.sender.is_closed() && !forgotten
+            let expired = connection.usable_until.is_some_and(|until| until <= now);
+            !connection.sender.is_closed() && !expired
         });
         idle.pop()
     }
--- a/crates/sablebay-gateway/src/document_fetch.rs
+++ b/crates/sablebay-gateway/src/document_fetch.rs
@@ -15,17 +15,17 @@
 use crate::context::Context;
 use crate::edge::{BackendProtocol, CallerProtocol};
 
-/// Chunks that are asked for at one moment: one is on its way while the other is asked for.
+/// Chunks that are requested for at one moment: one is on its way while the other is requested for.
 const CHUNKS_AT_ONCE: usize = 2;
-/// How long nothing may arrive before another source is asked: 40 times what a chunk needs on a link of 14 Mbit/s. What was
-/// asked for before is still taken when it comes.
-const STALL: Duration = Duration::from_millis(400);
+/// How long nothing may arrive before another source is requested: 40 times what a chunk needs on a link of 14 Mbit/s. What was
+/// requested for before is still taken when it comes.
+const STALL_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long nothing may arrive before the document is given up. A catalogue that old is read at its source.
-const GIVE_UP: Duration = Duration::from_millis(1_500);
+const FETCH_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The pause after a source that has nothing.
 const FAILURE_PAUSE: Duration = Duration::from_millis(50);
 
-/// A chunk that was asked for.
+/// A chunk that was requested for.
 struct ChunkAnswer {
     number: usize,
     source: SocketAddr,
@@ -56,9 +56,9 @@
     let (bytes, missing) = (digest.bytes, context.node.catalogue.documents.missing(digest).len());
     let source = offer.source.unwrap_or(offerer);
     if taken {
-        log::info!(document = digest.to_string().as_str(), version = offer.version, bytes = bytes, source = source.to_string().as_str(), sources_left = fetch.sources_left, took_ms = took_ms; "catalogue: a document was fetched.");
+        log::info!(document = digest.to_string().as_str(), version = offer.version, bytes = bytes, source = source.to_string().as_str(), sources_left = fetch.source_switches, took_ms = took_ms; "catalogue: a document was fetched.");
     } else {
-        log::warn!(document = digest.to_string().as_str(), version = offer.version, bytes = bytes, chunks_missing = missing, source = source.to_string().as_str(), sources_left = fetch.sources_left, took_ms = took_ms; "catalogue: a document was given up.");
+        log::warn!(document = digest.to_string().as_str(), version = offer.version, bytes = bytes, chunks_missing = missing, source = source.to_string().as_str(), sources_left = fetch.source_switches, took_ms = took_ms; "catalogue: a document was given up.");
     }
 }
 
@@ -69,12 +69,12 @@
     sources: Vec<SocketAddr>,
     source: usize,
     /// Chunks to ask for.
-    wanted: BTreeSet<usize>,
-    /// Chunks that the present source was asked for.
-    asked: BTreeSet<usize>,
+    pending: BTreeSet<usize>,
+    /// Chunks that the present source was requested for.
+    requested: BTreeSet<usize>,
     calls: JoinSet<ChunkAnswer>,
     /// How often a source was left for the next.
-    sources_left: u32,
+    source_switches: u32,
 }
 
 impl<C: CallerProtocol, B: BackendProtocol> DocumentFetch<C, B> {
@@ -88,48 +88,48 @@
         let documents = &context.node.catalogue.documents;
         documents.expire(now);
         documents.begin(digest, now);
-        let wanted = documents.missing(digest).into_iter().collect();
+        let pending = documents.missing(digest).into_iter().collect();
         let sources = source.into_iter().chain([offerer]).collect();
-        let (asked, calls) = (BTreeSet::new(), JoinSet::new());
-        Self { context, digest, sources, source: 0, wanted, asked, calls, sources_left: 0 }
+        let (requested, calls) = (BTreeSet::new(), JoinSet::new());
+        Self { context, digest, sources, source: 0, pending, requested, calls, source_switches: 0 }
     }
 
     /// Whether all of it arrived.
     async fn run(&mut self) -> bool {
         let mut last_arrival = Instant::now();
         loop {
-            self.ask();
+            self.request_chunks();
             if self.calls.is_empty() {
                 return self.context.node.catalogue.documents.is_whole(self.digest);
             }
-            match tokio::time::timeout(STALL, self.calls.join_next()).await {
+            match tokio::time::timeout(STALL_TIMEOUT, self.calls.join_next()).await {
                 Ok(Some(Ok(answer))) => {
-                    if self.take(answer) {
+                    if self.accept(answer) {
                         last_arrival = Instant::now();
                     } else {
                         tokio::time::sleep(FAILURE_PAUSE).await;
                     }
                 }
                 // A call that ended without an answer, or none within the limit.
-                Ok(_) | Err(_) => self.leave_source(),
+                Ok(_) | Err(_) => self.switch_source(),
             }
-            if last_arrival.elapsed() >= GIVE_UP {
+            if last_arrival.elapsed() >= FETCH_TIMEOUT {
                 return false;
             }
         }
     }
 
     /// Asks the present source for the next chunks.
-    fn ask(&mut self) {
-        while self.asked.len() < CHUNKS_AT_ONCE {
-            let Some(number) = self.wanted.pop_first() else {
+    fn request_chunks(&mut self) {
+        while self.requested.len() < CHUNKS_AT_ONCE {
+            let Some(number) = self.pending.pop_first() else {
                 return;
             };
-            self.asked.insert(number);
+            self.requested.insert(number);
             let (context, digest, source) = (self.context.clone(), self.digest, self.sources[self.source]);
             self.calls.spawn(async move {
                 let request = PeerRequest::DocumentChunk { digest, number: number as u64 };
-                let until = Instant::now() + GIVE_UP;
+                let until = Instant::now() + FETCH_TIMEOUT;
                 let answer = context.node.peers.request(source, Lane::Control, request, until).await;
                 let content = match answer {
                     Ok(PeerResponse::DocumentChunk { content }) => Some(content),
@@ -141,31 +141,31 @@
     }
 
     /// Takes an answer; false when it holds nothing new.
-    fn take(&mut self, answer: ChunkAnswer) -> bool {
+    fn accept(&mut self, answer: ChunkAnswer) -> bool {
         let ChunkAnswer { number, source, content } = answer;
         let documents = &self.context.node.catalogue.documents;
         let Some(content) = content else {
-            self.asked.remove(&number);
+            self.requested.remove(&number);
             if documents.missing(self.digest).contains(&number) {
-                self.wanted.insert(number);
+                self.pending.insert(number);
             }
             if source == self.sources[self.source] {
-                self.leave_source();
+                self.switch_source();
             }
             return false;
         };
-        self.asked.remove(&number);
-        self.wanted.remove(&number);
+        self.requested.remove(&number);
+        self.pending.remove(&number);
         documents.put(self.digest, number, content)
     }
 
-    /// Turns to the next source, if there is one, for what the present one was asked for as well.
-    fn leave_source(&mut self) {
+    /// Turns to the next source, if there is one, for what the present one was requested for as well.
+    fn switch_source(&mut self) {
         if self.sources.len() == 1 {
             return;
         }
         self.source = (self.source + 1) % self.sources.len();
-        self.sources_left += 1;
-        self.wanted.append(&mut self.asked);
+        self.source_switches += 1;
+        self.pending.append(&mut self.requested);
     }
 }
--- a/crates/sablebay-gateway/src/fleet_view.rs
+++ b/crates/sablebay-gateway/src/fleet_view.rs
@@ -62,17 +62,17 @@
     pub(crate) discovered: BTreeMap<NodeId, ZoneName>,
     /// How many share what is bounded for the fleet.
     pub(crate) census: FleetCensus,
-    /// The part of the fleet that the log last told of.
-    said_part: Option<FleetPart>,
+    /// The part of the fleet that the log last reported of.
+    logged_part: Option<FleetPart>,
     /// Present peers in an order that is the same on every node.
     pub(crate) ranked: Vec<FleetPeer>,
     own_rank: usize,
     /// Who asks the readers for this node's zone.
     relays: Relays,
     gatherers: Arc<Gatherers>,
-    told: Option<usize>,
+    reported: Option<usize>,
     /// The member table's count of changes when the view was brought up to date.
-    seen_changes: Option<u64>,
+    applied_changes: Option<u64>,
 }
 
 /// Orders nodes alike everywhere, the most able first, and those alike unlike their names, which follow the zones.
@@ -92,7 +92,7 @@
 const RELAYED_PEERS: usize = 7;
 
 /// Nodes that keep account of a request after its first strike: all are gone at one moment only when most nodes are.
-const KEEPERS: usize = 3;
+const QUARANTINE_OWNERS: usize = 3;
 
 /// Orders nodes alike everywhere, and for each key in another order.
 pub fn rendezvous_key(node: &NodeId, key: &[u8]) -> u64 {
@@ -118,13 +118,13 @@
             discovered: BTreeMap::from([(own.clone(), zone)]),
             own,
             census: FleetCensus::new(info.peer_address, seeds),
-            said_part: None,
+            logged_part: None,
             ranked: Vec::new(),
             own_rank: 0,
             relays: Relays::None,
             gatherers: Arc::new(Gatherers { own: this, others: Vec::new() }),
-            told: None,
-            seen_changes: None,
+            reported: None,
+            applied_changes: None,
         }
     }
 
@@ -133,10 +133,10 @@
     pub fn refresh(&mut self, node: &Shared) {
         let fleet = node.fleet.lock();
         let changes = fleet.members().changes();
-        if self.seen_changes == Some(changes) {
+        if self.applied_changes == Some(changes) {
             return;
         }
-        self.seen_changes = Some(changes);
+        self.applied_changes = Some(changes);
         let present: Vec<Arc<MemberInfo>> =
             fleet.members().present().map(|member| member.info.clone()).collect();
         let members = fleet.members().iter();
@@ -177,14 +177,14 @@
     /// Who asks the readers for this node's zone: the first of the zone in the common order.
     fn choose_relays(&self) -> Relays {
         let own_zone = &self.gatherers.own.zone;
-        let beside = || self.ranked.iter().enumerate().filter(|(_, peer)| peer.zone == *own_zone);
-        if beside().count() < RELAYED_PEERS {
+        let zone_peers = || self.ranked.iter().enumerate().filter(|(_, peer)| peer.zone == *own_zone);
+        if zone_peers().count() < RELAYED_PEERS {
             return Relays::None;
         }
-        if beside().filter(|(rank, _)| *rank < self.own_rank).count() < RELAYS {
+        if zone_peers().filter(|(rank, _)| *rank < self.own_rank).count() < RELAYS {
             return Relays::Own;
         }
-        Relays::Others(beside().take(RELAYS).map(|(_, peer)| peer.clone()).collect())
+        Relays::Others(zone_peers().take(RELAYS).map(|(_, peer)| peer.clone()).collect())
     }
 
     /// The nodes that gather shards for one another.
@@ -199,9 +199,9 @@
     }
 
     /// Whom to compare with, one after the other. Nodes begin at places of their own.
-    pub fn quarantine_peer(&self, turn: usize) -> Option<SocketAddr> {
+    pub fn quarantine_peer(&self, round: usize) -> Option<SocketAddr> {
         let peers = self.quarantine_peers();
-        if peers.is_empty() { None } else { Some(peers[(self.own_rank + turn) % peers.len()]) }
+        if peers.is_empty() { None } else { Some(peers[(self.own_rank + round) % peers.len()]) }
     }
 
     /// The nodes that keep account of a request, the first of which gives out its lease. Nothing stands for
@@ -211,7 +211,7 @@
         let others = others.map(|peer| (rendezvous_key(&peer.node, &digest.0), Some(peer.address)));
         let mut nodes: Vec<_> = others.chain([(rendezvous_key(&self.own, &digest.0), None)]).collect();
         nodes.sort_by_key(|(key, _)| *key);
-        nodes.into_iter().take(KEEPERS).map(|(_, address)| address).collect()
+        nodes.into_iter().take(QUARANTINE_OWNERS).map(|(_, address)| address).collect()
     }
 
     /// Every node met in this life, this one among them.
@@ -245,12 +245,12 @@
     }
 
     /// Whom to ask for news. Through relays: those of the zone at the first try.
-    pub fn update_source(&self, turn: PeerRotation, through_relays: bool) -> Option<&FleetPeer> {
+    pub fn update_source(&self, rotation: PeerRotation, through_relays: bool) -> Option<&FleetPeer> {
         match &self.relays {
-            Relays::Others(relays) if through_relays && turn.is_first_try() => {
-                relays.get(turn.place(relays.len()))
+            Relays::Others(relays) if through_relays && rotation.is_first_try() => {
+                relays.get(rotation.index(relays.len()))
             }
-            _ => self.ranked.get(turn.place(self.ranked.len())),
+            _ => self.ranked.get(rotation.index(self.ranked.len())),
         }
     }
 
@@ -265,27 +265,28 @@
         (nodes_in(own), others.into_iter().map(zone_nodes).collect())
     }
 
-    /// Notes the number of nodes that a peer told which knows the fleet.
+    /// Notes the number of nodes that a peer reported which knows the fleet.
     pub fn record_reported_size(&mut self, nodes: Option<u64>, now: Micros) {
         let Some(nodes) = nodes.map(|nodes| nodes as usize) else {
             return;
         };
-        self.told = self.told.max(Some(nodes));
+        self.reported = self.reported.max(Some(nodes));
         self.census.record_reported_size(nodes, now);
     }
 
     /// Whether the part of the fleet that this node sees is news for the log.
     pub fn should_log_part(&mut self, part: FleetPart) -> bool {
         /// A change of the share that is worth a line: nodes come and go one by one all the time.
-        const WORTH_A_LINE: f64 = 0.1;
-        let is_news = self.said_part.is_none_or(|said| {
-            let has_other_basis = std::mem::discriminant(&said.basis) != std::mem::discriminant(&part.basis);
-            has_other_basis || (said.share - part.share).abs() >= WORTH_A_LINE
+        const LOG_THRESHOLD: f64 = 0.1;
+        let is_due = self.logged_part.is_none_or(|logged| {
+            let has_other_basis =
+                std::mem::discriminant(&logged.basis) != std::mem::discriminant(&part.basis);
+            has_other_basis || (logged.share - part.share).abs() >= LOG_THRESHOLD
         });
-        if is_news {
-            self.said_part = Some(part);
+        if is_due {
+            self.logged_part = Some(part);
         }
-        is_news
+        is_due
     }
 
     /// How many share what is bounded, and this node's position among the sorted names met.
@@ -294,7 +295,7 @@
         (
             FleetSize {
                 discovered: self.discovered.len().max(self.nodes_by_seeds()),
-                reported: self.told,
+                reported: self.reported,
                 running_for,
             },
             position,
--- a/crates/sablebay-gateway/src/fleet_view_tests.rs
+++ b/crates/sablebay-gateway/src/fleet_view_tests.rs
@@ -34,11 +34,11 @@
 }
 
 /// The turn after so many answers, and so many failures after these.
-fn turn_after(answers: usize, failures: usize) -> PeerRotation {
-    let mut turn = PeerRotation::default();
-    (0..answers).for_each(|_| turn.answered());
-    (0..failures).for_each(|_| turn.failed());
-    turn
+fn rotation_after(answers: usize, failures: usize) -> PeerRotation {
+    let mut rotation = PeerRotation::default();
+    (0..answers).for_each(|_| rotation.answered());
+    (0..failures).for_each(|_| rotation.failed());
+    rotation
 }
 
 fn view(own: &MemberInfo, present: &[Arc<MemberInfo>]) -> FleetView {
@@ -48,10 +48,11 @@
 }
 
 /// Pairs of a node and one in another zone that it asks while all is well.
-fn questions_across(present: &[Arc<MemberInfo>]) -> usize {
+fn cross_zone_requests(present: &[Arc<MemberInfo>]) -> usize {
     let asked_across = |own: &Arc<MemberInfo>| {
         let view = view(own, present);
-        let asked = (0..READERS).filter_map(|turn| view.update_source(turn_after(turn, 0), true).cloned());
+        let asked =
+            (0..READERS).filter_map(|turn| view.update_source(rotation_after(turn, 0), true).cloned());
         asked.filter(|peer| peer.zone != own.zone).count()
     };
     present.iter().map(asked_across).sum()
@@ -61,7 +62,7 @@
 fn questions_that_cross_zones_do_not_grow_with_the_fleet() {
     let limit = ZONES * READERS * READERS;
     for nodes in [140, 300] {
-        let across = questions_across(&members(nodes));
+        let across = cross_zone_requests(&members(nodes));
         assert!(across <= limit, "{nodes} nodes: {across} ask across");
     }
 }
@@ -75,7 +76,7 @@
     for own in others {
         let view = view(own, &present);
         for turn in 0..READERS {
-            let asked = view.update_source(turn_after(turn, 0), true).expect("there are peers");
+            let asked = view.update_source(rotation_after(turn, 0), true).expect("there are peers");
             assert!(relay_names.contains(&asked.node) && asked.zone == own.zone, "{} is asked", asked.node);
         }
     }
@@ -88,10 +89,10 @@
     assert_eq!(readers.len(), READERS);
     for own in present.iter().filter(|info| !view(info, &present).is_relay()) {
         let view = view(own, &present);
-        let asked = view.update_source(turn_after(7, 1), true).expect("there are peers");
+        let asked = view.update_source(rotation_after(7, 1), true).expect("there are peers");
         assert!(readers.contains(&asked.node));
         let anybody: BTreeSet<&NodeId> = (0..140)
-            .filter_map(|turn| view.update_source(turn_after(turn, READERS), true))
+            .filter_map(|turn| view.update_source(rotation_after(turn, READERS), true))
             .map(|peer| &peer.node)
             .collect();
         assert_eq!(anybody.len(), present.len() - 1);
@@ -112,7 +113,7 @@
         let view = view(own, &present);
         assert!(!view.is_relay());
         for turn in 0..READERS {
-            let asked = view.update_source(turn_after(turn, 0), true).expect("there are peers");
+            let asked = view.update_source(rotation_after(turn, 0), true).expect("there are peers");
             assert!(readers.contains(&asked.node));
         }
     }
@@ -125,7 +126,7 @@
     for own in present.iter().filter(|own| !readers.contains(&own.key.node)) {
         let view = view(own, &present);
         for turn in 0..READERS {
-            let asked = view.update_source(turn_after(turn, 0), false).expect("there are peers");
+            let asked = view.update_source(rotation_after(turn, 0), false).expect("there are peers");
             assert!(readers.contains(&asked.node));
         }
     }
@@ -146,7 +147,7 @@
         let is_able = own.core_percent == 50;
         assert!(is_able || !view.is_reader());
         for turn in 0..READERS {
-            let asked = view.update_source(turn_after(turn, 0), true).expect("there are peers");
+            let asked = view.update_source(rotation_after(turn, 0), true).expect("there are peers");
             assert_eq!(asked.core_percent, 50, "{} asks {}", own.key.node, asked.node);
         }
     }
--- a/crates/sablebay-gateway/src/peer_rotation.rs
+++ b/crates/sablebay-gateway/src/peer_rotation.rs
@@ -5,15 +5,15 @@
 /// Where a node is among its peers, in an order that is the same on every node and begins with the readers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerRotation {
-    turn: usize,
+    offset: usize,
     failures: usize,
 }
 
 impl PeerRotation {
-    /// The place of the next peer among this many: the readers in turn, and after failures anybody in turn.
-    pub fn place(self, peers: usize) -> usize {
-        let among = if self.asks_anybody() { peers } else { READERS.min(peers) };
-        (self.turn + self.failures) % among.max(1)
+    /// The index of the next peer among this many: the readers in turn, and after failures anybody in turn.
+    pub fn index(self, peers: usize) -> usize {
+        let among = if self.includes_all_peers() { peers } else { READERS.min(peers) };
+        (self.offset + self.failures) % among.max(1)
     }
 
     /// Whether nobody has failed since the last answer.
@@ -22,19 +22,19 @@
     }
 
     /// Whether the readers failed one after the other.
-    pub fn asks_anybody(self) -> bool {
+    pub fn includes_all_peers(self) -> bool {
         self.failures >= READERS
     }
 
     /// The peer had news, or knew that there are none.
     pub fn answered(&mut self) {
-        self.turn += 1;
+        self.offset += 1;
         self.failures = 0;
     }
 
     /// The peer answered, and what it knows is old: a reader is asked next.
-    pub fn answered_late(&mut self) {
-        self.turn += 1;
+    pub fn answered_stale(&mut self) {
+        self.offset += 1;
         self.failures = 1;
     }
 
--- a/crates/sablebay-gateway/src/peer_rotation_tests.rs
+++ b/crates/sablebay-gateway/src/peer_rotation_tests.rs
@@ -13,38 +13,38 @@
 #[test]
 fn after_a_reader_that_fails_the_other_one_is_asked() {
     for before in 0..4 {
-        let mut turn = PeerRotation::default();
-        (0..before).for_each(|_| turn.answered());
-        let failed = turn.place(PEERS);
-        turn.failed();
-        assert_ne!(turn.place(PEERS), failed, "after {before} answers");
-        assert!(turn.place(PEERS) < READERS);
+        let mut rotation = PeerRotation::default();
+        (0..before).for_each(|_| rotation.answered());
+        let failed = rotation.index(PEERS);
+        rotation.failed();
+        assert_ne!(rotation.index(PEERS), failed, "after {before} answers");
+        assert!(rotation.index(PEERS) < READERS);
     }
 }
 
 #[test]
 fn after_both_readers_everybody_is_asked_one_after_the_other() {
-    let mut turn = PeerRotation::default();
+    let mut rotation = PeerRotation::default();
     let mut asked = BTreeSet::new();
     for _ in 0..READERS + PEERS {
-        asked.insert(turn.place(PEERS));
-        turn.failed();
+        asked.insert(rotation.index(PEERS));
+        rotation.failed();
     }
     assert_eq!(asked.len(), PEERS);
-    turn.answered();
-    assert!(turn.place(PEERS) < READERS);
+    rotation.answered();
+    assert!(rotation.index(PEERS) < READERS);
 }
 
 #[test]
 fn readers_that_answer_are_asked_in_turn() {
-    let mut turn = PeerRotation::default();
+    let mut rotation = PeerRotation::default();
     let places: Vec<usize> = (0..4)
         .map(|_| {
-            let place = turn.place(PEERS);
-            turn.answered();
+            let place = rotation.index(PEERS);
+            rotation.answered();
             place
         })
         .collect();
     assert_eq!(places, [0, 1, 0, 1]);
-    assert_eq!(PeerRotation::default().place(1), 0);
+    assert_eq!(PeerRotation::default().index(1), 0);
 }
--- a/crates/sablebay-gateway/src/prepare_call.rs
+++ b/crates/sablebay-gateway/src/prepare_call.rs
@@ -41,7 +41,7 @@
         match acquire_lease(context, context.digest_of(request), wanted).await {
             LeaseAnswer::Granted(run_lease) => return Ok(Some(run_lease)),
             LeaseAnswer::Taken => context.node.quarantine.wait().await,
-            LeaseAnswer::Unreached => return Err(Unsent::HeldBack),
+            LeaseAnswer::Unreachable => return Err(Unsent::HeldBack),
         }
     }
 }
--- a/crates/sablebay-gateway/src/quarantine.rs
+++ b/crates/sablebay-gateway/src/quarantine.rs
@@ -2,7 +2,7 @@
 //!
 //! Every node is told at once. Where back ends that ended together leave more requests with a first strike than
 //! that is done for, only the few nodes that keep account of each are told. A node that was not reached, or
-//! that has just started, learns of it by comparing. The first keeper that can be reached gives out the lease
+//! that has just started, learns of it by comparing. The first owner that can be reached gives out the lease
 //! of a suspect request: at most one run of it has that, over all nodes.
 
 use std::net::SocketAddr;
@@ -25,16 +25,16 @@
 /// know within about this time, well within the four seconds after which it must.
 const COMPARE_PERIOD: Duration = Duration::from_secs(1);
 /// How often a node that knows no other looks for one.
-const LONELY_PERIOD: Duration = Duration::from_millis(100);
-/// How long news are collected: back ends of one search end within some milliseconds of one another.
-const COLLECT: Duration = Duration::from_millis(5);
+const NO_PEERS_PAUSE: Duration = Duration::from_millis(100);
+/// How long updates are collected: back ends of one search end within some milliseconds of one another.
+const BATCH_DELAY: Duration = Duration::from_millis(5);
 /// How long the node that gives out the lease of a request may take to answer before the next is asked:
 /// some ways there and back.
-const KEEPER_PATIENCE: Duration = Duration::from_millis(60);
+const OWNER_TIMEOUT: Duration = Duration::from_millis(60);
 /// How long after a refusal the lease is asked for again. Runs end within some ten milliseconds.
-const ASK_PAUSE: Duration = Duration::from_millis(10);
+const LEASE_RETRY_PAUSE: Duration = Duration::from_millis(10);
 /// How long another node may take to answer.
-const PATIENCE: Duration = Duration::from_millis(900);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
 
 impl<C: CallerProtocol, B: BackendProtocol> Context<C, B> {
     /// What names a request by what it asks for.
@@ -90,7 +90,7 @@
 pub async fn share_quarantine<C: CallerProtocol, B: BackendProtocol>(context: Arc<Context<C, B>>) {
     let mut changes = context.node.quarantine.subscribe();
     let mut compare_at = Instant::now();
-    let mut turn = 0;
+    let mut round = 0;
     loop {
         tokio::select! {
             changed = changes.changed() => {
@@ -99,46 +99,46 @@
                 }
                 let ended = context.node.quarantine.ended_replicas();
                 context.dispatch.lock().table.note_ended(ended, context.clock().now());
-                tokio::time::sleep(COLLECT).await;
-                tell_news(&context);
+                tokio::time::sleep(BATCH_DELAY).await;
+                send_updates(&context);
             }
             () = tokio::time::sleep_until(compare_at) => {
                 compare_at = Instant::now() + COMPARE_PERIOD;
                 let now = context.clock().now();
                 context.dispatch.lock().table.expire_ended(now);
                 context.metrics.held_back.set(context.node.quarantine.held(now) as i64);
-                tell_news(&context);
+                send_updates(&context);
                 let peer = {
                     let mut fleet = context.fleet.lock();
                     fleet.refresh(&context.node);
-                    fleet.quarantine_peer(turn)
+                    fleet.quarantine_peer(round)
                 };
-                turn += 1;
+                round += 1;
                 match peer {
                     Some(address) => drop(tokio::spawn(compare(context.clone(), address))),
                     // A node that has just started asks as soon as it has met another.
-                    None => compare_at = Instant::now() + LONELY_PERIOD,
+                    None => compare_at = Instant::now() + NO_PEERS_PAUSE,
                 }
             }
         }
     }
 }
 
-fn tell_news<C: CallerProtocol, B: BackendProtocol>(context: &Arc<Context<C, B>>) {
-    let news = context.node.quarantine.take_news(context.clock().now());
-    if news.is_empty() {
+fn send_updates<C: CallerProtocol, B: BackendProtocol>(context: &Arc<Context<C, B>>) {
+    let updates = context.node.quarantine.take_news(context.clock().now());
+    if updates.is_empty() {
         return;
     }
     // Who has come since the fleet was last looked at must hear it too.
     context.fleet.lock().refresh(&context.node);
     let mut for_everyone = Vec::new();
-    for (notice, audience) in news {
+    for (notice, audience) in updates {
         match audience {
             Audience::AllNodes => for_everyone.push(notice),
             Audience::Owners => {
-                let keepers = context.fleet.lock().quarantine_owners(&notice.digest);
-                for address in keepers.into_iter().flatten() {
-                    tell(context, address, vec![notice.clone()], false);
+                let owners = context.fleet.lock().quarantine_owners(&notice.digest);
+                for address in owners.into_iter().flatten() {
+                    send_notices(context, address, vec![notice.clone()], false);
                 }
             }
         }
@@ -148,12 +148,12 @@
     }
     let peers = context.fleet.lock().quarantine_peers();
     for address in peers {
-        tell(context, address, for_everyone.clone(), true);
+        send_notices(context, address, for_everyone.clone(), true);
     }
 }
 
 /// Tells one node. One that cannot be reached learns of it by comparing.
-fn tell<C: CallerProtocol, B: BackendProtocol>(
+fn send_notices<C: CallerProtocol, B: BackendProtocol>(
     context: &Arc<Context<C, B>>,
     address: SocketAddr,
     notices: Vec<QuarantineNotice>,
@@ -162,7 +162,7 @@
     let context = context.clone();
     let request = PeerRequest::Quarantine { notices, to_everyone, compare: false };
     tokio::spawn(async move {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + REQUEST_TIMEOUT;
         if let Err(failure) = context.node.peers.request(address, Lane::Control, request, until).await {
             log::debug!("quarantine: {address} was not told: {failure:?}.");
         }
@@ -172,7 +172,7 @@
 async fn compare<C: CallerProtocol, B: BackendProtocol>(context: Arc<Context<C, B>>, address: SocketAddr) {
     let notices = context.node.quarantine.notices(context.clock().now());
     let request = PeerRequest::Quarantine { notices, to_everyone: false, compare: true };
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + REQUEST_TIMEOUT;
     let answer = context.node.peers.request(address, Lane::Control, request, until).await;
     if let Ok(PeerResponse::Quarantine(notices)) = answer {
         context.node.quarantine.hear("a peer", &notices, false, context.clock().now());
@@ -180,13 +180,13 @@
 }
 
 /// A run of this node that asks for the lease of its request, until this is dropped.
-struct Asking<C: CallerProtocol, B: BackendProtocol> {
+struct LeaseAttempt<C: CallerProtocol, B: BackendProtocol> {
     context: Arc<Context<C, B>>,
     digest: RequestDigest,
     run: RunId,
 }
 
-impl<C: CallerProtocol, B: BackendProtocol> Drop for Asking<C, B> {
+impl<C: CallerProtocol, B: BackendProtocol> Drop for LeaseAttempt<C, B> {
     fn drop(&mut self) {
         self.context.node.quarantine.stop_asking(&self.digest, self.run);
     }
@@ -194,16 +194,16 @@
 
 /// The lease of a suspect request, until this is dropped.
 pub struct RunLease<C: CallerProtocol, B: BackendProtocol> {
-    asking: Asking<C, B>,
+    attempt: LeaseAttempt<C, B>,
     /// Who gave it; nothing when this node did.
-    keeper: Option<SocketAddr>,
+    owner: Option<SocketAddr>,
 }
 
 impl<C: CallerProtocol, B: BackendProtocol> Drop for RunLease<C, B> {
     fn drop(&mut self) {
-        let Asking { context, digest, run } = &self.asking;
+        let LeaseAttempt { context, digest, run } = &self.attempt;
         let quarantine = &context.node.quarantine;
-        let Some(address) = self.keeper else {
+        let Some(address) = self.owner else {
             quarantine.over(digest, *run);
             return;
         };
@@ -213,24 +213,24 @@
         let context = context.clone();
         let request = PeerRequest::QuarantineLeaseEnd { notice, run: *run };
         tokio::spawn(async move {
-            let until = Instant::now() + PATIENCE;
-            // A keeper that does not hear this gives the lease to another after a while.
+            let until = Instant::now() + REQUEST_TIMEOUT;
+            // A owner that does not hear this gives the lease to another after a while.
             let _ = context.node.peers.request(address, Lane::Control, request, until).await;
         });
     }
 }
 
-/// What became of asking for the lease of a request.
+/// What became of attempt for the lease of a request.
 pub enum LeaseAnswer<C: CallerProtocol, B: BackendProtocol> {
     /// It is this run's.
     Granted(RunLease<C, B>),
     /// Another run has it.
     Taken,
     /// Nobody who could give it was reached.
-    Unreached,
+    Unreachable,
 }
 
-/// Asks for the lease of a request: the first of its keepers that can be reached.
+/// Asks for the lease of a request: the first of its owners that can be reached.
 pub async fn acquire_lease<C: CallerProtocol, B: BackendProtocol>(
     context: &Arc<Context<C, B>>,
     digest: RequestDigest,
@@ -239,14 +239,14 @@
     if !context.node.quarantine.may_ask(&digest, wanted, context.clock().now()) {
         return LeaseAnswer::Taken;
     }
-    let asking = Asking { context: context.clone(), digest, run: wanted.run };
-    let keepers = context.fleet.lock().quarantine_owners(&digest);
-    for keeper in keepers {
+    let attempt = LeaseAttempt { context: context.clone(), digest, run: wanted.run };
+    let owners = context.fleet.lock().quarantine_owners(&digest);
+    for owner in owners {
         let now = context.clock().now();
-        let Some(address) = keeper else {
+        let Some(address) = owner else {
             let granted = context.node.quarantine.grant(&digest, wanted, now);
             return if granted {
-                LeaseAnswer::Granted(RunLease { asking, keeper })
+                LeaseAnswer::Granted(RunLease { attempt, owner })
             } else {
                 LeaseAnswer::Taken
             };
@@ -255,18 +255,18 @@
             return LeaseAnswer::Taken;
         };
         let request = PeerRequest::QuarantineLease { notice, wanted };
-        let until = Instant::now() + KEEPER_PATIENCE;
+        let until = Instant::now() + OWNER_TIMEOUT;
         let answer = context.node.peers.request(address, Lane::Control, request, until).await;
         if let Ok(PeerResponse::QuarantineLease { granted, notice }) = answer {
             let known: Vec<QuarantineNotice> = notice.into_iter().collect();
             context.node.quarantine.hear("a keeper", &known, false, context.clock().now());
             if granted {
-                return LeaseAnswer::Granted(RunLease { asking, keeper });
+                return LeaseAnswer::Granted(RunLease { attempt, owner });
             }
             // Other runs of this node do not ask meanwhile.
-            tokio::time::sleep(ASK_PAUSE).await;
+            tokio::time::sleep(LEASE_RETRY_PAUSE).await;
             return LeaseAnswer::Taken;
         }
     }
-    LeaseAnswer::Unreached
+    LeaseAnswer::Unreachable
 }
--- a/crates/sablebay-gateway/src/quota.rs
+++ b/crates/sablebay-gateway/src/quota.rs
@@ -1,6 +1,6 @@
 //! Asks the account of a tenant whether a request may run, and keeps the accounts that are this node's.
 //!
-//! One question a tenant is on its way from a node; requests that come meanwhile share the next.
+//! One quota_request a tenant is on its way from a node; requests that come meanwhile share the next.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Weak};
@@ -23,32 +23,32 @@
 use crate::quota_owners::{AccountOwnerNode, FleetKnowledge};
 use crate::quota_state::{LentToken, Token, TokenGrant, Waiter};
 
-/// How long a keeper may take to answer: some ways there and back between zones, and the pause of a machine that
+/// How long a owner may take to answer: some ways there and back between zones, and the pause of a machine that
 /// has used up its share of a processor for a moment.
-const KEEPER_PATIENCE: Duration = Duration::from_millis(40);
+const OWNER_TIMEOUT: Duration = Duration::from_millis(40);
 /// How long a node that has just started refuses by itself after the seeds had nothing more to lend.
-const SEEDS_EMPTY: Micros = Micros::from_millis(25);
+const SEEDS_EMPTY_BACKOFF: Micros = Micros::from_millis(25);
 /// How often the node notes that it runs.
-const PAUSE_CHECK: Duration = Duration::from_millis(250);
+const PAUSE_CHECK_PERIOD: Duration = Duration::from_millis(250);
 /// How often a tenant's line about its quota is written at the most.
 const OVER_QUOTA_LOG_PERIOD: Micros = Micros::from_secs(1);
-/// How long a decision may take: a question on its way and the next, each to two keepers that stay silent, and as long
-/// again for a node that waits its turn. A question that is lost is begun anew after this.
-const DECISION_PATIENCE: Duration = Duration::from_millis(8 * 40);
+/// How long a decision may take: a quota_request on its way and the next, each to two owners that stay unresponsive_owners, and as long
+/// again for a node that waits its turn. A quota_request that is lost is begun anew after this.
+const DECISION_TIMEOUT: Duration = Duration::from_millis(8 * 40);
 
 /// Notes that the node runs, until it ends.
 pub async fn watch_pauses<C: CallerProtocol, B: BackendProtocol>(context: Arc<Context<C, B>>) {
     loop {
-        context.note_awake();
-        tokio::time::sleep(PAUSE_CHECK).await;
+        context.check_pause();
+        tokio::time::sleep(PAUSE_CHECK_PERIOD).await;
     }
 }
 
 impl<C: CallerProtocol, B: BackendProtocol> Context<C, B> {
-    fn note_awake(&self) {
+    fn check_pause(&self) {
         let now = self.clock().now();
         let mut quota = self.quota.lock();
-        quota.note_awake(now);
+        quota.check_pause(now);
         self.metrics.accounts.set(quota.accounts.len() as i64);
     }
 
@@ -70,16 +70,16 @@
         })
     }
 
-    fn fleet_knowledge(&self, awake_since: Micros) -> FleetKnowledge {
+    fn fleet_knowledge(&self, running_since: Micros) -> FleetKnowledge {
         let now = self.clock().now();
         let assumed = self.settings.load().assumed_nodes as usize;
-        FleetKnowledge { now, running_for: now.since(awake_since), assumed }
+        FleetKnowledge { now, running_for: now.since(running_since), assumed }
     }
 
     /// How long this node has run, for what it knows of the fleet.
     pub fn known_fleet(&self) -> FleetKnowledge {
-        let awake_since = self.quota.lock().awake_since;
-        self.fleet_knowledge(awake_since)
+        let running_since = self.quota.lock().running_since;
+        self.fleet_knowledge(running_since)
     }
 
     /// Asks for a token for a request.
@@ -94,11 +94,12 @@
         let asked_at = self.clock().now();
         let window = self.quota_rule().window;
         let (waiter, decided) = oneshot::channel();
-        let arrival = self.quota.lock().tenant(&tenant.name, window, asked_at).asker.arrive(waiter, asked_at);
+        let arrival =
+            self.quota.lock().tenant(&tenant.name, window, asked_at).requester.arrive(waiter, asked_at);
         let decision = match arrival {
             Arrival::Refused(_, empty_for) => Err(empty_for),
             Arrival::Ask(batch) => {
-                tokio::spawn(self.clone().ask_for(tenant.name.clone(), batch));
+                tokio::spawn(self.clone().run_requests(tenant.name.clone(), batch));
                 self.decision(&tenant.name, decided).await
             }
             Arrival::Queued => self.decision(&tenant.name, decided).await,
@@ -108,19 +109,19 @@
         decision.map_err(|empty_for| self.refuse_over_quota(tenant, empty_for))
     }
 
-    /// Waits until a question for a request was answered.
+    /// Waits until a quota_request for a request was answered.
     async fn decision(
         &self,
         tenant: &TenantName,
         decided: oneshot::Receiver<Result<Token, Micros>>,
     ) -> Result<Token, Micros> {
-        if let Ok(Ok(decision)) = tokio::time::timeout(DECISION_PATIENCE, decided).await {
+        if let Ok(Ok(decision)) = tokio::time::timeout(DECISION_TIMEOUT, decided).await {
             return decision;
         }
         let now = self.clock().now();
         let window = self.quota_rule().window;
-        // Whoever waited for the next question is told nothing, and comes here by itself.
-        drop(self.quota.lock().tenant(tenant, window, now).asker.lost());
+        // Whoever waited for the next quota_request is told nothing, and comes here by itself.
+        drop(self.quota.lock().tenant(tenant, window, now).requester.lost());
         if self.metrics.log_budget.take(now) {
             log::warn!(tenant = tenant.as_str(); "quota: nobody decided about a request in time.");
         }
@@ -134,7 +135,7 @@
         let is_due = now.since(known.logged_at) >= OVER_QUOTA_LOG_PERIOD;
         if is_due && self.metrics.caller_fault_log_budget.take(now) {
             known.logged_at = now;
-            let known_fleet = self.fleet_knowledge(quota.awake_since);
+            let known_fleet = self.fleet_knowledge(quota.running_since);
             drop(quota);
             let part = self.fleet.lock().part(&known_fleet);
             log::info!(tenant = tenant.name.as_str(), rate_per_s = tenant.quota.rate_per_s, burst = tenant.quota.burst, empty_for_ms = empty_for.as_millis(), fleet_share = part.share; "quota: a tenant is over its quota; {}.", part.basis);
@@ -147,31 +148,31 @@
         if let Some(LentToken { tenant, account, at }) = token.lent {
             let now = self.clock().now();
             let window = self.quota_rule().window;
-            self.quota.lock().tenant(&tenant, window, now).asker.give_back(account, at, now);
+            self.quota.lock().tenant(&tenant, window, now).requester.give_back(account, at, now);
         }
     }
 
     /// Asks for the requests of a tenant that wait, until none does.
-    async fn ask_for(self: Arc<Self>, tenant: TenantName, mut batch: Vec<Waiter>) {
+    async fn run_requests(self: Arc<Self>, tenant: TenantName, mut batch: Vec<Waiter>) {
         loop {
-            let grant = self.ask_keepers(&tenant, batch.len()).await;
+            let grant = self.request_tokens(&tenant, batch.len()).await;
             let now = self.clock().now();
-            let mut unwanted = Vec::new();
+            let mut unclaimed = Vec::new();
             for (place, waiter) in batch.into_iter().enumerate() {
                 if place >= grant.granted as usize {
                     // Who has left needs no refusal.
                     let _ = waiter.send(Err(grant.empty_for));
                 } else if waiter.send(Ok(grant.token(&tenant, now))).is_err() {
-                    unwanted.push(grant.token(&tenant, now));
+                    unclaimed.push(grant.token(&tenant, now));
                 }
             }
-            unwanted.into_iter().for_each(|token| self.give_back(token));
+            unclaimed.into_iter().for_each(|token| self.give_back(token));
             let mut quota = self.quota.lock();
-            let asker = &mut quota.tenant(&tenant, self.quota_rule().window, now).asker;
-            let next = asker.answered(grant.empty_for, now);
-            let goes_on = asker.is_asking();
+            let requester = &mut quota.tenant(&tenant, self.quota_rule().window, now).requester;
+            let next = requester.answered(grant.empty_for, now);
+            let is_asking = requester.is_asking();
             drop(quota);
-            if !goes_on {
+            if !is_asking {
                 for waiter in next {
                     let _ = waiter.send(Err(grant.empty_for));
                 }
@@ -183,61 +184,62 @@
 
     /// Asks the keeper of a tenant's account, then whoever stands in for it; what neither lends may be within
     /// this node's own part.
-    async fn ask_keepers(&self, tenant: &TenantName, waiting: usize) -> TokenGrant {
+    async fn request_tokens(&self, tenant: &TenantName, waiting: usize) -> TokenGrant {
         let wanted = u32::try_from(waiting).unwrap_or(u32::MAX);
         let Some((version, quota)) = self.known_quota(tenant).filter(|(_, quota)| quota.is_limited()) else {
             return TokenGrant { granted: wanted, ..TokenGrant::default() };
         };
         let now = self.clock().now();
-        let question = {
+        let quota_request = {
             let mut state = self.quota.lock();
             let window = self.quota_rule().window;
-            let asker = &mut state.tenant(tenant, window, now).asker;
-            let lenders = asker.lenders(window, now);
-            let returned = asker.take_returned(now);
+            let requester = &mut state.tenant(tenant, window, now).requester;
+            let lenders = requester.lenders(window, now);
+            let returned = requester.take_returned(now);
             let tenant = tenant.clone();
             QuotaRequest { tenant, version, quota, wanted, lenders, returned, starting: false }
         };
-        if let Some(lent) = self.ask_seeds(&question).await {
+        if let Some(lent) = self.ask_seeds(&quota_request).await {
             return lent;
         }
-        let keepers = {
+        let owners = {
             let mut fleet = self.fleet.lock();
             fleet.refresh(&self.node);
             fleet.account_owners(tenant)
         };
-        for keeper in keepers {
-            if let Some(grant) = self.ask_keeper(&keeper, &question).await {
+        for owner in owners {
+            if let Some(grant) = self.ask_owner(&owner, &quota_request).await {
                 if grant.granted > 0 {
                     let now = self.clock().now();
                     let window = self.quota_rule().window;
-                    self.quota.lock().tenant(tenant, window, now).asker.note_lender(grant.account, now);
+                    self.quota.lock().tenant(tenant, window, now).requester.note_lender(grant.account, now);
                 }
                 let missing = wanted.saturating_sub(grant.granted);
-                let more = if grant.from_standby { self.take_own_part(tenant, &quota, missing) } else { 0 };
+                let more =
+                    if grant.from_standby { self.take_local_allowance(tenant, &quota, missing) } else { 0 };
                 let granted = grant.granted.min(wanted) + more;
                 return TokenGrant { granted, empty_for: grant.empty_for, account: Some(grant.account) };
             }
         }
-        TokenGrant { granted: self.take_own_part(tenant, &quota, wanted), ..TokenGrant::default() }
+        TokenGrant { granted: self.take_local_allowance(tenant, &quota, wanted), ..TokenGrant::default() }
     }
 
     /// Asks the seeds, where this node has just started and does not know who keeps the account. Returns nothing where
     /// it does, or a seed does.
-    async fn ask_seeds(&self, question: &QuotaRequest) -> Option<TokenGrant> {
+    async fn ask_seeds(&self, quota_request: &QuotaRequest) -> Option<TokenGrant> {
         let seeds = {
             let mut fleet = self.fleet.lock();
             fleet.refresh(&self.node);
             if !is_starting(self.started_ago()) || fleet.census.knows_fleet() {
                 return None;
             }
-            fleet.seeds_for(&question.tenant)
+            fleet.seeds_for(&quota_request.tenant)
         };
         let mut granted = 0;
         for seed in seeds {
-            let wanted = question.wanted - granted;
+            let wanted = quota_request.wanted - granted;
             let grant =
-                self.ask_seed(seed, &QuotaRequest { wanted, starting: true, ..question.clone() }).await;
+                self.ask_seed(seed, &QuotaRequest { wanted, starting: true, ..quota_request.clone() }).await;
             let Some(grant) = grant else {
                 continue;
             };
@@ -245,66 +247,66 @@
                 return None;
             }
             granted += grant.granted.min(wanted);
-            if granted == question.wanted {
+            if granted == quota_request.wanted {
                 return Some(TokenGrant { granted, ..TokenGrant::default() });
             }
         }
         self.metrics.quota("seeds_empty", 1);
-        Some(TokenGrant { granted, empty_for: SEEDS_EMPTY, ..TokenGrant::default() })
+        Some(TokenGrant { granted, empty_for: SEEDS_EMPTY_BACKOFF, ..TokenGrant::default() })
     }
 
-    async fn ask_seed(&self, seed: Option<SocketAddr>, question: &QuotaRequest) -> Option<QuotaGrant> {
+    async fn ask_seed(&self, seed: Option<SocketAddr>, quota_request: &QuotaRequest) -> Option<QuotaGrant> {
         let Some(address) = seed else {
-            return Some(self.lend_as_seed(question));
+            return Some(self.lend_as_seed(quota_request));
         };
-        if !self.quota.lock().silent_seeds.may_ask(&address, self.clock().now()) {
+        if !self.quota.lock().unresponsive_seeds.may_ask(&address, self.clock().now()) {
             return None;
         }
-        let request = PeerRequest::Quota(question.clone());
-        let until = Instant::now() + KEEPER_PATIENCE;
+        let request = PeerRequest::Quota(quota_request.clone());
+        let until = Instant::now() + OWNER_TIMEOUT;
         let answer = self.node.peers.request(address, Lane::Control, request, until).await;
         if let Ok(PeerResponse::Quota(grant)) = answer {
             return Some(grant);
         }
         let now = self.clock().now();
         self.metrics.quota("seed_silent", 1);
-        let is_news = self.quota.lock().silent_seeds.note(address, now);
-        if is_news && self.metrics.log_budget.take(now) {
-            log::warn!(seed = address.to_string().as_str(), tenant = question.tenant.as_str(); "quota: a seed does not answer: {answer:?}.");
+        let is_first_failure = self.quota.lock().unresponsive_seeds.note(address, now);
+        if is_first_failure && self.metrics.log_budget.take(now) {
+            log::warn!(seed = address.to_string().as_str(), tenant = quota_request.tenant.as_str(); "quota: a seed does not answer: {answer:?}.");
         }
         None
     }
 
     /// Lends to a node that has just started.
-    fn lend_as_seed(&self, question: &QuotaRequest) -> QuotaGrant {
+    fn lend_as_seed(&self, quota_request: &QuotaRequest) -> QuotaGrant {
         let now = self.clock().now();
-        let known = self.known_quota(&question.tenant);
+        let known = self.known_quota(&quota_request.tenant);
         let rule = self.quota_rule();
         let mut fleet = self.fleet.lock();
         fleet.refresh(&self.node);
         let mut quota = self.quota.lock();
-        quota.note_awake(now);
-        let place = fleet.seed_place(&question.tenant, &self.fleet_knowledge(quota.awake_since));
-        quota.accounts.answer_starting(question, known, &rule, place, now)
+        quota.check_pause(now);
+        let place = fleet.seed_place(&quota_request.tenant, &self.fleet_knowledge(quota.running_since));
+        quota.accounts.answer_starting(quota_request, known, &rule, place, now)
     }
 
-    async fn ask_keeper(&self, keeper: &AccountOwnerNode, question: &QuotaRequest) -> Option<QuotaGrant> {
-        let Some(address) = keeper.address else {
-            return Some(self.lend(question));
+    async fn ask_owner(&self, owner: &AccountOwnerNode, quota_request: &QuotaRequest) -> Option<QuotaGrant> {
+        let Some(address) = owner.address else {
+            return Some(self.lend(quota_request));
         };
-        if !self.quota.lock().silent.may_ask(&keeper.node, self.clock().now()) {
+        if !self.quota.lock().unresponsive_owners.may_ask(&owner.node, self.clock().now()) {
             return None;
         }
-        let request = PeerRequest::Quota(question.clone());
-        let until = Instant::now() + KEEPER_PATIENCE;
+        let request = PeerRequest::Quota(quota_request.clone());
+        let until = Instant::now() + OWNER_TIMEOUT;
         match self.node.peers.request(address, Lane::Control, request, until).await {
             Ok(PeerResponse::Quota(grant)) => Some(grant),
             failure => {
                 let now = self.clock().now();
                 self.metrics.quota("keeper_silent", 1);
-                let is_news = self.quota.lock().silent.note(keeper.node.clone(), now);
-                if is_news && self.metrics.log_budget.take(now) {
-                    log::warn!(keeper = keeper.node.as_str(), tenant = question.tenant.as_str(); "quota: the keeper of an account does not answer: {failure:?}.");
+                let is_first_failure = self.quota.lock().unresponsive_owners.note(owner.node.clone(), now);
+                if is_first_failure && self.metrics.log_budget.take(now) {
+                    log::warn!(keeper = owner.node.as_str(), tenant = quota_request.tenant.as_str(); "quota: the keeper of an account does not answer: {failure:?}.");
                 }
                 None
             }
@@ -312,21 +314,21 @@
     }
 
     /// Lends out of an account of this node.
-    fn lend(&self, question: &QuotaRequest) -> QuotaGrant {
-        if question.starting {
-            return self.lend_as_seed(question);
+    fn lend(&self, quota_request: &QuotaRequest) -> QuotaGrant {
+        if quota_request.starting {
+            return self.lend_as_seed(quota_request);
         }
         let now = self.clock().now();
-        let known = self.known_quota(&question.tenant);
+        let known = self.known_quota(&quota_request.tenant);
         let rule = self.quota_rule();
         let mut fleet = self.fleet.lock();
         fleet.refresh(&self.node);
         let mut quota = self.quota.lock();
-        quota.note_awake(now);
-        let known_fleet = self.fleet_knowledge(quota.awake_since);
-        let standing = fleet.owner_status(&question.tenant, &known_fleet);
+        quota.check_pause(now);
+        let known_fleet = self.fleet_knowledge(quota.running_since);
+        let status = fleet.owner_status(&quota_request.tenant, &known_fleet);
         let basis = fleet.part(&known_fleet).basis;
-        let (grant, event) = quota.accounts.answer(question, known, &rule, &standing, now);
+        let (grant, event) = quota.accounts.answer(quota_request, known, &rule, &status, now);
         drop((fleet, quota));
         let outcome = match event {
             AccountEvent::Known => return grant,
@@ -335,7 +337,7 @@
         };
         self.metrics.quota(outcome, 1);
         if self.metrics.log_budget.take(now) {
-            log::info!(tenant = question.tenant.as_str(), first = standing.is_first, fleet_share = standing.share, granted = grant.granted; "quota: an account is begun; {basis}.");
+            log::info!(tenant = quota_request.tenant.as_str(), first = status.is_first, fleet_share = status.share, granted = grant.granted; "quota: an account is begun; {basis}.");
         }
         grant
     }
@@ -344,20 +346,24 @@
         Micros::from(self.clock().running_for())
     }
 
-    fn take_own_part(&self, tenant: &TenantName, quota: &Quota, wanted: u32) -> u32 {
+    fn take_local_allowance(&self, tenant: &TenantName, quota: &Quota, wanted: u32) -> u32 {
         let now = self.clock().now();
         let rule = self.quota_rule();
         let known = self.known_fleet();
         let (nodes, place) = self.fleet.lock().quota_place(tenant, &known);
-        let part = allowance_by_uptime(
+        let allowance = allowance_by_uptime(
             local_allowance(rule.total_local_allowance(quota), nodes, place),
             known.running_for,
             rule.window,
         );
-        let passed =
-            self.quota.lock().tenant(tenant, rule.window, now).own.take(part, rule.window, wanted, now);
-        self.metrics.quota("own_part", passed);
-        passed
+        let allowed = self.quota.lock().tenant(tenant, rule.window, now).local_allowance.take(
+            allowance,
+            rule.window,
+            wanted,
+            now,
+        );
+        self.metrics.quota("own_part", allowed);
+        allowed
     }
 }
 
@@ -375,9 +381,9 @@
 }
 
 impl<C: CallerProtocol, B: BackendProtocol> AccountKeeper for GatewayAccounts<C, B> {
-    fn answer(&self, question: &QuotaRequest) -> PeerResponse {
+    fn answer(&self, quota_request: &QuotaRequest) -> PeerResponse {
         match self.context.upgrade() {
-            Some(context) => PeerResponse::Quota(context.lend(question)),
+            Some(context) => PeerResponse::Quota(context.lend(quota_request)),
             None => PeerResponse::Refused(Refusal::not_run(Reason::Stopping, "the gateway has ended")),
         }
     }
--- a/crates/sablebay-gateway/src/quota_owners.rs
+++ b/crates/sablebay-gateway/src/quota_owners.rs
@@ -40,11 +40,11 @@
         let mut nodes: Vec<_> = others.chain([(key(&self.own), &self.own, None)]).collect();
         nodes.sort_unstable_by_key(|(key, node, _)| (*key, *node));
         nodes.truncate(2);
-        let keeper = |(_, node, address): (u64, &NodeId, Option<SocketAddr>)| AccountOwnerNode {
+        let owner = |(_, node, address): (u64, &NodeId, Option<SocketAddr>)| AccountOwnerNode {
             node: node.clone(),
             address,
         };
-        nodes.into_iter().map(keeper).collect()
+        nodes.into_iter().map(owner).collect()
     }
 
     /// The part of the fleet that this node sees.
@@ -53,11 +53,11 @@
         self.census.part(known.running_for, known.assumed, known.now)
     }
 
-    /// How this node stands as the keeper of a tenant's account.
+    /// How this node stands as the owner of a tenant's account.
     pub fn owner_status(&mut self, tenant: &TenantName, known: &FleetKnowledge) -> OwnerStatus {
         let first = self.account_owners(tenant).into_iter().next();
         OwnerStatus {
-            is_first: first.is_some_and(|keeper| keeper.address.is_none()),
+            is_first: first.is_some_and(|owner| owner.address.is_none()),
             share: self.part(known).share,
             running_for: known.running_for,
         }
--- a/crates/sablebay-gateway/src/quota_state.rs
+++ b/crates/sablebay-gateway/src/quota_state.rs
@@ -41,9 +41,9 @@
 #[derive(Default)]
 pub struct TenantRequests {
     /// Its requests that wait.
-    pub asker: QuotaRequester<Waiter>,
+    pub requester: QuotaRequester<Waiter>,
     /// What passed by the node's own part.
-    pub own: LocalAllowance,
+    pub local_allowance: LocalAllowance,
     /// When it was last logged as over its quota.
     pub logged_at: Micros,
 }
@@ -54,13 +54,13 @@
     /// The accounts that the node keeps.
     pub accounts: Accounts,
     /// Keepers that lately did not answer.
-    pub silent: UnresponsiveNodes,
+    pub unresponsive_owners: UnresponsiveNodes,
     /// Seeds that lately did not answer.
-    pub silent_seeds: UnresponsiveNodes<SocketAddr>,
+    pub unresponsive_seeds: UnresponsiveNodes<SocketAddr>,
     /// When the node was last seen running.
-    seen_at: Micros,
+    last_running_at: Micros,
     /// When it started, or went on after a long pause.
-    pub awake_since: Micros,
+    pub running_since: Micros,
 }
 
 impl QuotaState {
@@ -69,29 +69,30 @@
         Self {
             tenants: HashMap::new(),
             accounts: Accounts::new(first_account),
-            silent: UnresponsiveNodes::for_owners(),
-            silent_seeds: UnresponsiveNodes::for_seeds(),
-            seen_at: now,
-            awake_since: now,
+            unresponsive_owners: UnresponsiveNodes::for_owners(),
+            unresponsive_seeds: UnresponsiveNodes::for_seeds(),
+            last_running_at: now,
+            running_since: now,
         }
     }
 
     /// Notes that the node runs. After a long pause its accounts are lost: others have lent meanwhile.
-    pub fn note_awake(&mut self, now: Micros) {
-        let pause = now.since(self.seen_at);
+    pub fn check_pause(&mut self, now: Micros) {
+        let pause = now.since(self.last_running_at);
         if pause > LONG_PAUSE {
             log::warn!(pause_ms = pause.as_millis(), accounts = self.accounts.len(); "quota: the node stood still; its accounts are begun anew.");
             self.accounts.clear();
-            self.awake_since = now;
+            self.running_since = now;
         }
-        self.seen_at = self.seen_at.max(now);
+        self.last_running_at = self.last_running_at.max(now);
     }
 
     /// A tenant, made at its first request. What it did within `window` is remembered.
     pub fn tenant(&mut self, tenant: &TenantName, window: Micros, now: Micros) -> &mut TenantRequests {
         if self.tenants.len() >= IDLE_TENANTS_FROM && !self.tenants.contains_key(tenant) {
-            self.tenants
-                .retain(|_, known| !known.asker.is_idle(window, now) || !known.own.is_unused(window, now));
+            self.tenants.retain(|_, known| {
+                !known.requester.is_idle(window, now) || !known.local_allowance.is_unused(window, now)
+            });
         }
         self.tenants.entry(tenant.clone()).or_default()
     }
--- a/crates/sablebay-gateway/src/replica_shares.rs
+++ b/crates/sablebay-gateway/src/replica_shares.rs
@@ -119,7 +119,7 @@
         }
         let settings = self.settings.load();
         let (overage, slack) = (settings.warm_up_overage, settings.warm_up_slack);
-        let bearing = ColdCapacity { requests_per_s, overage, slack };
+        let capacity = ColdCapacity { requests_per_s, overage, slack };
         let (known, at_least) = match ownership.connection_owners(service) {
             ConnectionOwners::Owners(false) | ConnectionOwners::Nobody => (Vec::new(), usize::MAX),
             ConnectionOwners::Owners(true) => (self.owners_of(routes, service), 0),
@@ -129,7 +129,7 @@
         };
         let callers = Callers { own: &self.node.info.key.node, known: &known, at_least };
         let bounded = |replica: &RoutableReplica| RoutableReplica {
-            cold_calls_per_s: Some(cold_share(&replica.replica.id, &bearing, &callers)),
+            cold_calls_per_s: Some(cold_share(&replica.replica.id, &capacity, &callers)),
             ..replica.clone()
         };
         *replicas = replicas.iter().map(bounded).collect();
--- a/crates/sablebay-gateway/src/warm_up.rs
+++ b/crates/sablebay-gateway/src/warm_up.rs
@@ -15,9 +15,9 @@
 
 /// The pause between two connections. Each holds a slot of its replica for some milliseconds, and an owner of
 /// a few chunks of an index that was cut anew has hundreds to open before requests need them.
-const PAUSE: Duration = Duration::from_millis(5);
+const CONNECT_INTERVAL: Duration = Duration::from_millis(5);
 /// How often the replicas are looked at while nothing changes.
-const LOOK_PERIOD: Duration = Duration::from_millis(250);
+const POLL_PERIOD: Duration = Duration::from_millis(250);
 
 /// Opens connections until the node ends.
 pub async fn warm_up<C: CallerProtocol, B: BackendProtocol>(context: Arc<Context<C, B>>) {
@@ -27,13 +27,13 @@
         let (size, _) = context.fleet.lock().size(running_for);
         if !size.is_settled() {
             // Which replicas are this node's own is not known yet.
-            tokio::time::sleep(LOOK_PERIOD).await;
+            tokio::time::sleep(POLL_PERIOD).await;
             continue;
         }
         let mut cold = cold_replicas(&context, &mut warmed);
         if !cold.is_empty() && context.ownership_is_outdated() {
             // The view is about to be installed anew, with other replicas marked as this node's own.
-            tokio::time::sleep(LOOK_PERIOD).await;
+            tokio::time::sleep(POLL_PERIOD).await;
             continue;
         }
         // Nodes that start together do not open connections to one replica at one moment.
@@ -52,9 +52,9 @@
             let connections = context.connections_to(&replica);
             warmed.insert(replica.replica.id.clone());
             connections.open_first().await;
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(CONNECT_INTERVAL).await;
         }
-        tokio::time::sleep(LOOK_PERIOD).await;
+        tokio::time::sleep(POLL_PERIOD).await;
     }
 }
 
