--- a/crates/sablebay-gateway/src/authentication.rs
+++ b/crates/sablebay-gateway/src/authentication.rs
@@ -1,7 +1,7 @@
-//! Who a request comes from: the tenant of its caller's key.
+//! Identifies the tenant of a request by its API key.
 //!
-//! Decided once, at the node that the caller talks to; what goes on to back ends and to other nodes carries the
-//! tenant's name and no key.
+//! Authentication happens once, at the node that accepts the request. Calls to replicas and other nodes carry the
+//! tenant's name, never the key.
 
 use std::borrow::Cow;
 use std::sync::Arc;
@@ -15,28 +15,26 @@
 use crate::context::Context;
 use crate::edge::{BackendProtocol, CallerProtocol, CallerRequest, Credential, Identity, Refusal};
 
-/// When to come back to a node whose configuration is too old to say who calls: it learns of a newer one, or that
-/// there is none, within about a second of hearing anybody.
+/// `Retry-After` of a request refused because the configuration is outdated. A node in contact with peers refreshes its
+/// configuration within about a second.
 const OUTDATED_RETRY: Duration = Duration::from_millis(400);
 
-/// What digests the keys of a node's callers.
 pub fn key_digester(settings: &NodeSettings) -> KeyDigester {
     KeyDigester::new(&settings.fleet, settings.fleet_key.as_deref())
 }
 
-/// On whose behalf a request runs.
+/// The identity under which a request runs.
 #[derive(Clone, Debug)]
 pub enum Caller {
-    /// The configuration knows no tenants.
+    /// The configuration defines no tenants.
     Untracked,
-    /// Anybody: its route needs no key.
+    /// The route is public.
     Anonymous,
-    /// A tenant.
     Tenant(Arc<Tenant>),
 }
 
 impl Caller {
-    /// What its request is marked with.
+    /// The identity passed on with the request.
     pub fn identity(&self) -> Identity<'_> {
         match self {
             Self::Untracked => Identity::Untracked,
@@ -45,7 +43,6 @@
         }
     }
 
-    /// The tenant.
     pub fn tenant(&self) -> Option<&Arc<Tenant>> {
         match self {
             Self::Tenant(tenant) => Some(tenant),
@@ -54,28 +51,28 @@
     }
 }
 
-/// Why a request does not run on anybody's behalf.
+/// Why a request could not be authenticated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AuthenticationFailure {
-    /// Its caller shows no key.
+    /// The request carries no key.
     NoKey,
-    /// Its caller shows more than one key, or bytes that are none.
+    /// The request carries several keys, or one that cannot be parsed.
     MalformedKey,
-    /// The key stands for no tenant.
+    /// The key belongs to no tenant.
     UnknownKey,
-    /// The configuration was not confirmed for so long that the key may have been taken away meanwhile.
+    /// The configuration has not been confirmed within the revocation limit, so the key may have been revoked.
     Outdated {
-        /// The age of the configuration.
         age: Micros,
-        /// The limit on that age.
+        /// The configured revocation limit.
         limit: Micros,
     },
-    /// The key stands for no tenant, but may have been given out while the source could not be read.
+    /// The key belongs to no tenant of the local configuration, but may have been issued while the source was
+    /// unavailable.
     Unsure,
 }
 
 impl AuthenticationFailure {
-    /// What the caller is told.
+    /// The refusal sent to the caller.
     pub fn refusal(self) -> Refusal {
         match self {
             Self::NoKey | Self::MalformedKey | Self::UnknownKey => Refusal::UnknownCaller,
@@ -83,7 +80,7 @@
         }
     }
 
-    /// The word under which it is counted.
+    /// The label of this failure in metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::NoKey => "no_key",
@@ -94,17 +91,17 @@
         }
     }
 
-    /// The reason for the log.
+    /// A description for the log.
     pub fn reason(self) -> Cow<'static, str> {
         Cow::Borrowed(match self {
-            Self::NoKey => "the caller shows no key",
+            Self::NoKey => "the request carries no key",
             Self::MalformedKey => "the caller's key is malformed",
-            Self::UnknownKey => "the caller's key stands for no tenant",
-            Self::Unsure => "the caller's key stands for no tenant in an old configuration",
+            Self::UnknownKey => "the caller's key belongs to no tenant",
+            Self::Unsure => "the caller's key belongs to no tenant of an outdated configuration",
             Self::Outdated { age, limit } => {
                 let (age, limit) = (age.as_millis(), limit.as_millis());
                 return Cow::Owned(format!(
-                    "the configuration is too old to say who calls: {age} ms, of {limit} ms at the most"
+                    "the configuration is too old to authenticate callers: {age} ms, limit {limit} ms"
                 ));
             }
         })
@@ -112,22 +109,22 @@
 }
 
 impl<C: CallerProtocol, B: BackendProtocol> Context<C, B> {
-    /// On whose behalf a request runs, by the newest configuration that this node has heard of: one that is not in
-    /// force yet may have taken the key away.
+    /// Authenticates a request against the newest known configuration, including one that is not in force yet: that one
+    /// may have revoked the key.
     ///
     /// # Errors
-    /// Why on nobody's.
+    /// The reason why the request has no valid identity.
     pub fn authenticate(
         &self,
         request: &CallerRequest,
         route: &Route,
     ) -> Result<Caller, AuthenticationFailure> {
-        // Before the configuration is looked at: what is looked at is as new as what was confirmed, or newer.
+        // Read before the configuration, so that the configuration is at least as new as the confirmation.
         let confirmed_at = self.node.catalogue.confirmed_at();
         let newest = self.node.catalogue.read(|view| view.routes().cloned());
         let Some((routes, tenants)) = newest.as_ref().and_then(|routes| Some((routes, routes.tenants()?)))
         else {
-            // Its age is not asked for: without tenants no key was ever given out that could be taken away.
+            // The age does not matter: without tenants there are no keys to revoke.
             return Ok(Caller::Untracked);
         };
         if routes.find(&route.host, &route.prefix).map_or(route.public, |known| known.public) {
@@ -150,13 +147,13 @@
         }
     }
 
-    /// Keys may have been taken away for so long that nothing may run by them.
+    /// Fails when the configuration was last confirmed longer ago than the revocation limit.
     fn check_age(&self, confirmed_at: Option<Micros>) -> Result<(), AuthenticationFailure> {
         let Some(limit) = self.revocation_limit().filter(|_| self.mechanisms.revocation) else {
             return Ok(());
         };
         let now = self.clock().now();
-        // Since long before the start when it never was.
+        // Never confirmed counts as confirmed at time zero.
         let age = now.since(confirmed_at.unwrap_or_default());
         if age >= limit { Err(AuthenticationFailure::Outdated { age, limit }) } else { Ok(()) }
     }
--- a/crates/sablebay-gateway/src/catalogue_reader.rs
+++ b/crates/sablebay-gateway/src/catalogue_reader.rs
@@ -1,5 +1,5 @@
-//! Keeps the catalogue up to date from its source: reads it whole, then waits for changes. What
-//! comes in any way is taken into use here.
+//! Keeps the catalogue up to date from its source: reads all of it once, then watches for changes. Installs every
+//! change of the catalogue, whether it comes from the source or from a peer.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 use crate::peer_catalogue::DISCOVERY_TIME;
 use crate::routing_view::RoutingView;
 
-/// Follows the source until the node ends: reads it when it is this node's turn.
+/// Reads the source whenever the reading policy asks this node to, until the node stops.
 pub async fn follow_source<C: CallerProtocol, B: BackendProtocol, S: CatalogueSource>(
     context: Arc<Context<C, B>>,
     source: Arc<S>,
@@ -106,11 +106,11 @@
     });
     if !failing {
         let age = context.catalogue_age().as_millis();
-        log::warn!(catalogue_age_ms = age; "catalogue: the source gave nothing: {error}.");
+        log::warn!(catalogue_age_ms = age; "catalogue: reading the source failed: {error}.");
     }
 }
 
-/// Refuses an answer of an era that is over.
+/// Rejects an answer from an era that has ended.
 fn check_era<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     at: CatalogueRevision,
@@ -162,11 +162,11 @@
     Ok(changed)
 }
 
-/// Lines about items of one answer that cannot be read: somebody may write thousands at once.
+/// Maximum number of log lines about unreadable items of one answer.
 const MAXIMUM_REJECTION_LINES: usize = 5;
 
-/// What cannot be read is left out, and everything else is taken: the configuration in force stays, an entry names no
-/// replica.
+/// Logs unreadable items. The rest of the answer is applied: an unreadable configuration leaves the current one in
+/// force, an unreadable entry adds no replica.
 fn log_rejected<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>, rejected: &[String]) {
     context.metrics.rejected_items.inc_by(rejected.len() as u64);
     for finding in rejected.iter().take(MAXIMUM_REJECTION_LINES) {
@@ -191,16 +191,15 @@
     changed
 }
 
-/// How often it is looked at whether nodes that came or went make this one the owner of other shards. The
-/// spare owner keeps connections meanwhile.
+/// How often the node checks whether membership changes altered its shard ownership. The fallback owner keeps
+/// connections in the meantime.
 const OWNERSHIP_PERIOD: Duration = Duration::from_millis(500);
 
-/// The shortest time between two views. Changes come in groups, from several peers: an index that is cut anew
-/// brings hundreds of replicas. Taking each into use by itself was a quarter of the processor time of 76 nodes
-/// on such a day; the bounds on leaving replicas, evacuations and configurations are seconds.
+/// Minimum interval between two installed views. Batches changes that arrive in groups, such as the replicas of a
+/// resharded index.
 const VIEW_PERIOD: Duration = Duration::from_millis(100);
 
-/// Takes every change of the catalogue into use, until the node ends.
+/// Installs every change of the catalogue until the node stops.
 pub async fn install_changes<C: CallerProtocol, B: BackendProtocol>(context: Arc<Context<C, B>>) {
     let mut changes = context.node.catalogue.subscribe();
     let mut version = 0;
@@ -250,14 +249,15 @@
     }
 }
 
-/// How often a starting node looks whether it has learnt what the fleet knows.
+/// How often a starting node checks whether catch-up is complete.
 const CATCH_UP_POLL_PERIOD: Duration = Duration::from_millis(20);
 
-/// How long a starting node waits at the most. One that is told of a configuration which does not come serves by what it has.
+/// Maximum time that a starting node waits for catch-up. After this it serves with what it has, even if an announced
+/// configuration has not arrived.
 const CATCH_UP_LIMIT: Duration = Duration::from_millis(1_500);
 
-/// Waits until this node knows what the fleet knew before it started, or nobody is there to tell: a source that has just come
-/// back from an older copy says less, and what it does not say would be undone here.
+/// Waits until this node has caught up with the fleet, or has no peers. A source that was restored from an older copy
+/// may lack changes that peers still know.
 async fn wait_for_catch_up<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>) {
     while must_wait_for_catch_up(context) {
         tokio::time::sleep(CATCH_UP_POLL_PERIOD).await;
@@ -268,13 +268,13 @@
     let (now, running_for) = (context.clock().now(), context.clock().running_for());
     let (has_caught_up, era) =
         context.node.catalogue.read(|view| (view.has_caught_up(now), view.replicas_at().era()));
-    // A large configuration arrives after the answer that tells of it.
+    // A large configuration arrives after the answer that announces it.
     let has_all = has_caught_up && (era == Era::UNNAMED || !context.is_behind());
     let is_alone = running_for >= DISCOVERY_TIME && !context.fleet.lock().has_peers();
     !has_all && !is_alone && running_for < CATCH_UP_LIMIT
 }
 
-/// Says when the source has come back from an older copy, and when what was kept meanwhile is no longer.
+/// Logs that the source was restored from an older copy, and later that its new era has settled.
 fn log_restoration<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     known_up_to: &mut CataloguePosition,
@@ -293,13 +293,13 @@
     let (position, before) = (position.to_string(), before.to_string());
     if !settled {
         let settles_in_ms = SETTLE_PERIOD.since(age).as_millis();
-        log::warn!(up_to = position.as_str(), before = before.as_str(), version = version, kept = retained, settles_in_ms = settles_in_ms; "catalogue: the source came back from an older copy; what was known is kept until it settles.");
+        log::warn!(up_to = position.as_str(), before = before.as_str(), version = version, kept = retained, settles_in_ms = settles_in_ms; "catalogue: the source was restored from an older copy; known entries are retained until it settles.");
     } else {
-        log::info!(up_to = position.as_str(), before = before.as_str(), version = version; "catalogue: the source's era is settled; what it does not have is gone.");
+        log::info!(up_to = position.as_str(), before = before.as_str(), version = version; "catalogue: the source's era is settled; entries that it lacks are removed.");
     }
 }
 
-/// Turns off what the soak breaks.
+/// Disables the mechanisms that are switched off for testing.
 fn disable_mechanisms<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>) {
     let (leaving, evacuation) = (context.mechanisms.leaving, context.mechanisms.evacuation);
     let returns = context.mechanisms.returns;
@@ -317,13 +317,13 @@
     });
 }
 
-/// Says which zones get nothing new from now on, and which do again.
+/// Logs evacuations that began or were lifted.
 fn log_evacuations(before: &RoutingView, next: &RoutingView) {
     for zone in next.evacuated.difference(&before.evacuated) {
-        log::info!(zone = zone.as_str(); "catalogue: a zone is evacuated; its replicas get nothing new.");
+        log::info!(zone = zone.as_str(); "catalogue: a zone is evacuated; its replicas get no new calls.");
     }
     for zone in before.evacuated.difference(&next.evacuated) {
-        log::info!(zone = zone.as_str(); "catalogue: a zone is taken back; its replicas count as cold at first.");
+        log::info!(zone = zone.as_str(); "catalogue: the evacuation of a zone is lifted; its replicas count as cold at first.");
     }
 }
 
--- a/crates/sablebay-gateway/src/confirmation.rs
+++ b/crates/sablebay-gateway/src/confirmation.rs
@@ -1,4 +1,4 @@
-//! Whether what this node knows of routes and replicas may be acted on.
+//! Tracks how recently the catalogue and the configuration were confirmed, and whether they may be used.
 
 use std::sync::atomic::Ordering;
 
@@ -9,40 +9,40 @@
 use crate::edge::{BackendProtocol, CallerProtocol};
 
 impl<C: CallerProtocol, B: BackendProtocol> Context<C, B> {
-    /// Since when nobody said that there is nothing newer than the catalogue known here; since long before the start
-    /// when nobody ever did. Reads of the source go by this.
+    /// Time since the source or a peer last confirmed that the catalogue is current; the whole clock value when none
+    /// ever did. Scheduling of source reads uses this age.
     pub fn catalogue_age(&self) -> Micros {
         let now = self.clock().now();
         self.node.catalogue.contact_ago(now).unwrap_or(now)
     }
 
-    /// The age of the moment up to which the configuration known here is the newest for certain; since long before the
-    /// start when there is none. Requests with a key go by this.
+    /// Time since the latest moment for which the local configuration is known to be the newest; the whole clock value
+    /// when there is none. Authentication by key uses this age.
     pub fn configuration_age(&self) -> Micros {
         let now = self.clock().now();
         self.node.catalogue.confirmed_ago(now).unwrap_or(now)
     }
 
-    /// The limit on that age, where there is one.
+    /// The maximum configuration age for authentication, if one is set.
     pub fn revocation_limit(&self) -> Option<Micros> {
         let limit = self.settings.load().revocation_limit_ms;
         (limit > 0).then_some(Micros::from_millis(limit))
     }
 
-    /// That age where it is limited and more news may lessen it: not while a configuration is known of that could not
-    /// be read.
+    /// The configuration age with its limit. `None` when there is no limit, or when a newer configuration is known that
+    /// could not be read: no update can lower the age then.
     pub fn limited_age(&self) -> Option<LimitedAge> {
         let limit = self.revocation_limit()?;
         let newest = self.node.catalogue.read(CatalogueView::has_newest_configuration);
         newest.then(|| LimitedAge { age: self.configuration_age().as_duration(), limit: limit.as_duration() })
     }
 
-    /// Whether a configuration was heard of that is newer than the one in force here.
+    /// Whether a newer configuration than the one in force has been announced.
     pub fn is_behind(&self) -> bool {
         self.node.catalogue.read(|view| view.incoming().announced().is_some())
     }
 
-    /// Puts both ages into the metrics, and how far this node knows itself behind.
+    /// Records both ages and the lag behind the announced configuration in the metrics.
     pub fn record_ages(&self) {
         let now = self.clock().now();
         let (version, announced) =
@@ -55,15 +55,14 @@
         self.metrics.configuration_age.observe(self.configuration_age().as_secs_f64());
     }
 
-    /// Whether the configuration may well have been replaced without this node's knowing: the
-    /// source fails, and did not confirm it of late.
+    /// Whether the configuration may be outdated: the source is failing, and no confirmation arrived recently.
     pub fn catalogue_is_old(&self) -> bool {
         const OLD: Micros = Micros::from_millis(1_500);
         self.source_fails.load(Ordering::Relaxed) && self.catalogue_age() > OLD
     }
 
-    /// Looks whether the machine was suspended. Connections that rested meanwhile are closed: their other ends have
-    /// forgotten them, or have passed their addresses on.
+    /// Detects that the machine was suspended. Idle connections are closed: their remote ends have dropped them, or the
+    /// addresses now belong to other processes.
     pub fn check_suspension(&self) {
         let Some(slept) = self.node.suspension.look(&self.clock()) else {
             return;
@@ -74,15 +73,14 @@
         }
     }
 
-    /// Whether what this node knows may be acted on: not after its machine was suspended, until the catalogue has
-    /// been confirmed.
+    /// Whether the catalogue may be used. After a suspension it must be confirmed first.
     pub fn is_confirmed(&self) -> bool {
         self.check_suspension();
         self.node.suspension.is_confirmed(self.node.catalogue.last_contact(), self.clock().now())
     }
 
-    /// Notes that there was nothing newer at `at`, by an answer to what was asked at `asked_at`. One that may have
-    /// waited here while the machine was suspended says nothing.
+    /// Records that the catalogue was current at `at`, by an answer to a request sent at `asked_at`. Ignored when the
+    /// machine was suspended in between, since the answer may have been waiting locally.
     pub fn record_contact(&self, asked_at: Micros, at: Micros) {
         self.check_suspension();
         if !self.node.suspension.woke_since(asked_at) {
@@ -90,15 +88,16 @@
         }
     }
 
-    /// The same by an answer of the source, which is no word of what was there before its last return.
+    /// Confirms the configuration by an answer of the source, unless the source was restored from an older copy and has
+    /// not settled.
     pub fn confirm_by_source(&self, asked_at: Micros, bound: Micros) {
         if self.node.catalogue.read(CatalogueView::source_confirms) {
             self.confirm_configuration(asked_at, bound);
         }
     }
 
-    /// Notes that the configuration known here is the newest up to `bound` at the least, by such an answer. Not while
-    /// one is known of that could not be read.
+    /// Records that the local configuration is the newest at least up to `bound`. Ignored while a newer one is known
+    /// that could not be read.
     pub fn confirm_configuration(&self, asked_at: Micros, bound: Micros) {
         self.check_suspension();
         let newest = self.node.catalogue.read(CatalogueView::has_newest_configuration);
--- a/crates/sablebay-gateway/src/connections.rs
+++ b/crates/sablebay-gateway/src/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of this node to one replica: few, kept, one request at a time on each.
+//! Connection pool for one replica. Each connection carries one request at a time.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -22,12 +22,12 @@
 
 use crate::counted_stream::{CallTraffic, CountedStream};
 
-/// The longest head of an answer.
+/// Maximum size of a response head.
 const MAXIMUM_HEAD_BYTES: usize = 64 * 1024;
-/// How long before a replica closes an idle connection it is no longer used.
+/// Safety margin before the replica's idle timeout within which a connection is no longer reused.
 const IDLE_MARGIN: Duration = Duration::from_millis(600);
 
-/// An open connection. Dropping it closes it, which cancels a request in progress.
+/// An open connection. Dropping it closes the connection and cancels a request in progress.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
@@ -41,28 +41,28 @@
     }
 }
 
-/// Whether somebody listens at a replica's address.
+/// Whether a process listens at a replica's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Liveness {
-    /// It takes a connection.
+    /// The address accepts connections.
     Alive,
-    /// Its machine refuses connections: the process has ended.
+    /// The machine refuses connections: the process has exited.
     Ended,
-    /// No word came in time.
+    /// The probe timed out or failed in another way.
     Unknown,
 }
 
-/// A connection in use, with its place in the limit.
+/// A connection in use, with its permit from the pool.
 pub struct Lease {
     connection: Connection,
     _permit: OwnedSemaphorePermit,
 }
 
 impl Lease {
-    /// Sends a request, a hedge or retry if `extra`; the answer's head comes back.
+    /// Sends a request and returns the response head. `extra` marks a hedge or a retry.
     ///
     /// # Errors
-    /// The library's error.
+    /// The error of the HTTP client.
     pub async fn send(
         &mut self,
         request: http::Request<Full<Bytes>>,
@@ -72,13 +72,12 @@
         self.connection.sender.send_request(request).await
     }
 
-    /// Notes how long the replica keeps the connection when it is idle.
+    /// Sets the idle timeout that the replica announced for this connection.
     pub fn set_idle_timeout(&mut self, idle: Duration) {
         self.connection.usable_until = Some(Instant::now() + idle.saturating_sub(IDLE_MARGIN));
     }
 }
 
-/// The connections to one replica.
 pub struct ReplicaConnections {
     address: SocketAddr,
     idle: Mutex<Vec<Connection>>,
@@ -87,12 +86,11 @@
     opened: Counter,
     ledger: TrafficLedger,
     span: TrafficSpan,
-    /// How long a connection may take to open.
     connect_timeout: Duration,
 }
 
 impl ReplicaConnections {
-    /// No connection yet, and `limit` at the most. Their bytes are counted in `ledger`.
+    /// Creates an empty pool of at most `limit` connections. Traffic is counted in `ledger`.
     pub fn new(
         address: SocketAddr,
         limit: usize,
@@ -113,12 +111,11 @@
         }
     }
 
-    /// Where they lead.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes the limit. A lower one takes hold as connections come back.
+    /// Changes the limit. A lower limit takes effect as connections are returned.
     pub fn set_limit(&self, limit: usize) {
         let before = self.limit.swap(limit, Ordering::AcqRel);
         if limit > before {
@@ -130,8 +127,7 @@
         }
     }
 
-    /// Waits for a place in the limit, and gives an idle connection or a new one. Nothing when the
-    /// replica cannot be reached.
+    /// Waits for a permit and returns an idle connection or a new one; `None` when the replica cannot be reached.
     pub async fn lease(&self) -> Option<Lease> {
         let permit = self.permits.clone().acquire_owned().await.ok()?;
         while let Some(mut connection) = self.take_idle() {
@@ -152,9 +148,8 @@
         open(self.address, Arc::new(CallTraffic::new(self.ledger.clone(), self.span))).await
     }
 
-    /// Whether the replica still listens, after a call to it broke. A broken connection alone is no sign that its
-    /// back end has ended. The connection that this opens takes the broken one's place where `keep` allows it, so
-    /// that it costs nothing where the replica lives.
+    /// Probes whether the replica still listens after a call to it failed: a broken connection alone does not show that
+    /// the process has exited. With `keep`, the new connection replaces the broken one in the pool.
     pub async fn probe(&self, keep: bool) -> Liveness {
         self.opened.inc();
         match tokio::time::timeout(self.connect_timeout, self.try_open()).await {
@@ -171,7 +166,7 @@
         }
     }
 
-    /// Keeps a connection if there is room and none is idle.
+    /// Adds a connection to the pool if a permit is free and no connection is idle.
     fn keep_idle(&self, connection: Connection) {
         let Ok(_permit) = self.permits.clone().try_acquire_owned() else {
             return;
@@ -192,7 +187,7 @@
         idle.pop()
     }
 
-    /// Opens a connection when there is none yet and there is room for one.
+    /// Opens the first connection of the pool if a permit is free.
     pub async fn open_first(&self) {
         let Ok(permit) = self.permits.clone().try_acquire_owned() else {
             return;
@@ -208,12 +203,11 @@
         drop(permit);
     }
 
-    /// Closes the connections that are not in use.
     pub fn close_idle(&self) {
         self.idle.lock().clear();
     }
 
-    /// Gives back a connection whose answer was read to its end.
+    /// Returns a connection whose response was read to the end.
     pub fn give_back(&self, lease: Lease) {
         if !lease.connection.sender.is_closed() {
             self.idle.lock().push(lease.connection);
@@ -221,13 +215,13 @@
     }
 }
 
-/// Why a connection did not come about.
+/// Why a connection could not be opened.
 #[derive(Debug, Display, From)]
 enum OpenError {
-    /// No connection to the machine.
+    /// Connecting failed.
     #[display("{_0}")]
     Connect(std::io::Error),
-    /// It was closed at once.
+    /// The connection was closed during the handshake.
     #[display("{_0}")]
     Handshake(hyper::Error),
 }
@@ -239,7 +233,7 @@
     let mut builder = http1::Builder::new();
     builder.max_buf_size(MAXIMUM_HEAD_BYTES);
     let (sender, connection) = builder.handshake(TokioIo::new(stream)).await?;
-    // How a connection ends shows in its requests.
+    // Connection errors are reported through its requests.
     let task = tokio::spawn(async move {
         let _ = connection.await;
     });
--- a/crates/sablebay-gateway/src/document_fetch.rs
+++ b/crates/sablebay-gateway/src/document_fetch.rs
@@ -1,4 +1,5 @@
-//! Fetches a large part of the catalogue in chunks, from whom the offer names or else from who made it.
+//! Fetches a large catalogue document in chunks, from the source that the offer names or else from the peer that made
+//! the offer.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -15,24 +16,23 @@
 use crate::context::Context;
 use crate::edge::{BackendProtocol, CallerProtocol};
 
-/// Chunks that are requested for at one moment: one is on its way while the other is requested for.
+/// Number of chunks requested concurrently.
 const CHUNKS_AT_ONCE: usize = 2;
-/// How long nothing may arrive before another source is requested: 40 times what a chunk needs on a link of 14 Mbit/s. What was
-/// requested for before is still taken when it comes.
+/// Time without an answer after which the next source is used. Late answers of the previous source are still accepted.
 const STALL_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long nothing may arrive before the document is given up. A catalogue that old is read at its source.
+/// Time without a new chunk after which the fetch is abandoned.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The pause after a source that has nothing.
+/// Pause after a source that lacks the chunk.
 const FAILURE_PAUSE: Duration = Duration::from_millis(50);
 
-/// A chunk that was requested for.
+/// The answer to a request for a chunk.
 struct ChunkAnswer {
     number: usize,
     source: SocketAddr,
     content: Option<Vec<u8>>,
 }
 
-/// Fetches what was offered, and takes it into the catalogue.
+/// Fetches an offered document and merges it into the catalogue.
 pub async fn fetch_document<C: CallerProtocol, B: BackendProtocol>(
     context: Arc<Context<C, B>>,
     offer: DocumentOffer,
@@ -58,22 +58,22 @@
     if taken {
         log::info!(document = digest.to_string().as_str(), version = offer.version, bytes = bytes, source = source.to_string().as_str(), sources_left = fetch.source_switches, took_ms = took_ms; "catalogue: a document was fetched.");
     } else {
-        log::warn!(document = digest.to_string().as_str(), version = offer.version, bytes = bytes, chunks_missing = missing, source = source.to_string().as_str(), sources_left = fetch.source_switches, took_ms = took_ms; "catalogue: a document was given up.");
+        log::warn!(document = digest.to_string().as_str(), version = offer.version, bytes = bytes, chunks_missing = missing, source = source.to_string().as_str(), sources_left = fetch.source_switches, took_ms = took_ms; "catalogue: the fetch of a document was abandoned.");
     }
 }
 
 struct DocumentFetch<C, B> {
     context: Arc<Context<C, B>>,
     digest: DocumentDigest,
-    /// Whom to ask, in turn.
+    /// Sources, used in rotation.
     sources: Vec<SocketAddr>,
     source: usize,
-    /// Chunks to ask for.
+    /// Chunks to request.
     pending: BTreeSet<usize>,
-    /// Chunks that the present source was requested for.
+    /// Chunks requested from the current source.
     requested: BTreeSet<usize>,
     calls: JoinSet<ChunkAnswer>,
-    /// How often a source was left for the next.
+    /// Number of times that the fetch moved to another source.
     source_switches: u32,
 }
 
@@ -94,7 +94,7 @@
         Self { context, digest, sources, source: 0, pending, requested, calls, source_switches: 0 }
     }
 
-    /// Whether all of it arrived.
+    /// Runs the fetch; returns whether the document is complete.
     async fn run(&mut self) -> bool {
         let mut last_arrival = Instant::now();
         loop {
@@ -110,7 +110,7 @@
                         tokio::time::sleep(FAILURE_PAUSE).await;
                     }
                 }
-                // A call that ended without an answer, or none within the limit.
+                // The request failed, or the source did not answer in time.
                 Ok(_) | Err(_) => self.switch_source(),
             }
             if last_arrival.elapsed() >= FETCH_TIMEOUT {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Asks the present source for the next chunks.
+    /// Requests the next chunks from the current source.
     fn request_chunks(&mut self) {
         while self.requested.len() < CHUNKS_AT_ONCE {
             let Some(number) = self.pending.pop_first() else {
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Takes an answer; false when it holds nothing new.
+    /// Handles an answer; returns whether it held a new chunk.
     fn accept(&mut self, answer: ChunkAnswer) -> bool {
         let ChunkAnswer { number, source, content } = answer;
         let documents = &self.context.node.catalogue.documents;
@@ -159,7 +159,7 @@
         documents.put(self.digest, number, content)
     }
 
-    /// Turns to the next source, if there is one, for what the present one was requested for as well.
+    /// Switches to the next source, if there is one, and requests outstanding chunks again.
     fn switch_source(&mut self) {
         if self.sources.len() == 1 {
             return;
--- a/crates/sablebay-gateway/src/fleet_view.rs
+++ b/crates/sablebay-gateway/src/fleet_view.rs
@@ -1,5 +1,5 @@
-//! What the gateway needs to know of the other nodes: where they are, which of them read the
-//! source of the catalogue, and how many share what is bounded for the fleet.
+//! The gateway's view of the fleet: addresses of peers, readers of the catalogue source, relays of zones, and the
+//! number of nodes that share fleet-wide limits.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,90 +16,82 @@
 
 use crate::peer_rotation::PeerRotation;
 
-/// A node as the gateway sees it.
+/// A present peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetPeer {
-    /// Its name.
     pub node: NodeId,
-    /// Its zone.
     pub zone: ZoneName,
-    /// Where peers connect.
+    /// The address for peer connections.
     pub address: SocketAddr,
-    /// Whether it hears of requests that back ends ended under.
+    /// Whether the node receives quarantine notices.
     pub shares_quarantine: bool,
-    /// Whether it keeps accounts of tenants' quotas.
+    /// Whether the node can own quota accounts.
     pub keeps_accounts: bool,
-    /// The share of a processor core that it has, in hundredths.
+    /// CPU share, in percent of a core.
     pub core_percent: u32,
 }
 
-/// The nodes that gather shards for one another, as this one sees them.
+/// The nodes that can gather shards for one another, as seen by this node.
 #[derive(Debug)]
 pub struct Gatherers {
-    /// This node.
     pub own: GathererNode,
-    /// The others that are present.
+    /// The other present nodes.
     pub others: Vec<GathererNode>,
 }
 
-/// Who asks the readers of the catalogue's source for a zone.
+/// Which nodes of this zone request updates from the readers of the catalogue source.
 #[derive(Debug)]
 enum Relays {
-    /// Each of its nodes: they are few.
+    /// All nodes: the zone is small.
     None,
-    /// This node, among others.
+    /// This node is a relay.
     Own,
-    /// These peers.
+    /// These peers are the relays.
     Others(Vec<FleetPeer>),
 }
 
-/// The nodes that are present, and all that were met in this life.
+/// The present nodes, and all nodes discovered in this incarnation.
 #[derive(Debug)]
 pub struct FleetView {
     pub(crate) own: NodeId,
-    /// Every node met in this life with its zone, this one among them. Names come back after a
-    /// restart.
+    /// Every node discovered in this incarnation with its zone, including this one. Names are reused after a restart.
     pub(crate) discovered: BTreeMap<NodeId, ZoneName>,
-    /// How many share what is bounded for the fleet.
+    /// Estimates the number of nodes that share fleet-wide limits.
     pub(crate) census: FleetCensus,
-    /// The part of the fleet that the log last reported of.
+    /// The part of the fleet that was last logged.
     logged_part: Option<FleetPart>,
     /// Present peers in an order that is the same on every node.
     pub(crate) ranked: Vec<FleetPeer>,
     own_rank: usize,
-    /// Who asks the readers for this node's zone.
     relays: Relays,
     gatherers: Arc<Gatherers>,
     reported: Option<usize>,
-    /// The member table's count of changes when the view was brought up to date.
+    /// The change counter of the member table when the view was last refreshed.
     applied_changes: Option<u64>,
 }
 
-/// Orders nodes alike everywhere, the most able first, and those alike unlike their names, which follow the zones.
+/// Sort key that ranks nodes identically everywhere: by CPU share, largest first, then by a hash of the name, since
+/// names follow the zones.
 ///
-/// Who reads the source and who passes news on in a zone does so for dozens of others. By their names alone these were, in a
-/// fleet of which 8 nodes in 140 have half a core and all others a twelfth, nodes of a twelfth, which had no
-/// processor time left for two seconds after a large configuration. Machines with more of a core have the wider
-/// links as well.
+/// Readers and relays serve dozens of other nodes, so they should be the nodes with the most capacity.
 fn rank_key(node: &NodeId, core_percent: u32) -> (Reverse<u32>, u64) {
     (Reverse(core_percent), xxh3_64(node.as_str().as_bytes()))
 }
 
-/// Nodes of a zone that ask the readers for all of it: one may fail while the other goes on. The catalogue then
-/// crosses the zone's border twice, however many nodes the zone has.
+/// Number of relays in a zone. Two tolerate the failure of one, and bound the cross-zone traffic of the catalogue
+/// regardless of the size of the zone.
 const RELAYS: usize = 2;
-/// Peers in a zone from which on it has relays. In smaller ones a further hop would save little.
+/// Minimum number of peers in a zone with relays. In smaller zones the extra hop would save little traffic.
 const RELAYED_PEERS: usize = 7;
 
-/// Nodes that keep account of a request after its first strike: all are gone at one moment only when most nodes are.
+/// Number of owners of a quarantined request.
 const QUARANTINE_OWNERS: usize = 3;
 
-/// Orders nodes alike everywhere, and for each key in another order.
+/// Rendezvous hash of a node for a key.
 pub fn rendezvous_key(node: &NodeId, key: &[u8]) -> u64 {
     xxh3_64_with_seed(node.as_str().as_bytes(), xxh3_64(key))
 }
 
-/// A node as the choice of gatherers sees it.
 fn gatherer_node(info: &MemberInfo) -> GathererNode {
     GathererNode {
         node: info.key.node.clone(),
@@ -110,7 +102,6 @@
 }
 
 impl FleetView {
-    /// A view without peers.
     pub fn new(info: &MemberInfo, seeds: impl IntoIterator<Item = SocketAddr>) -> Self {
         let (own, zone) = (info.key.node.clone(), info.zone.clone());
         let this = gatherer_node(info);
@@ -128,8 +119,8 @@
         }
     }
 
-    /// Brings the view up to date. Done anew only when members came or went: it is asked for ten times a
-    /// second, and was 27 in 100 of all processor time of 76 nodes when it was done each time.
+    /// Refreshes the view if the member table has changed. Callers refresh often, and recomputing the view is
+    /// expensive.
     pub fn refresh(&mut self, node: &Shared) {
         let fleet = node.fleet.lock();
         let changes = fleet.members().changes();
@@ -147,7 +138,7 @@
         self.take_present(&present);
     }
 
-    /// Takes in which members are present.
+    /// Replaces the present members.
     pub fn take_present(&mut self, present: &[Arc<MemberInfo>]) {
         let others = || present.iter().filter(|info| info.key.node != self.own);
         let gatherers: Vec<GathererNode> =
@@ -174,7 +165,7 @@
         self.relays = self.choose_relays();
     }
 
-    /// Who asks the readers for this node's zone: the first of the zone in the common order.
+    /// Chooses the relays of this node's zone: its first nodes in the common order.
     fn choose_relays(&self) -> Relays {
         let own_zone = &self.gatherers.own.zone;
         let zone_peers = || self.ranked.iter().enumerate().filter(|(_, peer)| peer.zone == *own_zone);
@@ -187,25 +178,23 @@
         Relays::Others(zone_peers().take(RELAYS).map(|(_, peer)| peer.clone()).collect())
     }
 
-    /// The nodes that gather shards for one another.
     pub fn gatherers(&self) -> Arc<Gatherers> {
         self.gatherers.clone()
     }
 
-    /// Where the nodes listen that hear of requests which back ends ended under.
+    /// Addresses of the peers that receive quarantine notices.
     pub fn quarantine_peers(&self) -> Vec<SocketAddr> {
         let peers = self.ranked.iter().filter(|peer| peer.shares_quarantine);
         peers.map(|peer| peer.address).collect()
     }
 
-    /// Whom to compare with, one after the other. Nodes begin at places of their own.
+    /// The peer to compare quarantine state with in a round. Nodes start at different peers.
     pub fn quarantine_peer(&self, round: usize) -> Option<SocketAddr> {
         let peers = self.quarantine_peers();
         if peers.is_empty() { None } else { Some(peers[(self.own_rank + round) % peers.len()]) }
     }
 
-    /// The nodes that keep account of a request, the first of which gives out its lease. Nothing stands for
-    /// this node itself.
+    /// The owners of a quarantined request; the first one grants its lease. `None` stands for this node.
     pub fn quarantine_owners(&self, digest: &RequestDigest) -> Vec<Option<SocketAddr>> {
         let others = self.ranked.iter().filter(|peer| peer.shares_quarantine);
         let others = others.map(|peer| (rendezvous_key(&peer.node, &digest.0), Some(peer.address)));
@@ -214,37 +203,36 @@
         nodes.into_iter().take(QUARANTINE_OWNERS).map(|(_, address)| address).collect()
     }
 
-    /// Every node met in this life, this one among them.
+    /// Names of all nodes discovered in this incarnation, including this one.
     pub fn names(&self) -> Vec<NodeId> {
         self.discovered.keys().cloned().collect()
     }
 
-    /// Where a present peer listens.
+    /// The address of a present peer.
     pub fn address_of(&self, node: &NodeId) -> Option<SocketAddr> {
         self.ranked.iter().find(|peer| peer.node == *node).map(|peer| peer.address)
     }
 
-    /// Whether this node reads the source for all.
+    /// Whether this node reads the catalogue source for the fleet.
     pub fn is_reader(&self) -> bool {
         self.own_rank < READERS
     }
 
-    /// Where this node stands among those present, from 0 to 1.
+    /// Rank of this node among the present nodes, from 0 to 1.
     pub fn position(&self) -> f64 {
         self.own_rank as f64 / self.ranked.len().max(1) as f64
     }
 
-    /// Whether another node is present.
     pub fn has_peers(&self) -> bool {
         !self.ranked.is_empty()
     }
 
-    /// Whether others of its zone may ask this node for news.
+    /// Whether this node is a relay of its zone.
     pub fn is_relay(&self) -> bool {
         matches!(self.relays, Relays::Own)
     }
 
-    /// Whom to ask for news. Through relays: those of the zone at the first try.
+    /// The peer to request updates from. With `through_relays`, the first try goes to a relay of the zone.
     pub fn update_source(&self, rotation: PeerRotation, through_relays: bool) -> Option<&FleetPeer> {
         match &self.relays {
             Relays::Others(relays) if through_relays && rotation.is_first_try() => {
@@ -254,7 +242,7 @@
         }
     }
 
-    /// The nodes of a zone, and the other zones with whether one of the replicas is there.
+    /// The number of nodes in a zone, and the other zones with whether they hold one of the replicas.
     pub fn zones(&self, own: &ZoneName, replicas: &[RoutableReplica]) -> (usize, Vec<ZoneNodes>) {
         let nodes_in = |zone: &ZoneName| self.discovered.values().filter(|other| *other == zone).count();
         let others: BTreeSet<&ZoneName> = self.discovered.values().filter(|zone| *zone != own).collect();
@@ -265,7 +253,7 @@
         (nodes_in(own), others.into_iter().map(zone_nodes).collect())
     }
 
-    /// Notes the number of nodes that a peer reported which knows the fleet.
+    /// Records the fleet size reported by a peer that knows the fleet.
     pub fn record_reported_size(&mut self, nodes: Option<u64>, now: Micros) {
         let Some(nodes) = nodes.map(|nodes| nodes as usize) else {
             return;
@@ -274,9 +262,9 @@
         self.census.record_reported_size(nodes, now);
     }
 
-    /// Whether the part of the fleet that this node sees is news for the log.
+    /// Whether the part of the fleet seen by this node changed enough to be logged.
     pub fn should_log_part(&mut self, part: FleetPart) -> bool {
-        /// A change of the share that is worth a line: nodes come and go one by one all the time.
+        /// Minimum change of the share that is logged.
         const LOG_THRESHOLD: f64 = 0.1;
         let is_due = self.logged_part.is_none_or(|logged| {
             let has_other_basis =
@@ -289,7 +277,7 @@
         is_due
     }
 
-    /// How many share what is bounded, and this node's position among the sorted names met.
+    /// The number of nodes that share fleet-wide limits, and this node's position among the sorted names.
     pub fn size(&self, running_for: Micros) -> (FleetSize, usize) {
         let position = self.discovered.keys().take_while(|node| **node != self.own).count();
         (
@@ -302,8 +290,7 @@
         )
     }
 
-    /// The number of nodes by the seeds that this one reaches, where nobody that it met knows the fleet; nothing where
-    /// it reaches none, which says no number.
+    /// Fleet size extrapolated from the fraction of seeds that are reached; 0 when none is, or when the fleet is known.
     fn nodes_by_seeds(&self) -> usize {
         if self.census.knows_fleet() {
             return 0;
--- a/crates/sablebay-gateway/src/fleet_view_tests.rs
+++ b/crates/sablebay-gateway/src/fleet_view_tests.rs
@@ -1,4 +1,4 @@
-//! Whom a node asks for news of the catalogue.
+//! Choice of the peers that catalogue updates are requested from.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -33,7 +33,7 @@
     })
 }
 
-/// The turn after so many answers, and so many failures after these.
+/// A rotation after this many answers, followed by this many failures.
 fn rotation_after(answers: usize, failures: usize) -> PeerRotation {
     let mut rotation = PeerRotation::default();
     (0..answers).for_each(|_| rotation.answered());
@@ -47,7 +47,7 @@
     view
 }
 
-/// Pairs of a node and one in another zone that it asks while all is well.
+/// Counts the pairs of a node and a peer in another zone that the node requests updates from without failures.
 fn cross_zone_requests(present: &[Arc<MemberInfo>]) -> usize {
     let asked_across = |own: &Arc<MemberInfo>| {
         let view = view(own, present);
@@ -99,7 +99,6 @@
     }
 }
 
-/// The readers among these members.
 fn readers_of(present: &[Arc<MemberInfo>]) -> BTreeSet<NodeId> {
     let readers = present.iter().filter(|info| view(info, present).is_reader());
     readers.map(|info| info.key.node.clone()).collect()
@@ -134,7 +133,7 @@
 
 #[test]
 fn the_most_able_read_the_source_and_pass_news_on() {
-    // Two in each zone.
+    // Two such nodes in each zone.
     let able = |number: usize| number % 35 < 2;
     let present: Vec<Arc<MemberInfo>> = (0..140)
         .map(|number| {
--- a/crates/sablebay-gateway/src/installation.rs
+++ b/crates/sablebay-gateway/src/installation.rs
@@ -1,4 +1,4 @@
-//! Takes a new view of routes and replicas into use.
+//! Installs a new view of routes and replicas.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use crate::routing_view::RoutingView;
 
 impl<C: CallerProtocol, B: BackendProtocol> Context<C, B> {
-    /// Takes a new view of routes and replicas into use.
+    /// Installs a new view of routes and replicas.
     pub fn install(&self, mut view: RoutingView) {
         let ownership = self.ownership(&view);
         let routes = view.routes.clone();
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Sets the limits of all connections anew, and drops those to replicas that are no longer
-    /// routable. Calls in progress keep theirs until they end.
+    /// Updates the limits of all connection pools, and drops the pools of replicas that are no longer routable. Calls
+    /// in progress keep their connections until they end.
     pub fn refresh_connections(&self) {
         let view = self.view.load();
         let mut connections = self.connections.lock();
--- a/crates/sablebay-gateway/src/ownership.rs
+++ b/crates/sablebay-gateway/src/ownership.rs
@@ -1,5 +1,5 @@
-//! Which shards this node gathers for others, with how many nodes it shares their replicas, and who keeps
-//! connections to the replicas of each service.
+//! Shard ownership: which shards this node gathers for others, how many owners share their replicas, and which nodes
+//! keep connections to the replicas of each service.
 
 use std::collections::{HashMap, HashSet};
 
@@ -8,44 +8,44 @@
 
 use crate::fleet_view::Gatherers;
 
-/// Which nodes keep connections to the replicas of a service that not all nodes have room at.
+/// Which nodes keep connections to the replicas of a service that cannot accept connections from all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionOwners {
-    /// The nodes that gather the shard; whether this one does.
+    /// The owners of the shard; holds whether this node is one of them.
     Owners(bool),
-    /// Each node keeps to some of the replicas, by its position among all nodes.
+    /// Each node connects to some of the replicas, by its position among all nodes.
     ByPosition,
-    /// Nobody: no route names the service.
+    /// No node: no route uses the service.
     Nobody,
 }
 
-/// What this node gathers by the routes in force. Nothing is known before the fleet is.
+/// Ownership by the routes in force. Empty until the fleet is known.
 #[derive(Debug, Default, PartialEq)]
 pub struct Ownership {
-    /// Whether routes and nodes were known when it was made.
+    /// Whether the fleet was known when this was computed.
     known: bool,
-    /// The shards that a few nodes of each zone gather for the others.
+    /// Shards that a few nodes of each zone gather for the others.
     shards: HashMap<ServiceName, Owned>,
-    /// The services that every node calls itself.
+    /// Services that every node calls directly.
     called_by_all: HashSet<ServiceName>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Owned {
-    /// Whether this node gathers the shard.
+    /// Whether this node owns the shard.
     own: bool,
-    /// Nodes that do, in all zones.
+    /// Number of owners in all zones.
     owners: usize,
 }
 
 impl Ownership {
-    /// Of a node that knows the fleet; no route is added yet.
+    /// Ownership without routes, for a node that knows the fleet.
     pub fn of_known_fleet() -> Self {
         Self { known: true, ..Self::default() }
     }
 
-    /// Adds a route; `rate` tells how many requests a second this node takes for shards that begin with
-    /// the one named.
+    /// Adds a route. `rate` returns the requests per second that this node receives for the shards that begin with the
+    /// given one.
     pub fn add(&mut self, gatherers: &Gatherers, route: &Route, rate: impl FnOnce(&ServiceName) -> f64) {
         match &route.destination {
             Destination::Gather(gather) => {
@@ -72,7 +72,6 @@
         }
     }
 
-    /// Which nodes keep connections to the replicas of a service.
     pub fn connection_owners(&self, service: &ServiceName) -> ConnectionOwners {
         if let Some(owned) = self.shards.get(service) {
             return ConnectionOwners::Owners(owned.own);
@@ -83,7 +82,7 @@
         ConnectionOwners::Nobody
     }
 
-    /// Who spends the budgets of the services that a few nodes own.
+    /// The budget share of this node for each service with a few owners.
     pub fn budget_shares(&self) -> HashMap<ServiceName, BudgetShare> {
         let share = |owned: &Owned| match owned.own {
             true => BudgetShare::Owner { owners: owned.owners },
@@ -92,7 +91,7 @@
         self.shards.iter().map(|(shard, owned)| (shard.clone(), share(owned))).collect()
     }
 
-    /// How many nodes share the replicas of a shard that this node gathers.
+    /// Number of owners of a shard that this node owns.
     pub fn owners_of(&self, shard: &ServiceName) -> Option<usize> {
         self.shards.get(shard).filter(|owned| owned.own).map(|owned| owned.owners)
     }
--- a/crates/sablebay-gateway/src/ownership_tests.rs
+++ b/crates/sablebay-gateway/src/ownership_tests.rs
@@ -1,4 +1,4 @@
-//! Who keeps connections to the replicas of a service that not all nodes have room at.
+//! Which nodes keep connections to the replicas of a service that cannot accept connections from all nodes.
 
 use sablebay_catalogue::{Destination, Gather, Repeatability, Route, ServiceName, WeightedService};
 use sablebay_dispatch::GathererNode;
--- a/crates/sablebay-gateway/src/peer_catalogue.rs
+++ b/crates/sablebay-gateway/src/peer_catalogue.rs
@@ -1,4 +1,4 @@
-//! Learns the catalogue from peers, all the time: most nodes never read its source.
+//! Keeps the catalogue up to date from peers. Most nodes never read the source.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -18,34 +18,32 @@
 use crate::fleet_view::FleetPeer;
 use crate::peer_rotation::PeerRotation;
 
-/// How long a peer may wait until it has news.
+/// How long a peer may hold a request until it has an update.
 const UPDATE_WAIT: Duration = Duration::from_millis(700);
-/// How long one may wait that a relay of a zone asks: what the relay says is as much older for those who ask it.
+/// The same for requests of a relay: its wait adds to the age of what the nodes behind it receive.
 const RELAY_WAIT: Duration = Duration::from_millis(350);
-/// The age of a confirmation from which on another is asked than a relay: nodes in touch have one of about half
-/// of this.
+/// Catalogue age from which the next request bypasses the relays. The usual age is about half of this.
 const STALE_AGE: Micros = Micros::from_millis(2_500);
-/// How much longer its answer may take.
+/// Time allowed for the answer beyond the wait.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(350);
-/// How often the members are looked at while nobody can be asked.
+/// Pause while there is no peer to request updates from.
 const NO_PEERS_PAUSE: Duration = Duration::from_millis(100);
-/// The pause after a peer that did not answer.
+/// Pause after a failed request.
 const FAILURE_PAUSE: Duration = Duration::from_millis(50);
-/// The pause after a peer that answered and is itself behind. All nodes may be so at one time, and their answers come at
-/// once then.
+/// Pause after a peer that lags behind itself. Such peers answer at once, and all peers may lag at the same time.
 const STALE_PEER_PAUSE: Duration = Duration::from_millis(200);
 
-/// The pause after a peer that has yet to learn what the fleet knew.
+/// Pause after a peer that is still catching up.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(20);
-/// How long after its start a node has met one of its fleet, where its seeds are there. A fleet that starts anew as a whole meets
-/// after 0.7 to 0.9 s: none of it knows more than the source says.
+/// Time after start within which a node discovers a running fleet, if its seeds are reachable. When the whole fleet
+/// starts at once, discovery takes longer, but no node knows more than the source.
 pub const DISCOVERY_TIME: Duration = Duration::from_millis(300);
 
-/// How long a newer configuration than the one in force may be heard of before the log says so: a large one needs some
-/// tenths of a second to get here.
+/// How long a newer configuration may be announced but missing before this is logged. A large one takes some tenths of
+/// a second to transfer.
 const LOG_DELAY: Micros = Micros::from_millis(1_000);
 
-/// Asks peers until the node ends.
+/// Requests updates from peers until the node stops.
 pub async fn follow_peers<C: CallerProtocol, B: BackendProtocol>(context: Arc<Context<C, B>>) {
     let mut rotation = PeerRotation::default();
     let mut fetches = JoinSet::new();
@@ -53,11 +51,11 @@
     let mut peers_catching_up = 0;
     loop {
         update_node_count(&context);
-        // Also where nothing is asked for: the line says when the machine was suspended.
+        // Checked in every iteration, so that a suspension is logged even while the node is idle.
         context.check_suspension();
         context.record_ages();
         log_if_behind(&context, &mut logged_version);
-        // A relay's word is older by what it waits itself, which a limited age has no room for.
+        // Relays add their own wait to the age of a confirmation, which a revocation limit does not allow for.
         let through_relays = context.revocation_limit().is_none();
         let peer = context.fleet.lock().update_source(rotation, through_relays).cloned();
         let Some(peer) = peer else {
@@ -82,7 +80,8 @@
                 true
             }
             Answer::Offer(offer) => {
-                // What was fetched decides what is offered next; without a list of replicas nothing else helps.
+                // The result of the previous fetch determines the next offer, so fetches do not overlap. Without a list
+                // of replicas the node can do nothing else.
                 while fetches.join_next().await.is_some() {}
                 context.node.catalogue.update(|view| {
                     view.incoming_mut().begin_fetch(offer.version);
@@ -109,7 +108,7 @@
     }
 }
 
-/// Nodes of a fleet that all start at one moment need not wait for one that knows more, once all have said that they do not.
+/// Ends catch-up when every peer is itself catching up: the whole fleet has just started, and no node knows more.
 fn end_catch_up_if_all_wait<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     peers_catching_up: usize,
@@ -123,7 +122,7 @@
     }
 }
 
-/// Says once a version that this node knows itself behind it.
+/// Logs, once for each version, that a newer configuration is announced but has not arrived.
 fn log_if_behind<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>, logged_version: &mut u64) {
     let (version, announced) =
         context.node.catalogue.read(|view| (view.version(), view.incoming().announced()));
@@ -133,12 +132,12 @@
     let behind = context.clock().now().since(announced.since);
     if behind >= LOG_DELAY {
         *logged_version = announced.version;
-        log::warn!(version = version, heard = announced.version, behind_ms = behind.as_millis(), catalogue_age_ms = context.catalogue_age().as_millis(); "catalogue: a newer configuration was heard of and is not here yet.");
+        log::warn!(version = version, heard = announced.version, behind_ms = behind.as_millis(), catalogue_age_ms = context.catalogue_age().as_millis(); "catalogue: a newer configuration was announced but has not arrived.");
     }
 }
 
-/// Budgets and connections are shared by the nodes met in this life: a node that loses sight of
-/// others must not take their part, since they may be there for everybody else.
+/// Updates the number of nodes that share budgets and connections. All nodes discovered in this incarnation count: a
+/// node that loses contact with others must not use their share, since they may still be serving.
 fn update_node_count<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>) {
     let known = context.known_fleet();
     let mut fleet = context.fleet.lock();
@@ -156,12 +155,12 @@
     let position_before = context.node_position.swap(position as u64, Ordering::Relaxed);
     if before != shared as u64 || position_before != position as u64 {
         log::info!(nodes = shared, before = before, met = size.discovered, position = position; "gateway: budgets and connections are shared by {shared} nodes.");
-        // The replicas are shared out anew.
+        // Recomputes the replica shares.
         context.node.catalogue.update(|_| true);
     }
 }
 
-/// Notes the part of the fleet that this node sees, and says it where it is another one than was said last.
+/// Records the part of the fleet seen by this node, and logs it when it changed.
 fn record_fleet_part<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>, part: FleetPart) {
     context.metrics.fleet_share.set(part.share);
     *context.node.fleet_part.lock() = Some(part);
@@ -170,12 +169,12 @@
     }
 }
 
-/// Whether the configuration is close to its limit.
+/// Whether the configuration age is close to the revocation limit.
 fn is_near_limit<C: CallerProtocol, B: BackendProtocol>(context: &Context<C, B>) -> bool {
     context.limited_age().is_some_and(LimitedAge::is_near_limit)
 }
 
-/// How long a peer may hold the question until it has news.
+/// How long a peer may hold the next request until it has an update.
 fn update_wait<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     rotation: PeerRotation,
@@ -187,21 +186,21 @@
     if relays { RELAY_WAIT } else { UPDATE_WAIT }
 }
 
-/// What a peer said.
+/// The answer of a peer.
 enum Answer {
-    /// Nothing.
+    /// No usable answer.
     None,
-    /// What is new, or that nothing is.
+    /// An update, or the confirmation that there is none.
     Update,
-    /// What one knows that has yet to learn what the fleet knew, as this node.
+    /// The contents of a peer that is still catching up, like this node.
     CatchingUp,
-    /// What one knows that has not heard of the source's last return, or knows no eras.
+    /// The contents of a peer in an older era, or without support for eras.
     Behind,
-    /// Where there is more than one answer holds.
+    /// An offer of a document too large for one answer.
     Offer(DocumentOffer),
 }
 
-/// Asks one peer.
+/// Requests updates from one peer.
 async fn ask<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     peer: &FleetPeer,
@@ -215,7 +214,7 @@
     let stage = replicas_at.stage();
     let standing =
         Some(AskerStanding { stage, known_before: position.known_before, learns_from: catch_up_from });
-    // Whoever has learnt answers at once, and whoever has not is of no use.
+    // A peer that has caught up answers at once; one that has not cannot help.
     let wait = if catch_up_from.is_some() { Duration::ZERO } else { update_wait(context, rotation) };
     let request = PeerRequest::Catalogue {
         version,
@@ -241,23 +240,23 @@
     let now = context.clock().now();
     let received = (snapshot.version(), snapshot.replicas_at());
     let offer = snapshot.offer;
-    // A node of an earlier release does not know which zones are evacuated, or no eras; and one that has not heard of the
-    // source's return does not know what was said since: they confirm nothing.
+    // Peers of earlier releases that do not report evacuations or eras, and peers in an older era, confirm nothing.
     let is_in_touch = received.1.era() >= replicas_at.era();
     let contact_ago = snapshot.heard_ms_ago.filter(|_| snapshot.zones.is_some() && is_in_touch);
     let confirmation = snapshot.confirmation.filter(|_| is_in_touch);
     let is_catching_up = catch_up_from.is_some() && !snapshot.caught_up && offer.is_none();
     context.fleet.lock().record_reported_size(snapshot.nodes_met, context.clock().now());
     if context.node.catalogue.update(|view| view.merge(*snapshot, now)) {
-        log::info!(peer = peer.node.as_str(), version = received.0.unwrap_or(version), replicas_at = received.1.to_string().as_str(), had = replicas_at.to_string().as_str(), heard_ms_ago = contact_ago.unwrap_or(0), confirmed_ms_ago = confirmation.map_or(-1, |said| said.age.as_millis() as i64); "catalogue: news from a peer.");
+        log::info!(peer = peer.node.as_str(), version = received.0.unwrap_or(version), replicas_at = received.1.to_string().as_str(), had = replicas_at.to_string().as_str(), heard_ms_ago = contact_ago.unwrap_or(0), confirmed_ms_ago = confirmation.map_or(-1, |said| said.age.as_millis() as i64); "catalogue: update received from a peer.");
     }
     if let Some(offer) = offer {
         return Answer::Offer(offer);
     }
     if context.node.catalogue.read(|view| view.incoming().needs_full()) {
-        log::warn!(peer = peer.node.as_str(), version = version, told = received.0.unwrap_or(0); "catalogue: steps of a peer lead to other contents; the whole configuration is asked for.");
+        log::warn!(peer = peer.node.as_str(), version = version, told = received.0.unwrap_or(0); "catalogue: the incremental update of a peer does not match the digest; requesting the full configuration.");
     }
-    // The peer's word holds for what it knows; this node knows as much by now, or more: unless it is still fetching it.
+    // The peer's confirmation covers its own contents. This node has merged them, unless it is still fetching the
+    // announced configuration.
     if context.is_behind() {
         return if is_catching_up { Answer::CatchingUp } else { Answer::Update };
     }
@@ -283,7 +282,7 @@
     }
 }
 
-/// Counts a question without an answer; the first of several in a row has a line in the log.
+/// Counts a failed request and logs the first of several in a row.
 fn record_failed_request<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     peer: &FleetPeer,
@@ -295,6 +294,6 @@
     if rotation.is_first_try() {
         let waited = context.clock().now().since(asked_at).as_millis();
         let age = context.catalogue_age().as_millis();
-        log::warn!(peer = peer.node.as_str(), outcome = outcome, waited_ms = waited, catalogue_age_ms = age; "catalogue: no news from a peer.");
+        log::warn!(peer = peer.node.as_str(), outcome = outcome, waited_ms = waited, catalogue_age_ms = age; "catalogue: no update from a peer.");
     }
 }
--- a/crates/sablebay-gateway/src/peer_rotation_tests.rs
+++ b/crates/sablebay-gateway/src/peer_rotation_tests.rs
@@ -1,4 +1,4 @@
-//! Whom a node asks for news while some of its peers say nothing.
+//! Choice of the next peer while some peers do not answer.
 
 use std::collections::BTreeSet;
 
@@ -8,8 +8,7 @@
 
 const PEERS: usize = 76;
 
-/// Each that fails costs a second: a node that asked the same reader twice would be as much older as one that has not
-/// lost a reader at all.
+/// Guards against requesting twice from the same failed reader, which would delay updates by another timeout.
 #[test]
 fn after_a_reader_that_fails_the_other_one_is_asked() {
     for before in 0..4 {
--- a/crates/sablebay-gateway/src/quarantine.rs
+++ b/crates/sablebay-gateway/src/quarantine.rs
@@ -1,9 +1,9 @@
-//! Tells other nodes of requests that back ends ended under, and compares what is known with theirs.
+//! Shares quarantine state with other nodes.
 //!
-//! Every node is told at once. Where back ends that ended together leave more requests with a first strike than
-//! that is done for, only the few nodes that keep account of each are told. A node that was not reached, or
-//! that has just started, learns of it by comparing. The first owner that can be reached gives out the lease
-//! of a suspect request: at most one run of it has that, over all nodes.
+//! A crash of a replica during a request is announced to all nodes. When crashes at the same time give too many
+//! requests a first strike, only the owners of each request are notified. Nodes that were not reached or have just
+//! started synchronize by periodic comparison. The first reachable owner grants the lease of a suspect request, so that
+//! at most one run holds it in the fleet.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,23 +21,23 @@
 use crate::context::Context;
 use crate::edge::{BackendProtocol, CallerProtocol};
 
-/// How often what is known is compared with one other node. A node that comes back after a cut knows what the others
-/// know within about this time, well within the four seconds after which it must.
+/// Interval between comparisons with a peer, which bounds how long a node needs to synchronize after a network
+/// partition.
 const COMPARE_PERIOD: Duration = Duration::from_secs(1);
-/// How often a node that knows no other looks for one.
+/// Interval between comparisons while there is no peer.
 const NO_PEERS_PAUSE: Duration = Duration::from_millis(100);
-/// How long updates are collected: back ends of one search end within some milliseconds of one another.
+/// How long updates are collected before they are sent: replicas that one search crashes exit within milliseconds of
+/// each other.
 const BATCH_DELAY: Duration = Duration::from_millis(5);
-/// How long the node that gives out the lease of a request may take to answer before the next is asked:
-/// some ways there and back.
+/// How long an owner may take to answer a lease request before the next owner is asked.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(60);
-/// How long after a refusal the lease is asked for again. Runs end within some ten milliseconds.
+/// Pause after a refused lease request. Most runs end within some ten milliseconds.
 const LEASE_RETRY_PAUSE: Duration = Duration::from_millis(10);
-/// How long another node may take to answer.
+/// Timeout of other requests to peers.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
 
 impl<C: CallerProtocol, B: BackendProtocol> Context<C, B> {
-    /// What names a request by what it asks for.
+    /// The digest that identifies a request by its contents.
     pub fn digest_of(&self, request: &ForwardedRequest) -> RequestDigest {
         let digest = || {
             let settings = self.settings.load();
@@ -48,7 +48,7 @@
         *request.digest.get_or_init(digest)
     }
 
-    /// When a request may come back that is held back; nothing when it may be tried.
+    /// How long a quarantined request is still refused; `None` when it may run.
     pub fn held_back(&self, request: &ForwardedRequest) -> Option<Micros> {
         if !self.is_suspect(request) {
             return None;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// What is known of back ends that ended under a request.
+    /// The quarantine notice for a request, if there is one.
     pub fn quarantine_notice(&self, request: &ForwardedRequest, now: Micros) -> Option<QuarantineNotice> {
         if self.node.quarantine.is_empty() {
             return None;
@@ -68,7 +68,7 @@
         self.node.quarantine.notice(&self.digest_of(request), now)
     }
 
-    /// Whether back ends ended under requests that asked for the same.
+    /// Whether replicas crashed during requests with the same contents.
     pub fn is_suspect(&self, request: &ForwardedRequest) -> bool {
         let quarantine = &self.node.quarantine;
         self.mechanisms.quarantine
@@ -76,8 +76,8 @@
             && quarantine.standing(&self.digest_of(request), self.clock().now()) != QuarantineStatus::Clear
     }
 
-    /// Whether a run of a request may begin at a service. Every first call, hedge, retry and gathered part
-    /// asks, before and after it waited for a connection.
+    /// Whether a run of a request may begin at a service. Checked for every first call, hedge, retry and gathered part,
+    /// before and after the wait for a connection.
     pub fn permit_run(&self, request: &ForwardedRequest, service: &ServiceName) -> RunPermit {
         if !self.is_suspect(request) {
             return RunPermit::Free;
@@ -86,7 +86,7 @@
     }
 }
 
-/// Tells and compares until the node ends.
+/// Sends updates and compares state with peers until the node stops.
 pub async fn share_quarantine<C: CallerProtocol, B: BackendProtocol>(context: Arc<Context<C, B>>) {
     let mut changes = context.node.quarantine.subscribe();
     let mut compare_at = Instant::now();
@@ -116,7 +116,7 @@
                 round += 1;
                 match peer {
                     Some(address) => drop(tokio::spawn(compare(context.clone(), address))),
-                    // A node that has just started asks as soon as it has met another.
+                    // A node that has just started compares as soon as it has a peer.
                     None => compare_at = Instant::now() + NO_PEERS_PAUSE,
                 }
             }
@@ -129,7 +129,7 @@
     if updates.is_empty() {
         return;
     }
-    // Who has come since the fleet was last looked at must hear it too.
+    // Includes nodes that joined since the last refresh.
     context.fleet.lock().refresh(&context.node);
     let mut for_everyone = Vec::new();
     for (notice, audience) in updates {
@@ -152,7 +152,7 @@
     }
 }
 
-/// Tells one node. One that cannot be reached learns of it by comparing.
+/// Sends notices to one node. A node that cannot be reached receives them by comparison.
 fn send_notices<C: CallerProtocol, B: BackendProtocol>(
     context: &Arc<Context<C, B>>,
     address: SocketAddr,
@@ -164,7 +164,7 @@
     tokio::spawn(async move {
         let until = Instant::now() + REQUEST_TIMEOUT;
         if let Err(failure) = context.node.peers.request(address, Lane::Control, request, until).await {
-            log::debug!("quarantine: {address} was not told: {failure:?}.");
+            log::debug!("quarantine: a notice to {address} failed: {failure:?}.");
         }
     });
 }
@@ -179,7 +179,7 @@
     }
 }
 
-/// A run of this node that asks for the lease of its request, until this is dropped.
+/// A pending lease request of a local run; ends when dropped.
 struct LeaseAttempt<C: CallerProtocol, B: BackendProtocol> {
     context: Arc<Context<C, B>>,
     digest: RequestDigest,
@@ -192,10 +192,10 @@
     }
 }
 
-/// The lease of a suspect request, until this is dropped.
+/// The lease of a suspect request; released when dropped.
 pub struct RunLease<C: CallerProtocol, B: BackendProtocol> {
     attempt: LeaseAttempt<C, B>,
-    /// Who gave it; nothing when this node did.
+    /// The owner that granted the lease; `None` for this node.
     owner: Option<SocketAddr>,
 }
 
@@ -214,23 +214,23 @@
         let request = PeerRequest::QuarantineLeaseEnd { notice, run: *run };
         tokio::spawn(async move {
             let until = Instant::now() + REQUEST_TIMEOUT;
-            // A owner that does not hear this gives the lease to another after a while.
+            // If this message is lost, the lease expires at the owner.
             let _ = context.node.peers.request(address, Lane::Control, request, until).await;
         });
     }
 }
 
-/// What became of attempt for the lease of a request.
+/// The outcome of a lease request.
 pub enum LeaseAnswer<C: CallerProtocol, B: BackendProtocol> {
-    /// It is this run's.
+    /// This run holds the lease.
     Granted(RunLease<C, B>),
-    /// Another run has it.
+    /// Another run holds the lease.
     Taken,
-    /// Nobody who could give it was reached.
+    /// No owner could be reached.
     Unreachable,
 }
 
-/// Asks for the lease of a request: the first of its owners that can be reached.
+/// Requests the lease of a request from its first reachable owner.
 pub async fn acquire_lease<C: CallerProtocol, B: BackendProtocol>(
     context: &Arc<Context<C, B>>,
     digest: RequestDigest,
@@ -263,7 +263,7 @@
             if granted {
                 return LeaseAnswer::Granted(RunLease { attempt, owner });
             }
-            // Other runs of this node do not ask meanwhile.
+            // Keeps other runs of this node from requesting the lease in the meantime.
             tokio::time::sleep(LEASE_RETRY_PAUSE).await;
             return LeaseAnswer::Taken;
         }
--- a/crates/sablebay-gateway/src/quota.rs
+++ b/crates/sablebay-gateway/src/quota.rs
@@ -1,6 +1,6 @@
-//! Asks the account of a tenant whether a request may run, and keeps the accounts that are this node's.
+//! Obtains quota tokens for requests, and answers for the accounts that this node owns.
 //!
-//! One quota_request a tenant is on its way from a node; requests that come meanwhile share the next.
+//! A node has at most one quota request per tenant in flight; requests that arrive in the meantime share the next one.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Weak};
@@ -23,20 +23,19 @@
 use crate::quota_owners::{AccountOwnerNode, FleetKnowledge};
 use crate::quota_state::{LentToken, Token, TokenGrant, Waiter};
 
-/// How long a owner may take to answer: some ways there and back between zones, and the pause of a machine that
-/// has used up its share of a processor for a moment.
+/// How long an owner may take to answer. Covers round trips between zones and a short CPU throttling pause.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(40);
-/// How long a node that has just started refuses by itself after the seeds had nothing more to lend.
+/// How long a starting node refuses locally after the seeds had no more tokens.
 const SEEDS_EMPTY_BACKOFF: Micros = Micros::from_millis(25);
-/// How often the node notes that it runs.
+/// How often the node checks for long pauses of its own process.
 const PAUSE_CHECK_PERIOD: Duration = Duration::from_millis(250);
-/// How often a tenant's line about its quota is written at the most.
+/// Minimum interval between two log lines about one tenant's quota.
 const OVER_QUOTA_LOG_PERIOD: Micros = Micros::from_secs(1);
-/// How long a decision may take: a quota_request on its way and the next, each to two owners that stay unresponsive_owners, and as long
-/// again for a node that waits its turn. A quota_request that is lost is begun anew after this.
+/// Maximum wait for a decision: the quota request in flight and the next one, each with two unresponsive owners, and
+/// twice that for scheduling delays. A lost quota request is restarted after this.
 const DECISION_TIMEOUT: Duration = Duration::from_millis(8 * 40);
 
-/// Notes that the node runs, until it ends.
+/// Checks for long pauses until the node stops.
 pub async fn watch_pauses<C: CallerProtocol, B: BackendProtocol>(context: Arc<Context<C, B>>) {
     loop {
         context.check_pause();
@@ -61,7 +60,7 @@
         }
     }
 
-    /// The quota of a tenant in the newest configuration, and its version.
+    /// The configuration version and the quota of a tenant, by the newest configuration.
     fn known_quota(&self, tenant: &TenantName) -> Option<(u64, Quota)> {
         self.node.catalogue.read(|view| {
             let routes = view.routes()?;
@@ -76,16 +75,16 @@
         FleetKnowledge { now, running_for: now.since(running_since), assumed }
     }
 
-    /// How long this node has run, for what it knows of the fleet.
+    /// The current inputs for assumptions about the fleet.
     pub fn known_fleet(&self) -> FleetKnowledge {
         let running_since = self.quota.lock().running_since;
         self.fleet_knowledge(running_since)
     }
 
-    /// Asks for a token for a request.
+    /// Takes a token for a request.
     ///
     /// # Errors
-    /// When its tenant is over its quota: when to come back.
+    /// The time after which to retry, when the tenant is over its quota.
     pub async fn take_token(self: &Arc<Self>, tenant: Option<&Arc<Tenant>>) -> Result<Token, Micros> {
         let limited = tenant.filter(|tenant| tenant.quota.is_limited() && self.mechanisms.quota);
         let Some(tenant) = limited else {
@@ -109,7 +108,7 @@
         decision.map_err(|empty_for| self.refuse_over_quota(tenant, empty_for))
     }
 
-    /// Waits until a quota_request for a request was answered.
+    /// Waits for the decision about a request.
     async fn decision(
         &self,
         tenant: &TenantName,
@@ -120,10 +119,10 @@
         }
         let now = self.clock().now();
         let window = self.quota_rule().window;
-        // Whoever waited for the next quota_request is told nothing, and comes here by itself.
+        // Dropping the other waiters makes them time out here as well.
         drop(self.quota.lock().tenant(tenant, window, now).requester.lost());
         if self.metrics.log_budget.take(now) {
-            log::warn!(tenant = tenant.as_str(); "quota: nobody decided about a request in time.");
+            log::warn!(tenant = tenant.as_str(); "quota: no decision about a request within the timeout.");
         }
         Err(Micros::default())
     }
@@ -143,7 +142,7 @@
         retry_after(empty_for, self.quota_rule().window, rand::random())
     }
 
-    /// Nothing ran for a token.
+    /// Returns the token of a request that did not run.
     pub fn give_back(&self, token: Token) {
         if let Some(LentToken { tenant, account, at }) = token.lent {
             let now = self.clock().now();
@@ -152,7 +151,7 @@
         }
     }
 
-    /// Asks for the requests of a tenant that wait, until none does.
+    /// Requests tokens for a tenant's waiting requests until none is left.
     async fn run_requests(self: Arc<Self>, tenant: TenantName, mut batch: Vec<Waiter>) {
         loop {
             let grant = self.request_tokens(&tenant, batch.len()).await;
@@ -160,7 +159,7 @@
             let mut unclaimed = Vec::new();
             for (place, waiter) in batch.into_iter().enumerate() {
                 if place >= grant.granted as usize {
-                    // Who has left needs no refusal.
+                    // A closed channel means that the caller has gone.
                     let _ = waiter.send(Err(grant.empty_for));
                 } else if waiter.send(Ok(grant.token(&tenant, now))).is_err() {
                     unclaimed.push(grant.token(&tenant, now));
@@ -182,8 +181,8 @@
         }
     }
 
-    /// Asks the keeper of a tenant's account, then whoever stands in for it; what neither lends may be within
-    /// this node's own part.
+    /// Requests tokens from the owner of a tenant's account, then from its standby; the rest is taken from the local
+    /// allowance.
     async fn request_tokens(&self, tenant: &TenantName, waiting: usize) -> TokenGrant {
         let wanted = u32::try_from(waiting).unwrap_or(u32::MAX);
         let Some((version, quota)) = self.known_quota(tenant).filter(|(_, quota)| quota.is_limited()) else {
@@ -224,8 +223,8 @@
         TokenGrant { granted: self.take_local_allowance(tenant, &quota, wanted), ..TokenGrant::default() }
     }
 
-    /// Asks the seeds, where this node has just started and does not know who keeps the account. Returns nothing where
-    /// it does, or a seed does.
+    /// Requests tokens from the seeds while this node is starting and does not know the owner. Returns `None` when this
+    /// node or a seed knows the fleet.
     async fn ask_seeds(&self, quota_request: &QuotaRequest) -> Option<TokenGrant> {
         let seeds = {
             let mut fleet = self.fleet.lock();
@@ -277,7 +276,7 @@
         None
     }
 
-    /// Lends to a node that has just started.
+    /// Grants tokens to a starting node, as a seed.
     fn lend_as_seed(&self, quota_request: &QuotaRequest) -> QuotaGrant {
         let now = self.clock().now();
         let known = self.known_quota(&quota_request.tenant);
@@ -306,14 +305,14 @@
                 self.metrics.quota("keeper_silent", 1);
                 let is_first_failure = self.quota.lock().unresponsive_owners.note(owner.node.clone(), now);
                 if is_first_failure && self.metrics.log_budget.take(now) {
-                    log::warn!(keeper = owner.node.as_str(), tenant = quota_request.tenant.as_str(); "quota: the keeper of an account does not answer: {failure:?}.");
+                    log::warn!(keeper = owner.node.as_str(), tenant = quota_request.tenant.as_str(); "quota: the owner of an account does not answer: {failure:?}.");
                 }
                 None
             }
         }
     }
 
-    /// Lends out of an account of this node.
+    /// Grants tokens from an account of this node.
     fn lend(&self, quota_request: &QuotaRequest) -> QuotaGrant {
         if quota_request.starting {
             return self.lend_as_seed(quota_request);
@@ -337,7 +336,7 @@
         };
         self.metrics.quota(outcome, 1);
         if self.metrics.log_budget.take(now) {
-            log::info!(tenant = quota_request.tenant.as_str(), first = status.is_first, fleet_share = status.share, granted = grant.granted; "quota: an account is begun; {basis}.");
+            log::info!(tenant = quota_request.tenant.as_str(), first = status.is_first, fleet_share = status.share, granted = grant.granted; "quota: an account was created; {basis}.");
         }
         grant
     }
@@ -367,14 +366,13 @@
     }
 }
 
-/// Answers other nodes out of a gateway's accounts.
+/// Answers quota requests of other nodes.
 pub struct GatewayAccounts<C, B> {
-    /// Gone when the gateway has ended.
+    /// Empty after the gateway has stopped.
     context: Weak<Context<C, B>>,
 }
 
 impl<C, B> GatewayAccounts<C, B> {
-    /// The accounts of a gateway.
     pub fn new(context: &Arc<Context<C, B>>) -> Self {
         Self { context: Arc::downgrade(context) }
     }
--- a/crates/sablebay-gateway/src/quota_owners.rs
+++ b/crates/sablebay-gateway/src/quota_owners.rs
@@ -1,4 +1,4 @@
-//! Which nodes keep the account of a tenant, and how this one stands among them.
+//! Ownership of quota accounts.
 
 use std::net::SocketAddr;
 
@@ -11,28 +11,26 @@
 
 use crate::fleet_view::{FleetView, rendezvous_key};
 
-/// A node that keeps the account of a tenant, or stands in for the one that does.
+/// The owner of a quota account, or its standby.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AccountOwnerNode {
-    /// Its name.
     pub node: NodeId,
-    /// Where it listens; nothing for this node itself.
+    /// Its address; `None` for this node.
     pub address: Option<SocketAddr>,
 }
 
-/// How long a node has run, and the number of nodes that it assumes before it knows the fleet.
+/// Inputs for what a node may assume about the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetKnowledge {
-    /// Now.
     pub now: Micros,
-    /// How long it has run without a pause.
+    /// Uptime since the start or the last long pause.
     pub running_for: Micros,
-    /// The number of nodes assumed.
+    /// The number of nodes assumed before the fleet is known.
     pub assumed: usize,
 }
 
 impl FleetView {
-    /// The present node that keeps the account of a tenant, and the one that stands in for it.
+    /// The owner of a tenant's account and its standby, among the present nodes.
     pub fn account_owners(&self, tenant: &TenantName) -> Vec<AccountOwnerNode> {
         let key = |node: &NodeId| rendezvous_key(node, tenant.as_str().as_bytes());
         let others = self.ranked.iter().filter(|peer| peer.keeps_accounts);
@@ -47,13 +45,12 @@
         nodes.into_iter().map(owner).collect()
     }
 
-    /// The part of the fleet that this node sees.
     pub fn part(&mut self, known: &FleetKnowledge) -> FleetPart {
         self.census.settle(known.running_for);
         self.census.part(known.running_for, known.assumed, known.now)
     }
 
-    /// How this node stands as the owner of a tenant's account.
+    /// This node's status as the owner of a tenant's account.
     pub fn owner_status(&mut self, tenant: &TenantName, known: &FleetKnowledge) -> OwnerStatus {
         let first = self.account_owners(tenant).into_iter().next();
         OwnerStatus {
@@ -63,7 +60,7 @@
         }
     }
 
-    /// Among how many nodes what nobody lends is split, and this node's place among them in a tenant's order; no
+    /// The number of nodes that the local allowance is split among, and this node's place in the tenant's order; no
     /// place before the fleet is known.
     pub fn quota_place(&mut self, tenant: &TenantName, known: &FleetKnowledge) -> (usize, Option<usize>) {
         let nodes = self.part(known).nodes;
@@ -76,14 +73,14 @@
         (nodes, Some(place))
     }
 
-    /// The seeds in a tenant's order, which is the same at every node. Nothing stands for this node itself.
+    /// The seeds in the order of a tenant, which is the same at every node. `None` stands for this node.
     pub fn seeds_for(&self, tenant: &TenantName) -> Vec<Option<SocketAddr>> {
         let mut seeds: Vec<SocketAddr> = self.census.seeds().collect();
         seeds.sort_by_cached_key(|seed| seed_key(seed, tenant));
         seeds.into_iter().map(|seed| (seed != self.census.own_address()).then_some(seed)).collect()
     }
 
-    /// This node's place among the seeds of a tenant; nothing where it is none, or knows the fleet.
+    /// This node's place among the seeds of a tenant; `None` when it is no seed, or knows the fleet.
     pub fn seed_place(&mut self, tenant: &TenantName, known: &FleetKnowledge) -> Option<SeedPlace> {
         self.census.settle(known.running_for);
         if self.census.knows_fleet() {
@@ -95,7 +92,7 @@
     }
 }
 
-/// Orders seeds alike everywhere, and for each tenant in another order.
+/// Rendezvous hash of a seed for a tenant.
 fn seed_key(seed: &SocketAddr, tenant: &TenantName) -> u64 {
     xxh3_64_with_seed(seed.to_string().as_bytes(), xxh3_64(tenant.as_str().as_bytes()))
 }
--- a/crates/sablebay-gateway/src/quota_state.rs
+++ b/crates/sablebay-gateway/src/quota_state.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of quotas: the requests that wait for tokens, and the accounts that it keeps.
+//! Quota state of a gateway: requests that wait for tokens, and the accounts that it owns.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,62 +9,55 @@
 use sablebay_tenants::TenantName;
 use sablebay_tenants::quota::{AccountId, Accounts, LocalAllowance, QuotaRequester, UnresponsiveNodes};
 
-/// A pause after which others may have taken this node's accounts over: suspicions begin after about as long.
+/// A pause after which other nodes may have taken over this node's accounts. Failure detection takes about as long.
 const LONG_PAUSE: Micros = Micros::from_secs(1);
-/// Tenants from which on idle ones are forgotten. Those that sent something within the window stay: they are at most
-/// those of the configuration.
+/// Number of tenants from which on idle ones are removed. Tenants active within the window stay.
 const IDLE_TENANTS_FROM: usize = 4_096;
 
-/// A request that waits for a token.
 pub type Waiter = oneshot::Sender<Result<Token, Micros>>;
 
-/// What allows one request to run. Whoever drops one without giving it back has used it: a caller that leaves before
-/// anything was sent costs its tenant a token.
+/// Permission to run one request. Dropping a token without returning it counts as used, also when the caller
+/// disconnects before anything was sent.
 #[derive(Debug)]
 pub struct Token {
-    /// Who lent it; nothing where the tenant has no limit, or the node let it pass by itself.
+    /// The lending account; `None` when the tenant is unlimited, or the token is from the local allowance.
     pub lent: Option<LentToken>,
 }
 
-/// A token that an account lent.
 #[derive(Debug)]
 pub struct LentToken {
-    /// Whose it is.
     pub tenant: TenantName,
-    /// The account.
     pub account: AccountId,
-    /// When.
+    /// When the token was granted.
     pub at: Micros,
 }
 
-/// One tenant at this node.
+/// State of one tenant at this node.
 #[derive(Default)]
 pub struct TenantRequests {
-    /// Its requests that wait.
+    /// Waiting requests.
     pub requester: QuotaRequester<Waiter>,
-    /// What passed by the node's own part.
+    /// Requests admitted under the local allowance.
     pub local_allowance: LocalAllowance,
-    /// When it was last logged as over its quota.
+    /// When the tenant was last logged as over its quota.
     pub logged_at: Micros,
 }
 
-/// What a gateway knows of quotas.
 pub struct QuotaState {
     tenants: HashMap<TenantName, TenantRequests>,
-    /// The accounts that the node keeps.
+    /// Accounts that this node owns.
     pub accounts: Accounts,
-    /// Keepers that lately did not answer.
+    /// Owners that recently did not answer.
     pub unresponsive_owners: UnresponsiveNodes,
-    /// Seeds that lately did not answer.
+    /// Seeds that recently did not answer.
     pub unresponsive_seeds: UnresponsiveNodes<SocketAddr>,
-    /// When the node was last seen running.
+    /// When the process was last known to be running.
     last_running_at: Micros,
-    /// When it started, or went on after a long pause.
+    /// When the node started, or resumed after a long pause.
     pub running_since: Micros,
 }
 
 impl QuotaState {
-    /// Of a node that has just started.
     pub fn new(first_account: u64, now: Micros) -> Self {
         Self {
             tenants: HashMap::new(),
@@ -76,18 +69,19 @@
         }
     }
 
-    /// Notes that the node runs. After a long pause its accounts are lost: others have lent meanwhile.
+    /// Detects long pauses. After one the accounts are dropped, since other nodes may have granted tokens in the
+    /// meantime.
     pub fn check_pause(&mut self, now: Micros) {
         let pause = now.since(self.last_running_at);
         if pause > LONG_PAUSE {
-            log::warn!(pause_ms = pause.as_millis(), accounts = self.accounts.len(); "quota: the node stood still; its accounts are begun anew.");
+            log::warn!(pause_ms = pause.as_millis(), accounts = self.accounts.len(); "quota: the process was paused; its accounts are reset.");
             self.accounts.clear();
             self.running_since = now;
         }
         self.last_running_at = self.last_running_at.max(now);
     }
 
-    /// A tenant, made at its first request. What it did within `window` is remembered.
+    /// The state of a tenant, created at its first request. Activity within `window` is kept.
     pub fn tenant(&mut self, tenant: &TenantName, window: Micros, now: Micros) -> &mut TenantRequests {
         if self.tenants.len() >= IDLE_TENANTS_FROM && !self.tenants.contains_key(tenant) {
             self.tenants.retain(|_, known| {
@@ -98,19 +92,19 @@
     }
 }
 
-/// What the requests of one question got.
+/// The result of one quota request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TokenGrant {
-    /// Requests that may run.
+    /// Number of requests that may run.
     pub granted: u32,
-    /// How long there is nothing more.
+    /// How long the account stays empty.
     pub empty_for: Micros,
-    /// Who lent; nothing where the node let them pass by itself.
+    /// The lending account; `None` for tokens from the local allowance.
     pub account: Option<AccountId>,
 }
 
 impl TokenGrant {
-    /// The token of one of them.
+    /// A token for one of the granted requests.
     pub fn token(&self, tenant: &TenantName, now: Micros) -> Token {
         let lent = |account| LentToken { tenant: tenant.clone(), account, at: now };
         Token { lent: self.account.map(lent) }
--- a/crates/sablebay-gateway/src/readiness.rs
+++ b/crates/sablebay-gateway/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether this node takes new connections, for whoever hands them out.
+//! Readiness endpoint for load balancers.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::context::Context;
 use crate::edge::{BackendProtocol, CallerProtocol};
 
-/// Answers every path: 200 when the node can serve.
+/// Answers every path with 200 when the node can serve.
 pub fn readiness_routes<C: CallerProtocol, B: BackendProtocol>(context: Arc<Context<C, B>>) -> Router {
     Router::new().fallback(ready::<C, B>).with_state(context)
 }
--- a/crates/sablebay-gateway/src/replica_shares.rs
+++ b/crates/sablebay-gateway/src/replica_shares.rs
@@ -1,4 +1,4 @@
-//! Which replicas this node keeps connections to, how many, and what cold ones it may send.
+//! The share of a node: which replicas it connects to, with how many connections, and the call rate to cold replicas.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -18,19 +18,19 @@
 use crate::ownership::{ConnectionOwners, Ownership};
 use crate::routing_view::RoutingView;
 
-/// The connections that a replica of a service takes from all nodes together.
+/// Maximum connections to one replica of a service from all nodes together.
 pub fn maximum_connections(routes: Option<&RouteTable>, service: &ServiceName) -> u32 {
-    /// Assumed of a service that the configuration does not name.
+    /// For services that are not configured.
     const UNKNOWN_MAXIMUM: u32 = 16;
     let known = routes.and_then(|routes| routes.service(service));
     known.map_or(UNKNOWN_MAXIMUM, |service| service.maximum_connections)
 }
 
 impl<C: CallerProtocol, B: BackendProtocol> Context<C, B> {
-    /// The connections to a replica; made at their first use.
+    /// The connection pool of a replica, created at its first use.
     pub fn connections_to(&self, replica: &RoutableReplica) -> Arc<ReplicaConnections> {
         let mut connections = self.connections.lock();
-        // One that does not tell its life may have started again elsewhere.
+        // A replica that reports no incarnation may have restarted at another address.
         let at_address = |known: &&Arc<ReplicaConnections>| known.address() == replica.replica.address;
         if let Some(known) = connections.get(&replica.replica.id).filter(at_address) {
             return known.clone();
@@ -52,7 +52,7 @@
         connection_share(maximum, owners.unwrap_or(self.nodes.load(Ordering::Relaxed) as usize))
     }
 
-    /// Which shards this node gathers, and who keeps connections where there are more nodes than these.
+    /// Computes which shards this node owns, and which nodes keep connections to each service.
     pub fn ownership(&self, view: &RoutingView) -> Ownership {
         if !self.mechanisms.gathering {
             return Ownership::default();
@@ -75,13 +75,13 @@
         ownership
     }
 
-    /// Whether this node gathers other shards than when the view was installed: nodes come and go, and
-    /// requests come more or less often, while the catalogue stays as it is.
+    /// Whether shard ownership has changed since the view was installed. Membership and request rates change
+    /// independently of the catalogue.
     pub fn ownership_is_outdated(&self) -> bool {
         self.ownership(&self.view.load()) != **self.ownership.load()
     }
 
-    /// Marks the replicas that have no room for a connection of this node.
+    /// Marks the replicas that are outside this node's share of connections.
     pub fn mark_beyond_share(
         &self,
         maximum: u32,
@@ -104,7 +104,7 @@
         *replicas = marked.collect();
     }
 
-    /// Shares out what the cold replicas of a service bear, among the nodes that may call them.
+    /// Splits the capacity of a service's cold replicas among the nodes that may call them.
     pub fn limit_cold_calls(
         &self,
         routes: &RouteTable,
@@ -135,7 +135,7 @@
         *replicas = replicas.iter().map(bounded).collect();
     }
 
-    /// The nodes that gather a shard, in all zones.
+    /// The owners of a shard in all zones.
     fn owners_of(&self, routes: &RouteTable, shard: &ServiceName) -> Vec<NodeId> {
         let gatherers = self.fleet.lock().gatherers();
         let now = self.clock().now();
@@ -153,7 +153,7 @@
         owners.next().unwrap_or_default()
     }
 
-    /// Which of a service's replicas this node keeps to by its position among all nodes.
+    /// Which replicas of a service are in this node's share by its position among all nodes.
     fn own_by_position(&self, maximum: u32, nodes: usize, replicas: &[RoutableReplica]) -> Vec<bool> {
         let own_zone = &self.node.settings.zone;
         let local: Vec<bool> = replicas.iter().map(|known| known.replica.zone == *own_zone).collect();
--- a/crates/sablebay-gateway/src/tenant_admission.rs
+++ b/crates/sablebay-gateway/src/tenant_admission.rs
@@ -1,8 +1,8 @@
-//! Whether a request is run or refused at once: the queues at its shards, how urgent it is, and how much of what
-//! lately came in is its tenant's.
+//! Admission control: admits or refuses a request by the queues at its shards, its priority, and its tenant's share of
+//! recent work.
 //!
-//! A node counts by tenant the requests that it takes, and those that it gathers a part of for others: many nodes
-//! take a small part of the callers each, and what one of them takes alone hardly shows who sends the most.
+//! A node counts both the requests that it accepts and those that it gathers for other nodes: with many nodes, the
+//! requests that one node accepts are too few to show which tenant sends the most.
 
 use std::collections::HashMap;
 
@@ -19,14 +19,14 @@
 use crate::edge::{BackendProtocol, CallerProtocol};
 use crate::request_log::{Crowding, TenantStanding};
 
-/// What tenants lately asked for, by the first service of the routes: routes that share it share their back ends.
+/// Recent work of each tenant by the first service of its routes: routes with the same first service share their
+/// replicas.
 #[derive(Debug, Default)]
 pub struct TenantLoad {
     by_service: HashMap<ServiceName, TenantShares>,
 }
 
 impl TenantLoad {
-    /// Counts a request.
     pub fn record(&mut self, route: &Route, tenant: &TenantName, now: Micros) {
         let mut services = route.destination.services();
         let Some(first) = services.next() else {
@@ -39,41 +39,39 @@
         }
     }
 
-    /// What a tenant asked of the back ends of a route, beside the others.
+    /// The demand of a tenant on the replicas of a route, relative to other tenants.
     pub fn demand_of(&self, route: &Route, tenant: &TenantName) -> TenantDemand {
         let first = route.destination.services().next();
         let shares = first.and_then(|first| self.by_service.get(first));
         shares.map(|shares| shares.demand_of(tenant)).unwrap_or_default()
     }
 
-    /// Forgets services that `keep` does not name.
+    /// Removes services that `keep` rejects.
     pub fn retain(&mut self, keep: impl Fn(&ServiceName) -> bool) {
         self.by_service.retain(|service, _| keep(service));
     }
 }
 
-/// The tenant that a header names. Names need not be ASCII.
+/// The tenant name in a header value, which need not be ASCII.
 pub fn tenant_name(value: &HeaderValue) -> Option<TenantName> {
     std::str::from_utf8(value.as_bytes()).ok().map(TenantName::new)
 }
 
-/// One request that asks to be let in.
+/// A request to be admitted or refused.
 pub struct AdmissionRequest<'a> {
-    /// Its route.
     pub route: &'a Route,
-    /// Its tenant, where there is one.
+    /// The tenant, if any.
     pub tenant: Option<&'a TenantName>,
-    /// How much less urgent it is than the most urgent one for the same services.
+    /// Priority rank relative to the most urgent route of the same services; 0 is the most urgent.
     pub rank: u32,
-    /// The queues at its shards.
     pub crowding: Crowding,
-    /// How long its caller will wait.
+    /// How long the caller waits.
     pub timeout: Micros,
 }
 
 impl<C: CallerProtocol, B: BackendProtocol> Context<C, B> {
-    /// Whether a request is run, or refused at once, and how its tenant stood. Requests without a tenant are not
-    /// weighed against anybody's.
+    /// Decides whether a request is admitted, and returns its tenant's standing. Requests without a tenant are not
+    /// compared with others.
     pub fn admission(&self, request: &AdmissionRequest<'_>) -> (Admission, TenantStanding) {
         let now = self.clock().now();
         let mut dispatch = self.dispatch.lock();
@@ -109,12 +107,12 @@
         (admission, standing)
     }
 
-    /// The tenant that a root wrote into the head of a request.
+    /// The tenant named in the header that the root node set.
     pub fn tenant_of(&self, headers: &HeaderMap) -> Option<TenantName> {
         headers.get(self.callers.identity_header()).and_then(tenant_name)
     }
 
-    /// Counts a request that another node took, and of which this one gathers a part.
+    /// Counts a request that another node accepted and that this node gathers in part.
     pub fn record_gathered_request(&self, route_name: &str, tenant: &TenantName) {
         let view = self.view.load();
         let Some(routes) = view.routes.as_ref() else {
--- a/crates/sablebay-gateway/src/tenant_admission_tests.rs
+++ b/crates/sablebay-gateway/src/tenant_admission_tests.rs
@@ -1,4 +1,4 @@
-//! What tenants asked for is counted by the back ends that they asked.
+//! Tenant work is counted by the replicas that serve it.
 
 use http::HeaderValue;
 
--- a/crates/sablebay-gateway/src/warm_up.rs
+++ b/crates/sablebay-gateway/src/warm_up.rs
@@ -1,5 +1,5 @@
-//! Opens the first connection to each replica before a request needs it, one after the other: a new
-//! connection takes time, and holds a slot of the replica for a moment.
+//! Opens the first connection to each replica ahead of requests, one at a time: opening a connection takes time and
+//! briefly occupies a slot of the replica.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -13,33 +13,32 @@
 use crate::context::Context;
 use crate::edge::{BackendProtocol, CallerProtocol};
 
-/// The pause between two connections. Each holds a slot of its replica for some milliseconds, and an owner of
-/// a few chunks of an index that was cut anew has hundreds to open before requests need them.
+/// Interval between two new connections. After an index is resharded, an owner may have hundreds to open.
 const CONNECT_INTERVAL: Duration = Duration::from_millis(5);
-/// How often the replicas are looked at while nothing changes.
+/// How often the list of replicas is checked.
 const POLL_PERIOD: Duration = Duration::from_millis(250);
 
-/// Opens connections until the node ends.
+/// Opens connections until the node stops.
 pub async fn warm_up<C: CallerProtocol, B: BackendProtocol>(context: Arc<Context<C, B>>) {
     let mut warmed: HashSet<ReplicaId> = HashSet::new();
     loop {
         let running_for = Micros::from(context.clock().running_for());
         let (size, _) = context.fleet.lock().size(running_for);
         if !size.is_settled() {
-            // Which replicas are this node's own is not known yet.
+            // The size of the fleet, and so the share of this node, is not known yet.
             tokio::time::sleep(POLL_PERIOD).await;
             continue;
         }
         let mut cold = cold_replicas(&context, &mut warmed);
         if !cold.is_empty() && context.ownership_is_outdated() {
-            // The view is about to be installed anew, with other replicas marked as this node's own.
+            // A new view with another share of replicas is about to be installed.
             tokio::time::sleep(POLL_PERIOD).await;
             continue;
         }
-        // Nodes that start together do not open connections to one replica at one moment.
+        // Keeps nodes that start together from connecting to the same replica at the same time.
         cold.shuffle(&mut rand::rng());
-        // Entries by strangers name services that no configuration has, and addresses where nobody answers: these
-        // come last, and replicas of an index that is about to be used before they are needed all the same.
+        // Replicas of services that are not configured come last: their addresses may not answer. They are still
+        // opened, since a later configuration may use them.
         let view = context.view.load_full();
         let is_configured = |replica: &RoutableReplica| {
             view.routes.as_ref().is_some_and(|routes| routes.service(&replica.replica.service).is_some())
@@ -58,7 +57,7 @@
     }
 }
 
-/// The replicas that this node keeps connections to, and has not opened one to yet.
+/// The replicas in this node's share that have not been connected to yet.
 fn cold_replicas<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     warmed: &mut HashSet<ReplicaId>,
@@ -68,7 +67,7 @@
     let own: Vec<&RoutableReplica> =
         all.filter(|replica| !replica.beyond_share && !replica.last_resort).collect();
     let kept: HashSet<&ReplicaId> = own.iter().map(|replica| &replica.replica.id).collect();
-    // Connections to others are closed; one that becomes this node's own again is opened anew.
+    // Connections outside the share are closed; a replica that returns to the share is warmed up again.
     warmed.retain(|id| kept.contains(id));
     own.into_iter().filter(|replica| !warmed.contains(&replica.replica.id)).cloned().collect()
 }
--- a/crates/sablebay/tests/trace.rs
+++ b/crates/sablebay/tests/trace.rs
@@ -16,7 +16,7 @@
 const FIRST: &str = r#"{"node":"n1","caller_address":"127.0.0.1:1"}
 {"time":"2026-01-01T00:00:09.000Z","level":"INFO","message":"catalogue: a configuration is in force.","version":4}
 not a line of ours { at all
-{"time":"2026-01-01T00:00:02.000Z","level":"WARN","message":"catalogue: the source gave nothing: no answer.","catalogue_age_ms":900}
+{"time":"2026-01-01T00:00:02.000Z","level":"WARN","message":"catalogue: reading the source failed: no answer.","catalogue_age_ms":900}
 {"time":"2026-01-01T00:00:02.100Z","level":"WARN","message":"gateway: unknown: too few shards answered.","request":"other","held_ms":3}
 {"time":"2026-01-01T00:00:02.200Z","level":"WARN","message":"gateway: not run: work queues.","request":"abc","crowded":18,"shards":20}
 "#;
@@ -41,7 +41,7 @@
     assert_eq!(lines.len(), 7, "{text}");
     assert!(lines[0].contains("first.log"));
     assert!(lines[1].contains("version=4"), "the order of the file counts, not the time of day: {text}");
-    assert!(lines[2].contains("the source gave nothing"));
+    assert!(lines[2].contains("reading the source failed"));
     assert!(lines[3].contains("crowded=18"));
     assert!(
         lines[5].contains("node-a") && lines[5].contains("version=7"),
