--- a/crates/sablebay-gateway/src/metrics.rs
+++ b/crates/sablebay-gateway/src/metrics.rs
@@ -85,7 +85,7 @@
     /// Unreadable items of the catalogue source.
     pub rejected_items: Counter,
     /// Requests to peers for catalogue updates, by outcome.
-    pub peer_questions: Family<OutcomeLabel, Counter>,
+    pub peer_requests: Family<OutcomeLabel, Counter>,
     /// Document fetches from peers, by outcome.
     pub documents: Family<OutcomeLabel, Counter>,
     /// The version of the configuration in force.
@@ -132,7 +132,7 @@
             source_era: Gauge::default(),
             retained: Gauge::default(),
             rejected_items: Counter::default(),
-            peer_questions: Family::default(),
+            peer_requests: Family::default(),
             documents: Family::default(),
             configuration_version: Gauge::default(),
             announced_version: Gauge::default(),
@@ -220,8 +220,8 @@
     }
 
     /// Records the outcome of a request to a peer for catalogue updates.
-    pub fn peer_question(&self, outcome: &'static str) {
-        self.peer_questions.get_or_create(&OutcomeLabel { outcome }).inc();
+    pub fn peer_request(&self, outcome: &'static str) {
+        self.peer_requests.get_or_create(&OutcomeLabel { outcome }).inc();
     }
 
     /// Records the outcome of a document fetch.
@@ -295,7 +295,7 @@
         registry.register(
             "peer_questions",
             "Requests to peers for catalogue updates, by outcome",
-            self.peer_questions.clone(),
+            self.peer_requests.clone(),
         );
         registry.register("documents", "Documents fetched from peers, by outcome", self.documents.clone());
         registry.register("configuration_version", "Version in force", self.configuration_version.clone());
--- a/crates/sablebay-gateway/src/ownership.rs
+++ b/crates/sablebay-gateway/src/ownership.rs
@@ -16,7 +16,7 @@
     /// Each node connects to some of the replicas, by its position among all nodes.
     ByPosition,
     /// No node: no route uses the service.
-    Nobody,
+    NoNode,
 }
 
 /// Ownership by the routes in force. Empty until the fleet is known.
@@ -79,7 +79,7 @@
         if !self.known || self.called_by_all.contains(service) {
             return ConnectionOwners::ByPosition;
         }
-        ConnectionOwners::Nobody
+        ConnectionOwners::NoNode
     }
 
     /// The budget share of this node for each service with a few owners.
--- a/crates/sablebay-gateway/src/ownership_tests.rs
+++ b/crates/sablebay-gateway/src/ownership_tests.rs
@@ -46,9 +46,9 @@
 #[test]
 fn nobody_keeps_connections_to_services_that_no_route_names() {
     let mut ownership = Ownership::of_known_fleet();
-    assert_eq!(ownership.connection_owners(&shard(1)), ConnectionOwners::Nobody, "there is no route yet");
+    assert_eq!(ownership.connection_owners(&shard(1)), ConnectionOwners::NoNode, "there is no route yet");
     ownership.add(&gatherers(50), &gather(), |_| 0.2);
-    assert_eq!(ownership.connection_owners(&ServiceName::new("later")), ConnectionOwners::Nobody);
+    assert_eq!(ownership.connection_owners(&ServiceName::new("later")), ConnectionOwners::NoNode);
 }
 
 #[test]
--- a/crates/sablebay-gateway/src/peer_catalogue.rs
+++ b/crates/sablebay-gateway/src/peer_catalogue.rs
@@ -62,7 +62,7 @@
             tokio::time::sleep(NO_PEERS_PAUSE).await;
             continue;
         };
-        let answered = match ask(&context, &peer, rotation).await {
+        let answered = match request_update(&context, &peer, rotation).await {
             Answer::None => false,
             Answer::CatchingUp => {
                 peers_catching_up += 1;
@@ -113,8 +113,8 @@
     context: &Context<C, B>,
     peers_catching_up: usize,
 ) {
-    let has_met_others = context.clock().running_for() >= DISCOVERY_TIME;
-    if has_met_others && peers_catching_up >= context.fleet.lock().ranked.len() {
+    let has_discovered_peers = context.clock().running_for() >= DISCOVERY_TIME;
+    if has_discovered_peers && peers_catching_up >= context.fleet.lock().ranked.len() {
         context.node.catalogue.update(|view| {
             view.end_catch_up();
             false
@@ -201,7 +201,7 @@
 }
 
 /// Requests updates from one peer.
-async fn ask<C: CallerProtocol, B: BackendProtocol>(
+async fn request_update<C: CallerProtocol, B: BackendProtocol>(
     context: &Context<C, B>,
     peer: &FleetPeer,
     rotation: PeerRotation,
@@ -236,7 +236,7 @@
             return Answer::None;
         }
     };
-    context.metrics.peer_question("answered");
+    context.metrics.peer_request("answered");
     let now = context.clock().now();
     let received = (snapshot.version(), snapshot.replicas_at());
     let offer = snapshot.offer;
@@ -247,7 +247,7 @@
     let is_catching_up = catch_up_from.is_some() && !snapshot.caught_up && offer.is_none();
     context.fleet.lock().record_reported_size(snapshot.nodes_met, context.clock().now());
     if context.node.catalogue.update(|view| view.merge(*snapshot, now)) {
-        log::info!(peer = peer.node.as_str(), version = received.0.unwrap_or(version), replicas_at = received.1.to_string().as_str(), had = replicas_at.to_string().as_str(), heard_ms_ago = contact_ago.unwrap_or(0), confirmed_ms_ago = confirmation.map_or(-1, |said| said.age.as_millis() as i64); "catalogue: update received from a peer.");
+        log::info!(peer = peer.node.as_str(), version = received.0.unwrap_or(version), replicas_at = received.1.to_string().as_str(), had = replicas_at.to_string().as_str(), heard_ms_ago = contact_ago.unwrap_or(0), confirmed_ms_ago = confirmation.map_or(-1, |confirmation| confirmation.age.as_millis() as i64); "catalogue: update received from a peer.");
     }
     if let Some(offer) = offer {
         return Answer::Offer(offer);
@@ -263,8 +263,8 @@
     if let Some(ago) = contact_ago {
         context.record_contact(asked_at, now.since(Micros::from_millis(ago)));
     }
-    if let Some(said) = confirmation {
-        context.confirm_configuration(asked_at, said.bound(asked_at, now));
+    if let Some(confirmation) = confirmation {
+        context.confirm_configuration(asked_at, confirmation.bound(asked_at, now));
     }
     match (is_catching_up, is_in_touch) {
         (true, _) => Answer::CatchingUp,
@@ -290,7 +290,7 @@
     asked_at: Micros,
     outcome: &'static str,
 ) {
-    context.metrics.peer_question(outcome);
+    context.metrics.peer_request(outcome);
     if rotation.is_first_try() {
         let waited = context.clock().now().since(asked_at).as_millis();
         let age = context.catalogue_age().as_millis();
--- a/crates/sablebay-gateway/src/replica_shares.rs
+++ b/crates/sablebay-gateway/src/replica_shares.rs
@@ -94,7 +94,7 @@
         };
         let own = match ownership.connection_owners(&first.replica.service) {
             ConnectionOwners::Owners(owner) => vec![owner; replicas.len()],
-            ConnectionOwners::Nobody => vec![false; replicas.len()],
+            ConnectionOwners::NoNode => vec![false; replicas.len()],
             ConnectionOwners::ByPosition => self.own_by_position(maximum, nodes, replicas),
         };
         let marked = replicas
@@ -121,7 +121,7 @@
         let (overage, slack) = (settings.warm_up_overage, settings.warm_up_slack);
         let capacity = ColdCapacity { requests_per_s, overage, slack };
         let (known, at_least) = match ownership.connection_owners(service) {
-            ConnectionOwners::Owners(false) | ConnectionOwners::Nobody => (Vec::new(), usize::MAX),
+            ConnectionOwners::Owners(false) | ConnectionOwners::NoNode => (Vec::new(), usize::MAX),
             ConnectionOwners::Owners(true) => (self.owners_of(routes, service), 0),
             ConnectionOwners::ByPosition => {
                 (self.fleet.lock().names(), self.nodes.load(Ordering::Relaxed) as usize)
--- a/crates/sablebay-gateway/src/tenant_admission.rs
+++ b/crates/sablebay-gateway/src/tenant_admission.rs
@@ -78,12 +78,12 @@
         if !dispatch.patience.contains_key(&request.route.name) {
             dispatch.patience.insert(request.route.name.clone(), TypicalTimeout::default());
         }
-        let usual = dispatch.patience.get_mut(&request.route.name).expect("an entry was just added");
+        let typical = dispatch.patience.get_mut(&request.route.name).expect("an entry was just added");
         let inputs = AdmissionInputs {
             shards: request.crowding.shards,
             crowded: request.crowding.crowded,
             rank: request.rank,
-            is_retry: usual.note(request.timeout),
+            is_retry: typical.note(request.timeout),
             timeout: request.timeout,
         };
         if let Some(tenant) = request.tenant {
