--- a/crates/sablebay-gateway/src/peer_rotation.rs
+++ b/crates/sablebay-gateway/src/peer_rotation.rs
@@ -2,7 +2,7 @@
 
 use sablebay_catalogue::READERS;
 
-/// Position of a node in the list of its peers, which is the same on every node and begins with the readers.
+/// Rotation over the ranked peers; the ranking is the same on every node and begins with the readers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerRotation {
     offset: usize,
