--- a/crates/sablebay-gateway/src/call.rs
+++ b/crates/sablebay-gateway/src/call.rs
@@ -105,14 +105,7 @@
         run: RunId { node: context.observer(), call: key.0 },
         duration: lease_duration(usual),
     };
-    let prepared = tokio::select! {
-        prepared = prepare(&context, &connections, &replica, &request, lease_request) => prepared,
-        _ = &mut abandoned => {
-            context.dispatch.lock().table.forget(&replica.replica.id, key);
-            return;
-        }
-        () = tokio::time::sleep_until(context.clock().instant(deadline)) => Err(Unsent::Late),
-    };
+    let prepared = tokio::select! { prepared = prepare(&context, &connections, &replica, &request, lease_request) => prepared, _ = &mut abandoned => { context.dispatch.lock().table.forget(&replica.replica.id, key); return; } () = tokio::time::sleep_until(context.clock().instant(deadline)) => Err(Unsent::Late), };
     let (lease, run_lease) = match prepared {
         Ok(prepared) => prepared,
         Err(why) => {
@@ -125,19 +118,9 @@
     let started_at = context.clock().now();
     let mut exchange =
         std::pin::pin!(exchange(&context, &connections, lease, &replica, &request, extra, deadline));
-    let finished = tokio::select! {
-        result = &mut exchange => Some(result),
-        _ = &mut abandoned => {
-            let now = context.clock().now();
-            let grace = match run_lease {
-                // Other nodes wait for the lease, which is released when this run ends.
-                Some(_) => lease_request.duration,
-                None => context.dispatch.lock().table.abandoned_call_grace(&replica.replica.id, now),
-            };
-            tokio::time::timeout(grace.as_duration(), &mut exchange).await.ok()
-        }
-        () = tokio::time::sleep_until(context.clock().instant(deadline)) => None,
-    };
+    let finished = tokio::select! { result = &mut exchange => Some(result), _ = &mut abandoned => { let now = context.clock().now(); let grace = match run_lease {
+    // Other nodes wait for the lease, which is released when this run ends.
+    Some(_) => lease_request.duration, None => context.dispatch.lock().table.abandoned_call_grace(&replica.replica.id, now), }; tokio::time::timeout(grace.as_duration(), &mut exchange).await.ok() } () = tokio::time::sleep_until(context.clock().instant(deadline)) => None, };
     let result = finished.unwrap_or((CallResult::Failure(CallFailure::TimedOut, None), None));
     record_run(&context, &connections, &replica, &request, started_at, &result.0).await;
     drop(run_lease);
@@ -164,7 +147,7 @@
         }
         CallResult::Failure(CallFailure::Broken, _) => {
             let ended_at = context.clock().now();
-            if connections.check(!replica.beyond_share).await != Liveness::Ended {
+            if connections.probe(!replica.beyond_share).await != Liveness::Ended {
                 return;
             }
             let run = CrashedRun {
@@ -260,7 +243,7 @@
         return (CallResult::Failure(CallFailure::Broken, None), read.load);
     };
     if let Some(idle) = keep_alive(&head.headers) {
-        lease.keep_for(idle);
+        lease.set_idle_timeout(idle);
     }
     // A connection beyond this node's share is closed at once to free the slot.
     if replica.beyond_share {
--- a/crates/sablebay-gateway/src/prepare_call.rs
+++ b/crates/sablebay-gateway/src/prepare_call.rs
@@ -42,7 +42,7 @@
         match acquire_lease(context, context.digest_of(request), lease_request).await {
             LeaseAnswer::Granted(run_lease) => return Ok(Some(run_lease)),
             LeaseAnswer::Taken => context.node.quarantine.wait().await,
-            LeaseAnswer::Unreached => return Err(Unsent::HeldBack),
+            LeaseAnswer::Unreachable => return Err(Unsent::HeldBack),
         }
     }
 }
--- a/crates/sablebay-gateway/src/quarantine.rs
+++ b/crates/sablebay-gateway/src/quarantine.rs
@@ -1,9 +1,9 @@
-//! Tells other nodes of requests that back ends ended under, and compares what is known with theirs.
+//! Shares quarantine state with other nodes.
 //!
-//! Every node is told at once. Where back ends that ended together leave more requests with a first strike than
-//! that is done for, only the few nodes that keep account of each are told. A node that was not reached, or
-//! that has just started, learns of it by comparing. The first keeper that can be reached gives out the lease
-//! of a suspect request: at most one run of it has that, over all nodes.
+//! A crash of a replica during a request is announced to all nodes. When crashes at the same time give too many
+//! requests a first strike, only the owners of each request are notified. Nodes that were not reached or have just
+//! started synchronize by periodic comparison. The first reachable owner grants the lease of a suspect request, so that
+//! at most one run holds it in the fleet.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,23 +21,23 @@
 use crate::context::Context;
 use crate::edge::{BackendProtocol, CallerProtocol};
 
-/// How often what is known is compared with one other node. A node that comes back after a cut knows what the others
-/// know within about this time, well within the four seconds after which it must.
+/// Interval between comparisons with a peer, which bounds how long a node needs to synchronize after a network
+/// partition.
 const COMPARE_PERIOD: Duration = Duration::from_secs(1);
-/// How often a node that knows no other looks for one.
-const LONELY_PERIOD: Duration = Duration::from_millis(100);
-/// How long news are collected: back ends of one search end within some milliseconds of one another.
-const COLLECT: Duration = Duration::from_millis(5);
-/// How long the node that gives out the lease of a request may take to answer before the next is asked:
-/// some ways there and back.
-const KEEPER_PATIENCE: Duration = Duration::from_millis(60);
-/// How long after a refusal the lease is asked for again. Runs end within some ten milliseconds.
-const ASK_PAUSE: Duration = Duration::from_millis(10);
-/// How long another node may take to answer.
-const PATIENCE: Duration = Duration::from_millis(900);
+/// Interval between comparisons while there is no peer.
+const NO_PEERS_PAUSE: Duration = Duration::from_millis(100);
+/// How long updates are collected before they are sent: replicas that one search crashes exit within milliseconds of
+/// each other.
+const BATCH_DELAY: Duration = Duration::from_millis(5);
+/// How long an owner may take to answer a lease request before the next owner is asked.
+const OWNER_TIMEOUT: Duration = Duration::from_millis(60);
+/// Pause after a refused lease request. Most runs end within some ten milliseconds.
+const LEASE_RETRY_PAUSE: Duration = Duration::from_millis(10);
+/// Timeout of other requests to peers.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
 
 impl<C: CallerProtocol, B: BackendProtocol> Context<C, B> {
-    /// What names a request by what it asks for.
+    /// The digest that identifies a request by its contents.
     pub fn digest_of(&self, request: &ForwardedRequest) -> RequestDigest {
         let digest = || {
             let settings = self.settings.load();
@@ -48,7 +48,7 @@
         *request.digest.get_or_init(digest)
     }
 
-    /// When a request may come back that is held back; nothing when it may be tried.
+    /// How long a quarantined request is still refused; `None` when it may run.
     pub fn held_back(&self, request: &ForwardedRequest) -> Option<Micros> {
         if !self.is_suspect(request) {
             return None;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// What is known of back ends that ended under a request.
+    /// The quarantine notice for a request, if there is one.
     pub fn quarantine_notice(&self, request: &ForwardedRequest, now: Micros) -> Option<QuarantineNotice> {
         if self.node.quarantine.is_empty() {
             return None;
@@ -68,7 +68,7 @@
         self.node.quarantine.notice(&self.digest_of(request), now)
     }
 
-    /// Whether back ends ended under requests that asked for the same.
+    /// Whether replicas crashed during requests with the same contents.
     pub fn is_suspect(&self, request: &ForwardedRequest) -> bool {
         let quarantine = &self.node.quarantine;
         self.mechanisms.quarantine
@@ -76,8 +76,8 @@
             && quarantine.standing(&self.digest_of(request), self.clock().now()) != QuarantineStatus::Clear
     }
 
-    /// Whether a run of a request may begin at a service. Every first call, hedge, retry and gathered part
-    /// asks, before and after it waited for a connection.
+    /// Whether a run of a request may begin at a service. Checked for every first call, hedge, retry and gathered part,
+    /// before and after the wait for a connection.
     pub fn permit_run(&self, request: &ForwardedRequest, service: &ServiceName) -> RunPermit {
         if !self.is_suspect(request) {
             return RunPermit::Free;
@@ -86,11 +86,11 @@
     }
 }
 
-/// Tells and compares until the node ends.
+/// Sends updates and compares state with peers until the node stops.
 pub async fn share_quarantine<C: CallerProtocol, B: BackendProtocol>(context: Arc<Context<C, B>>) {
     let mut changes = context.node.quarantine.subscribe();
     let mut compare_at = Instant::now();
-    let mut turn = 0;
+    let mut round = 0;
     loop {
         tokio::select! {
             changed = changes.changed() => {
@@ -99,46 +99,46 @@
                 }
                 let ended = context.node.quarantine.ended_replicas();
                 context.dispatch.lock().table.note_ended(ended, context.clock().now());
-                tokio::time::sleep(COLLECT).await;
-                tell_news(&context);
+                tokio::time::sleep(BATCH_DELAY).await;
+                send_updates(&context);
             }
             () = tokio::time::sleep_until(compare_at) => {
                 compare_at = Instant::now() + COMPARE_PERIOD;
                 let now = context.clock().now();
                 context.dispatch.lock().table.expire_ended(now);
                 context.metrics.held_back.set(context.node.quarantine.held(now) as i64);
-                tell_news(&context);
+                send_updates(&context);
                 let peer = {
                     let mut fleet = context.fleet.lock();
                     fleet.refresh(&context.node);
-                    fleet.quarantine_peer(turn)
+                    fleet.quarantine_peer(round)
                 };
-                turn += 1;
+                round += 1;
                 match peer {
                     Some(address) => drop(tokio::spawn(compare(context.clone(), address))),
-                    // A node that has just started asks as soon as it has met another.
-                    None => compare_at = Instant::now() + LONELY_PERIOD,
+                    // A node that has just started compares as soon as it has a peer.
+                    None => compare_at = Instant::now() + NO_PEERS_PAUSE,
                 }
             }
         }
     }
 }
 
-fn tell_news<C: CallerProtocol, B: BackendProtocol>(context: &Arc<Context<C, B>>) {
-    let news = context.node.quarantine.take_news(context.clock().now());
-    if news.is_empty() {
+fn send_updates<C: CallerProtocol, B: BackendProtocol>(context: &Arc<Context<C, B>>) {
+    let updates = context.node.quarantine.take_news(context.clock().now());
+    if updates.is_empty() {
         return;
     }
-    // Who has come since the fleet was last looked at must hear it too.
+    // Includes nodes that joined since the last refresh.
     context.fleet.lock().refresh(&context.node);
     let mut for_everyone = Vec::new();
-    for (notice, audience) in news {
+    for (notice, audience) in updates {
         match audience {
             Audience::AllNodes => for_everyone.push(notice),
             Audience::Owners => {
-                let keepers = context.fleet.lock().keepers_of(&notice.digest);
-                for address in keepers.into_iter().flatten() {
-                    tell(context, address, vec![notice.clone()], false);
+                let owners = context.fleet.lock().quarantine_owners(&notice.digest);
+                for address in owners.into_iter().flatten() {
+                    send_notices(context, address, vec![notice.clone()], false);
                 }
             }
         }
@@ -148,12 +148,12 @@
     }
     let peers = context.fleet.lock().quarantine_peers();
     for address in peers {
-        tell(context, address, for_everyone.clone(), true);
+        send_notices(context, address, for_everyone.clone(), true);
     }
 }
 
-/// Tells one node. One that cannot be reached learns of it by comparing.
-fn tell<C: CallerProtocol, B: BackendProtocol>(
+/// Sends notices to one node. A node that cannot be reached receives them by comparison.
+fn send_notices<C: CallerProtocol, B: BackendProtocol>(
     context: &Arc<Context<C, B>>,
     address: SocketAddr,
     notices: Vec<QuarantineNotice>,
@@ -162,9 +162,9 @@
     let context = context.clone();
     let request = PeerRequest::Quarantine { notices, to_everyone, compare: false };
     tokio::spawn(async move {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + REQUEST_TIMEOUT;
         if let Err(failure) = context.node.peers.request(address, Lane::Control, request, until).await {
-            log::debug!("quarantine: {address} was not told: {failure:?}.");
+            log::debug!("quarantine: a notice to {address} failed: {failure:?}.");
         }
     });
 }
@@ -172,38 +172,38 @@
 async fn compare<C: CallerProtocol, B: BackendProtocol>(context: Arc<Context<C, B>>, address: SocketAddr) {
     let notices = context.node.quarantine.notices(context.clock().now());
     let request = PeerRequest::Quarantine { notices, to_everyone: false, compare: true };
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + REQUEST_TIMEOUT;
     let answer = context.node.peers.request(address, Lane::Control, request, until).await;
     if let Ok(PeerResponse::Quarantine(notices)) = answer {
         context.node.quarantine.hear("a peer", &notices, false, context.clock().now());
     }
 }
 
-/// A run of this node that asks for the lease of its request, until this is dropped.
-struct Asking<C: CallerProtocol, B: BackendProtocol> {
+/// A pending lease request of a local run; ends when dropped.
+struct LeaseAttempt<C: CallerProtocol, B: BackendProtocol> {
     context: Arc<Context<C, B>>,
     digest: RequestDigest,
     run: RunId,
 }
 
-impl<C: CallerProtocol, B: BackendProtocol> Drop for Asking<C, B> {
+impl<C: CallerProtocol, B: BackendProtocol> Drop for LeaseAttempt<C, B> {
     fn drop(&mut self) {
         self.context.node.quarantine.stop_asking(&self.digest, self.run);
     }
 }
 
-/// The lease of a suspect request, until this is dropped.
+/// The lease of a suspect request; released when dropped.
 pub struct RunLease<C: CallerProtocol, B: BackendProtocol> {
-    asking: Asking<C, B>,
-    /// Who gave it; nothing when this node did.
-    keeper: Option<SocketAddr>,
+    attempt: LeaseAttempt<C, B>,
+    /// The owner that granted the lease; `None` for this node.
+    owner: Option<SocketAddr>,
 }
 
 impl<C: CallerProtocol, B: BackendProtocol> Drop for RunLease<C, B> {
     fn drop(&mut self) {
-        let Asking { context, digest, run } = &self.asking;
+        let LeaseAttempt { context, digest, run } = &self.attempt;
         let quarantine = &context.node.quarantine;
-        let Some(address) = self.keeper else {
+        let Some(address) = self.owner else {
             quarantine.over(digest, *run);
             return;
         };
@@ -213,24 +213,24 @@
         let context = context.clone();
         let request = PeerRequest::QuarantineLeaseEnd { notice, run: *run };
         tokio::spawn(async move {
-            let until = Instant::now() + PATIENCE;
-            // A keeper that does not hear this gives the lease to another after a while.
+            let until = Instant::now() + REQUEST_TIMEOUT;
+            // If this message is lost, the lease expires at the owner.
             let _ = context.node.peers.request(address, Lane::Control, request, until).await;
         });
     }
 }
 
-/// What became of asking for the lease of a request.
+/// The outcome of a lease request.
 pub enum LeaseAnswer<C: CallerProtocol, B: BackendProtocol> {
-    /// It is this run's.
+    /// This run holds the lease.
     Granted(RunLease<C, B>),
-    /// Another run has it.
+    /// Another run holds the lease.
     Taken,
-    /// Nobody who could give it was reached.
-    Unreached,
+    /// No owner could be reached.
+    Unreachable,
 }
 
-/// Asks for the lease of a request: the first of its keepers that can be reached.
+/// Requests the lease of a request from its first reachable owner.
 pub async fn acquire_lease<C: CallerProtocol, B: BackendProtocol>(
     context: &Arc<Context<C, B>>,
     digest: RequestDigest,
@@ -239,14 +239,14 @@
     if !context.node.quarantine.may_ask(&digest, wanted, context.clock().now()) {
         return LeaseAnswer::Taken;
     }
-    let asking = Asking { context: context.clone(), digest, run: wanted.run };
-    let keepers = context.fleet.lock().keepers_of(&digest);
-    for keeper in keepers {
+    let attempt = LeaseAttempt { context: context.clone(), digest, run: wanted.run };
+    let owners = context.fleet.lock().quarantine_owners(&digest);
+    for owner in owners {
         let now = context.clock().now();
-        let Some(address) = keeper else {
+        let Some(address) = owner else {
             let granted = context.node.quarantine.grant(&digest, wanted, now);
             return if granted {
-                LeaseAnswer::Granted(RunLease { asking, keeper })
+                LeaseAnswer::Granted(RunLease { attempt, owner })
             } else {
                 LeaseAnswer::Taken
             };
@@ -255,18 +255,18 @@
             return LeaseAnswer::Taken;
         };
         let request = PeerRequest::QuarantineLease { notice, wanted };
-        let until = Instant::now() + KEEPER_PATIENCE;
+        let until = Instant::now() + OWNER_TIMEOUT;
         let answer = context.node.peers.request(address, Lane::Control, request, until).await;
         if let Ok(PeerResponse::QuarantineLease { granted, notice }) = answer {
             let known: Vec<QuarantineNotice> = notice.into_iter().collect();
             context.node.quarantine.hear("a keeper", &known, false, context.clock().now());
             if granted {
-                return LeaseAnswer::Granted(RunLease { asking, keeper });
+                return LeaseAnswer::Granted(RunLease { attempt, owner });
             }
-            // Other runs of this node do not ask meanwhile.
-            tokio::time::sleep(ASK_PAUSE).await;
+            // Keeps other runs of this node from requesting the lease in the meantime.
+            tokio::time::sleep(LEASE_RETRY_PAUSE).await;
             return LeaseAnswer::Taken;
         }
     }
-    LeaseAnswer::Unreached
+    LeaseAnswer::Unreachable
 }
