--- a/crates/sablebay-gateway/src/ingress.rs
+++ b/crates/sablebay-gateway/src/ingress.rs
@@ -49,7 +49,7 @@
     request: Request,
 ) -> Response {
     // A planned stop waits for this request; new ones are taken until the listener is closed.
-    let _in_flight = context.node.lifecycle.hold();
+    let _in_flight = context.node.lifecycle.track();
     let mut response = answer(&context, request).await.map(Body::new);
     if context.node.lifecycle.is_draining() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/crates/sablebay-node/src/lifecycle.rs
+++ b/crates/sablebay-node/src/lifecycle.rs
@@ -44,7 +44,7 @@
     }
 
     /// Counts work that belongs to a request that was let in, also while the node is draining.
-    pub fn hold(&self) -> InFlight {
+    pub fn track(&self) -> InFlight {
         self.inner.in_flight.fetch_add(1, Ordering::AcqRel);
         InFlight { inner: self.inner.clone() }
     }
--- a/crates/sablebay-node/src/operation.rs
+++ b/crates/sablebay-node/src/operation.rs
@@ -333,7 +333,7 @@
     }
     // The caller's answer does not wait for holders: one of them is enough, and this node is
     // often one. The rest goes on by itself, and a planned stop waits for it.
-    let in_flight = shared.lifecycle.hold();
+    let in_flight = shared.lifecycle.track();
     tokio::spawn(async move {
         telling.join_all().await;
         drop(in_flight);
