--- a/crates/sablebay-node/src/caller_api.rs
+++ b/crates/sablebay-node/src/caller_api.rs
@@ -229,23 +229,23 @@
         Refusal::not_run(Reason::BadTicket, error.to_string())
     })?;
     let state = ticket_state(shared, &ticket).await?;
-    let named = |name: &str| TicketStatusAnswer {
+    let status_body = |name: &str| TicketStatusAnswer {
         ticket: text.clone(),
         state: name.to_string(),
         result: None,
         reason: None,
     };
     let answer = match state {
-        None => named("unclaimed"),
-        Some(TicketState::Claimed) => named("claimed"),
+        None => status_body("unclaimed"),
+        Some(TicketState::Claimed) => status_body("claimed"),
         Some(TicketState::Done { result }) => {
-            TicketStatusAnswer { result: RawValue::from_string(result).ok(), ..named("done") }
+            TicketStatusAnswer { result: RawValue::from_string(result).ok(), ..status_body("done") }
         }
         Some(TicketState::NotRun { reason }) => {
-            TicketStatusAnswer { reason: Some(reason.to_string()), ..named("not_run") }
+            TicketStatusAnswer { reason: Some(reason.to_string()), ..status_body("not_run") }
         }
         Some(TicketState::Unknown { reason }) => {
-            TicketStatusAnswer { reason: Some(reason.to_string()), ..named("unknown") }
+            TicketStatusAnswer { reason: Some(reason.to_string()), ..status_body("unknown") }
         }
     };
     Ok(Json(answer).into_response())
--- a/crates/sablebay-node/src/caller_counts.rs
+++ b/crates/sablebay-node/src/caller_counts.rs
@@ -12,7 +12,7 @@
 /// each node; what goes beyond is counted together.
 pub const NAMED_TENANTS: usize = 50;
 /// The name that all further tenants are counted under.
-const OTHER: &str = "other";
+const OTHER_TENANTS: &str = "other";
 
 /// Why a caller could not be authenticated.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -56,16 +56,16 @@
     }
 
     fn count(&self, tenant: &str, outcome: &'static str) {
-        let tenant = self.counted_as(tenant);
+        let tenant = self.tenant_label(tenant);
         self.requests.get_or_create(&TenantLabels { tenant, outcome }).inc();
     }
 
     /// The name that a tenant is counted under. The characters that the format of metrics quotes by are left out.
-    fn counted_as(&self, tenant: &str) -> String {
+    fn tenant_label(&self, tenant: &str) -> String {
         let mut named = self.named.lock();
         if !named.contains(tenant) {
             if named.len() >= NAMED_TENANTS {
-                return OTHER.to_string();
+                return OTHER_TENANTS.to_string();
             }
             named.insert(tenant.to_string());
         }
--- a/crates/sablebay-node/src/connection_limits.rs
+++ b/crates/sablebay-node/src/connection_limits.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
     /// Nothing of the next request has come.
-    Resting { since: Instant },
+    Idle { since: Instant },
     /// A part of its head has come.
     ReadingHead { since: Instant },
     /// A request is being answered.
@@ -56,12 +56,12 @@
 impl ConnectionActivity {
     /// Of a connection that was just accepted.
     pub fn new() -> Self {
-        Self { state: Arc::new(Mutex::new(ConnectionState::Resting { since: Instant::now() })) }
+        Self { state: Arc::new(Mutex::new(ConnectionState::Idle { since: Instant::now() })) }
     }
 
-    fn bytes_came(&self) {
+    fn record_bytes_received(&self) {
         let mut state = self.state.lock();
-        if matches!(*state, ConnectionState::Resting { .. }) {
+        if matches!(*state, ConnectionState::Idle { .. }) {
             *state = ConnectionState::ReadingHead { since: Instant::now() };
         }
     }
@@ -75,7 +75,7 @@
     /// When the connection is over its limit, if it stays as it is; nothing while it serves.
     fn expires_at(&self, limits: &ConnectionLimits) -> Option<Instant> {
         match *self.state.lock() {
-            ConnectionState::Resting { since } => Some(since + limits.idle_timeout),
+            ConnectionState::Idle { since } => Some(since + limits.idle_timeout),
             ConnectionState::ReadingHead { since } => Some(since + limits.head_timeout),
             ConnectionState::Serving => None,
         }
@@ -93,8 +93,8 @@
             if expires_at.is_some_and(|at| at <= now) {
                 return;
             }
-            let next_look = now + limits.head_timeout;
-            tokio::time::sleep_until(expires_at.map_or(next_look, |at| at.min(next_look))).await;
+            let next_check = now + limits.head_timeout;
+            tokio::time::sleep_until(expires_at.map_or(next_check, |at| at.min(next_check))).await;
         }
     }
 }
@@ -107,7 +107,7 @@
 
 impl Drop for ServingGuard {
     fn drop(&mut self) {
-        *self.activity.state.lock() = ConnectionState::Resting { since: Instant::now() };
+        *self.activity.state.lock() = ConnectionState::Idle { since: Instant::now() };
     }
 }
 
@@ -134,7 +134,7 @@
         let before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
         if buffer.filled().len() > before {
-            self.activity.bytes_came();
+            self.activity.record_bytes_received();
         }
         read
     }
--- a/crates/sablebay-node/src/http_listener.rs
+++ b/crates/sablebay-node/src/http_listener.rs
@@ -25,9 +25,9 @@
 const ACCEPT_RETRY: Duration = Duration::from_millis(10);
 
 /// The smallest buffer for heads that the server library takes.
-const SMALLEST_HEAD_BUFFER: usize = 8_192;
+const MINIMUM_HEAD_BUFFER: usize = 8_192;
 /// How long a connection that is over its limit may take to end in order.
-const EXPIRED_PATIENCE: Duration = Duration::from_millis(200);
+const EXPIRED_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// How far the stop of a listener has come. It only ever advances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -68,23 +68,23 @@
                     tokio::time::sleep(ACCEPT_RETRY).await;
                 }
             },
-            () = reached(&mut phase, ListenerPhase::Closed) => break,
+            () = wait_for_phase(&mut phase, ListenerPhase::Closed) => break,
             Some(_) = connections.join_next() => {}
         }
     }
-    for (stream, from) in close(listener) {
+    for (stream, from) in close_listener(listener) {
         connections.spawn(serve_connection(stream, from, routes.clone(), phase.clone(), limits.clone()));
     }
     connections.join_all().await;
 }
 
 /// Waits for a phase. A sender that is gone means the same as the last phase.
-async fn reached(phase: &mut watch::Receiver<ListenerPhase>, wanted: ListenerPhase) {
+async fn wait_for_phase(phase: &mut watch::Receiver<ListenerPhase>, wanted: ListenerPhase) {
     let _ = phase.wait_for(|phase| *phase >= wanted).await;
 }
 
 /// Closes the listener, and takes the connections that were waiting to be accepted.
-fn close(listener: TcpListener) -> Vec<(TcpStream, SocketAddr)> {
+fn close_listener(listener: TcpListener) -> Vec<(TcpStream, SocketAddr)> {
     let mut waiting = Vec::new();
     let Ok(listener) = listener.into_std() else {
         return waiting;
@@ -123,17 +123,17 @@
         }
     });
     let mut builder = hyper::server::conn::http1::Builder::new();
-    builder.max_buf_size(limits().head_bytes.max(SMALLEST_HEAD_BUFFER));
+    builder.max_buf_size(limits().head_bytes.max(MINIMUM_HEAD_BUFFER));
     let mut connection = std::pin::pin!(builder.serve_connection(TokioIo::new(stream), service));
     // How a connection ends is the other side's matter.
     tokio::select! {
         _ = connection.as_mut() => return,
-        () = reached(&mut phase, ListenerPhase::Ended) => {}
+        () = wait_for_phase(&mut phase, ListenerPhase::Ended) => {}
         () = activity.expired(limits) => {
             log::debug!("node: a connection from {from} was idle, or the head of its request slow, for too long.");
             connection.as_mut().graceful_shutdown();
             // A head that never comes to its end, or an answer that is never read, is not waited for.
-            let _ = tokio::time::timeout(EXPIRED_PATIENCE, connection).await;
+            let _ = tokio::time::timeout(EXPIRED_CLOSE_TIMEOUT, connection).await;
             return;
         }
     }
--- a/crates/sablebay-node/src/leaf_client.rs
+++ b/crates/sablebay-node/src/leaf_client.rs
@@ -198,7 +198,7 @@
 }
 
 /// The report in a leaf's load.
-pub(crate) fn report_of(load: LeafLoad) -> LoadReport {
+pub(crate) fn load_report(load: LeafLoad) -> LoadReport {
     LoadReport {
         in_flight: load.in_flight,
         slots: load.slots,
--- a/crates/sablebay-node/src/leaf_client/batch.rs
+++ b/crates/sablebay-node/src/leaf_client/batch.rs
@@ -15,7 +15,7 @@
 use sablebay_protocol::backend::{LeafAnswer, LeafCallRef, LeafRefusal, SEARCH_PATH, SearchBatch};
 use sablebay_query::{CallFailure, Coverage, ShardAnswer, Work};
 
-use super::{CallEvent, ClientContext, Command, QueuedCall, report_of};
+use super::{CallEvent, ClientContext, Command, QueuedCall, load_report};
 
 /// How long after the last deadline of a batch its connection is given up.
 const ANSWER_GRACE: Micros = Micros::from_millis(250);
@@ -33,7 +33,7 @@
             let Some(command) = commands.recv().await else {
                 return;
             };
-            take_command(&context, command, &mut waiting);
+            handle_command(&context, command, &mut waiting);
             continue;
         }
         wait_to_coalesce(&context, &mut commands, &mut waiting).await;
@@ -46,7 +46,7 @@
     }
 }
 
-fn take_command(context: &Arc<ClientContext>, command: Command, waiting: &mut Vec<QueuedCall>) {
+fn handle_command(context: &Arc<ClientContext>, command: Command, waiting: &mut Vec<QueuedCall>) {
     match command {
         Command::Search(call) => waiting.push(call),
         Command::Cancel(call_id) => {
@@ -74,14 +74,14 @@
     while waiting.len() < full {
         match commands.try_recv() {
             Ok(command) => {
-                take_command(context, command, waiting);
+                handle_command(context, command, waiting);
                 continue;
             }
             Err(_) if tokio::time::Instant::now() >= until => return,
             Err(_) => {}
         }
         match tokio::time::timeout_at(until, commands.recv()).await {
-            Ok(Some(command)) => take_command(context, command, waiting),
+            Ok(Some(command)) => handle_command(context, command, waiting),
             Ok(None) | Err(_) => return,
         }
     }
@@ -99,7 +99,7 @@
         tokio::select! {
             biased;
             permit = &mut permit => return permit,
-            Some(command) = commands.recv() => take_command(context, command, waiting),
+            Some(command) = commands.recv() => handle_command(context, command, waiting),
         }
     }
 }
@@ -186,14 +186,14 @@
     open: &mut OpenCalls,
     lease: Lease,
 ) -> Result<(), ExchangeFailure> {
-    let mut rest: Vec<u8> = Vec::new();
+    let mut partial_line: Vec<u8> = Vec::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| ExchangeFailure::Broken)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        take_lines(context, &data, &mut rest, open)?;
-        if rest.len() > MAXIMUM_LINE_BYTES {
+        handle_lines(context, &data, &mut partial_line, open)?;
+        if partial_line.len() > MAXIMUM_LINE_BYTES {
             return Err(ExchangeFailure::Broken);
         }
     }
@@ -202,28 +202,28 @@
 }
 
 /// Takes every line that `data` completes; what is left of the last one is kept in `rest`.
-fn take_lines(
+fn handle_lines(
     context: &ClientContext,
     data: &[u8],
-    rest: &mut Vec<u8>,
+    partial_line: &mut Vec<u8>,
     open: &mut OpenCalls,
 ) -> Result<(), ExchangeFailure> {
     let mut from = 0;
     for end in memchr::memchr_iter(b'\n', data) {
-        if rest.is_empty() {
-            take_line(context, &data[from..end], open)?;
+        if partial_line.is_empty() {
+            handle_line(context, &data[from..end], open)?;
         } else {
-            rest.extend_from_slice(&data[from..end]);
-            take_line(context, rest, open)?;
-            rest.clear();
+            partial_line.extend_from_slice(&data[from..end]);
+            handle_line(context, partial_line, open)?;
+            partial_line.clear();
         }
         from = end + 1;
     }
-    rest.extend_from_slice(&data[from..]);
+    partial_line.extend_from_slice(&data[from..]);
     Ok(())
 }
 
-fn take_line(context: &ClientContext, line: &[u8], open: &mut OpenCalls) -> Result<(), ExchangeFailure> {
+fn handle_line(context: &ClientContext, line: &[u8], open: &mut OpenCalls) -> Result<(), ExchangeFailure> {
     if line.is_empty() {
         return Ok(());
     }
@@ -243,7 +243,7 @@
 }
 
 fn outcome_of(answer: LeafAnswer) -> Result<ShardAnswer, (CallFailure, Option<sablebay_query::LoadReport>)> {
-    let report = report_of(answer.load);
+    let report = load_report(answer.load);
     if let Some(refusal) = answer.refusal {
         let failure = match refusal {
             LeafRefusal::NotHeld => CallFailure::NotHeld,
--- a/crates/sablebay-node/src/leaf_client/operation.rs
+++ b/crates/sablebay-node/src/leaf_client/operation.rs
@@ -25,7 +25,7 @@
     Refused(LeafRefusal),
     /// It was sent, and no word came back.
     #[display("no word")]
-    NoWord,
+    NoResponse,
 }
 
 impl LeafClient {
@@ -67,27 +67,28 @@
                 context.pool.send(&mut lease, json_request(Method::POST, OPERATION_PATH, body.into())).await;
             let response = sent.map_err(|failure| match failure {
                 ExchangeFailure::NotSent => OperationFailure::NotSent,
-                ExchangeFailure::Broken => OperationFailure::NoWord,
+                ExchangeFailure::Broken => OperationFailure::NoResponse,
             })?;
             let limited = Limited::new(response.into_body(), MAXIMUM_RESULT_BYTES);
-            let collected = limited.collect().await.map_err(|_| OperationFailure::NoWord)?;
+            let collected = limited.collect().await.map_err(|_| OperationFailure::NoResponse)?;
             Ok(collected.to_bytes())
         };
         let exchanged = tokio::time::timeout_at(until, exchange).await;
-        let bytes = exchanged.map_err(|_| OperationFailure::NoWord)??;
+        let bytes = exchanged.map_err(|_| OperationFailure::NoResponse)??;
         context.pool.give_back(lease);
         read_result(call_id, &bytes)
     }
 }
 
 fn read_result(call_id: CallId, bytes: &[u8]) -> Result<Box<RawValue>, OperationFailure> {
-    let answer: LeafOperationAnswer = serde_json::from_slice(bytes).map_err(|_| OperationFailure::NoWord)?;
+    let answer: LeafOperationAnswer =
+        serde_json::from_slice(bytes).map_err(|_| OperationFailure::NoResponse)?;
     if answer.call_id != call_id {
-        return Err(OperationFailure::NoWord);
+        return Err(OperationFailure::NoResponse);
     }
     match (answer.result, answer.refusal) {
         (Some(result), None) => Ok(result),
         (None, Some(refusal)) => Err(OperationFailure::Refused(refusal)),
-        _ => Err(OperationFailure::NoWord),
+        _ => Err(OperationFailure::NoResponse),
     }
 }
--- a/crates/sablebay-node/src/load_poll.rs
+++ b/crates/sablebay-node/src/load_poll.rs
@@ -12,7 +12,7 @@
 use sablebay_query::{LoadReport, Target};
 
 use crate::fleet_task::note_leaf;
-use crate::leaf_client::report_of;
+use crate::leaf_client::load_report;
 use crate::peers::Lane;
 use crate::service_state::ServiceState;
 use crate::shared::Shared;
@@ -20,11 +20,11 @@
 /// How often a leaf that has not answered a call lately is asked.
 const POLL_INTERVAL: Duration = Duration::from_millis(1_000);
 /// How old a report may be before the leaf is asked.
-const REPORT_AGE: Micros = Micros::from_millis(900);
+const MAXIMUM_REPORT_AGE: Micros = Micros::from_millis(900);
 /// How long a query waits to learn which versions there are.
-const VERSIONS_PATIENCE: Micros = Micros::from_millis(1_000);
+const VERSIONS_TIMEOUT: Micros = Micros::from_millis(1_000);
 /// Leaves asked at once.
-const POLLS_AT_ONCE: usize = 64;
+const MAXIMUM_CONCURRENT_POLLS: usize = 64;
 
 /// Polls the leaves of every service that is in use here, until the node ends.
 pub async fn run_load_polls(shared: Arc<Shared>) {
@@ -44,7 +44,7 @@
 async fn poll_leaves(shared: &Arc<Shared>, state: &Arc<ServiceState>, now: Micros) {
     let stale: Vec<LeafId> = {
         let routing = state.direct.lock();
-        let old = |at: Micros| now.since(at) >= REPORT_AGE;
+        let old = |at: Micros| now.since(at) >= MAXIMUM_REPORT_AGE;
         let replicas = routing.balancer.replicas();
         replicas
             .filter(|replica| replica.report.as_ref().is_none_or(|(_, at)| old(*at)))
@@ -54,15 +54,15 @@
             })
             .collect()
     };
-    let mut asking = JoinSet::new();
+    let mut requests = JoinSet::new();
     for leaf in stale {
-        if asking.len() >= POLLS_AT_ONCE {
-            asking.join_next().await;
+        if requests.len() >= MAXIMUM_CONCURRENT_POLLS {
+            requests.join_next().await;
         }
         let (shared, state) = (shared.clone(), state.clone());
-        asking.spawn(async move { poll_leaf(&shared, &state, leaf).await });
+        requests.spawn(async move { poll_leaf(&shared, &state, leaf).await });
     }
-    asking.join_all().await;
+    requests.join_all().await;
 }
 
 async fn poll_leaf(shared: &Arc<Shared>, state: &Arc<ServiceState>, leaf: LeafId) {
@@ -72,16 +72,16 @@
     let Some(load) = client.load().await else {
         return;
     };
-    take_load(shared, state, &leaf, load);
+    apply_load(shared, state, &leaf, load);
 }
 
-fn take_load(shared: &Arc<Shared>, state: &Arc<ServiceState>, leaf: &LeafId, load: LeafLoad) {
+fn apply_load(shared: &Arc<Shared>, state: &Arc<ServiceState>, leaf: &LeafId, load: LeafLoad) {
     let draining = load.draining;
     {
         let mut routing = state.direct.lock();
         let target = Target::Leaf(leaf.clone());
         if let Some(index) = routing.balancer.position(&target) {
-            routing.balancer.reported(index, report_of(load), shared.clock.now());
+            routing.balancer.reported(index, load_report(load), shared.clock.now());
         }
     }
     if draining || shared.listed_leaving.lock().contains(leaf) {
@@ -98,7 +98,7 @@
         return;
     }
     let now = shared.clock.now();
-    let until = now.plus(VERSIONS_PATIENCE).min(deadline);
+    let until = now.plus(VERSIONS_TIMEOUT).min(deadline);
     let polling = poll_leaves(shared, state, Micros::MAX);
     // What is not known by then the search finds out by itself.
     let _ = tokio::time::timeout_at(shared.clock.instant(until), polling).await;
@@ -110,24 +110,24 @@
         return;
     }
     let plan = state.through_peers.lock().plan.clone();
-    let mut asking = JoinSet::new();
+    let mut requests = JoinSet::new();
     for shard in &plan.shards {
         let (shared, state) = (shared.clone(), state.clone());
         let (partitions, replicas) = ((*shard.partitions).clone(), shard.replicas.clone());
-        asking.spawn(async move {
+        requests.spawn(async move {
             for replica in replicas {
-                if ask_peer(&shared, &state, replica, partitions.clone(), deadline).await {
+                if request_versions(&shared, &state, replica, partitions.clone(), deadline).await {
                     return;
                 }
             }
         });
     }
-    let until = shared.clock.now().plus(VERSIONS_PATIENCE).min(deadline);
+    let until = shared.clock.now().plus(VERSIONS_TIMEOUT).min(deadline);
     // As above.
-    let _ = tokio::time::timeout_at(shared.clock.instant(until), asking.join_all()).await;
+    let _ = tokio::time::timeout_at(shared.clock.instant(until), requests.join_all()).await;
 }
 
-async fn ask_peer(
+async fn request_versions(
     shared: &Arc<Shared>,
     state: &Arc<ServiceState>,
     replica: sablebay_query::ReplicaIndex,
--- a/crates/sablebay-node/src/operation.rs
+++ b/crates/sablebay-node/src/operation.rs
@@ -24,11 +24,11 @@
 use crate::shared::Shared;
 
 /// How long a holder may take to answer before it counts as lost.
-const HOLDER_PATIENCE: Micros = Micros::from_millis(400);
+const HOLDER_TIMEOUT: Micros = Micros::from_millis(400);
 /// When to ask for a ticket whose outcome is not known yet, in milliseconds.
 const OUTCOME_RETRY_MS: u64 = 100;
 /// How long telling the holders of an outcome may take.
-const RECORD_PATIENCE: Micros = Micros::from_millis(1_000);
+const RECORD_TIMEOUT: Micros = Micros::from_millis(1_000);
 
 /// An operation as it came in.
 #[derive(Debug)]
@@ -50,11 +50,11 @@
     drop(fleet);
     let mut random = rand::rng();
     while holders.len() < CLAIM_HOLDERS && !candidates.is_empty() {
-        let elsewhere: Vec<usize> =
+        let other_zones: Vec<usize> =
             (0..candidates.len()).filter(|at| !zones.contains(&candidates[*at].zone)).collect();
-        let position = match elsewhere.len() {
+        let position = match other_zones.len() {
             0 => random.random_range(0..candidates.len()),
-            count => elsewhere[random.random_range(0..count)],
+            count => other_zones[random.random_range(0..count)],
         };
         let chosen = candidates.swap_remove(position);
         zones.push(chosen.zone.clone());
@@ -78,35 +78,35 @@
     service_id: &ServiceId,
     input: OperationInput,
 ) -> Result<(Ticket, Box<RawValue>), Refusal> {
-    let given = input.ticket.as_deref().map(|text| read_ticket(text, service_id)).transpose()?;
-    let elsewhere = |refusal| match &given {
+    let submitted = input.ticket.as_deref().map(|text| read_ticket(text, service_id)).transpose()?;
+    let before_claim = |refusal| match &submitted {
         None => refusal,
         Some(ticket) => not_claimed(refusal, false, ticket),
     };
     let in_flight = shared.lifecycle.enter().ok_or_else(|| stopping(shared));
-    let _in_flight = in_flight.map_err(&elsewhere)?;
-    let _slot = shared.take_slot().map_err(&elsewhere)?;
+    let _in_flight = in_flight.map_err(&before_claim)?;
+    let _slot = shared.take_slot().map_err(&before_claim)?;
     let arrived = shared.clock.now();
-    let (_, settings) = find_service(shared, service_id).map_err(&elsewhere)?;
+    let (_, settings) = find_service(shared, service_id).map_err(&before_claim)?;
     let limit_ms = input.deadline_ms.unwrap_or(settings.deadline_ms);
     let deadline = arrived.plus(Micros::from_millis(limit_ms));
-    confirm(shared, &settings, deadline).await.map_err(&elsewhere)?;
+    confirm(shared, &settings, deadline).await.map_err(&before_claim)?;
     // Looked up again: a node that woke from a pause may have adopted a configuration just now.
-    let (state, settings) = find_service(shared, service_id).map_err(&elsewhere)?;
+    let (state, settings) = find_service(shared, service_id).map_err(&before_claim)?;
     // An operation goes to a leaf from here, also where queries go through aggregators.
     let state = shared.service_with_leaves(service_id).unwrap_or(state);
-    let (ticket, fresh) = match given {
+    let (ticket, minted_here) = match submitted {
         None => (mint_ticket(shared, &settings), true),
         Some(ticket) => (ticket, false),
     };
     let permit = state.admit(shared.clock, deadline).await;
     let _permit = permit.map_err(|retry_after_ms| {
         let refusal = Refusal::not_run(Reason::Overloaded, "the service has no free slot");
-        not_claimed(refusal.retry_after(retry_after_ms), fresh, &ticket)
+        not_claimed(refusal.retry_after(retry_after_ms), minted_here, &ticket)
     })?;
-    let claimant = claim(shared, &ticket, fresh, deadline).await?;
+    let claimant = claim(shared, &ticket, minted_here, deadline).await?;
     let outcome = dispatch_once(shared, &state, &ticket, input.operation, deadline).await;
-    record_everywhere(shared, &ticket, &claimant, &outcome).await;
+    record_outcome(shared, &ticket, &claimant, &outcome).await;
     outcome.map(|result| (ticket.clone(), result)).map_err(|refusal| refusal.with_ticket(ticket.to_string()))
 }
 
@@ -123,8 +123,8 @@
 
 /// A refusal before any claim: this submission did not run. Of a ticket that others may have
 /// submitted too, no more can be said than that the outcome is not known here.
-fn not_claimed(refusal: Refusal, fresh: bool, ticket: &Ticket) -> Refusal {
-    if fresh {
+fn not_claimed(refusal: Refusal, minted_here: bool, ticket: &Ticket) -> Refusal {
+    if minted_here {
         return refusal;
     }
     Refusal { outcome: Outcome::Unknown, ..refusal }.with_ticket(ticket.to_string())
@@ -134,7 +134,7 @@
 async fn claim(
     shared: &Arc<Shared>,
     ticket: &Ticket,
-    fresh: bool,
+    minted_here: bool,
     deadline: Micros,
 ) -> Result<Claimant, Refusal> {
     let attempt = shared.next_claim.fetch_add(1, Ordering::Relaxed);
@@ -146,12 +146,12 @@
         match step {
             SubmissionStep::Ask(positions) => {
                 for position in positions {
-                    ask_holder(shared, ticket, &claimant, position, deadline, replies.clone());
+                    send_claim(shared, ticket, &claimant, position, deadline, replies.clone());
                 }
             }
             SubmissionStep::Wait => {}
             SubmissionStep::Dispatch => return Ok(claimant),
-            decision => return Err(refusal_for(decision, fresh, ticket)),
+            decision => return Err(refusal_for(decision, minted_here, ticket)),
         }
         let reply = receiver.recv().await;
         let (position, reply) = reply.expect("a sender is kept here");
@@ -159,7 +159,7 @@
     }
 }
 
-fn refusal_for(decision: SubmissionStep, fresh: bool, ticket: &Ticket) -> Refusal {
+fn refusal_for(decision: SubmissionStep, minted_here: bool, ticket: &Ticket) -> Refusal {
     let text = ticket.to_string();
     match decision {
         SubmissionStep::ClaimedElsewhere(TicketState::NotRun { reason }) => {
@@ -188,12 +188,12 @@
         _ => {
             let message = "too few of the ticket's holders answered";
             let refusal = Refusal::not_run(Reason::HoldersLost, message).retry_after(OUTCOME_RETRY_MS);
-            not_claimed(refusal, fresh, ticket)
+            not_claimed(refusal, minted_here, ticket)
         }
     }
 }
 
-fn ask_holder(
+fn send_claim(
     shared: &Arc<Shared>,
     ticket: &Ticket,
     claimant: &Claimant,
@@ -205,11 +205,11 @@
     let holder = ticket.holders[position].clone();
     let shared = shared.clone();
     tokio::spawn(async move {
-        let until = shared.clock.now().plus(HOLDER_PATIENCE).min(deadline);
+        let until = shared.clock.now().plus(HOLDER_TIMEOUT).min(deadline);
         let reply = if holder == *shared.key() {
             HolderReply::Answer(shared.claims.lock().claim(&request, shared.clock.wall()))
         } else {
-            match ask(&shared, &holder, PeerRequest::Claim(request), until).await {
+            match request_holder(&shared, &holder, PeerRequest::Claim(request), until).await {
                 Some(PeerResponse::Claim(answer)) => HolderReply::Answer(answer),
                 _ => HolderReply::Lost,
             }
@@ -220,7 +220,7 @@
 }
 
 /// Sends a request to one life of a node; nothing when that life is over or does not answer.
-async fn ask(
+async fn request_holder(
     shared: &Arc<Shared>,
     holder: &InstanceKey,
     request: PeerRequest,
@@ -270,10 +270,10 @@
                 }
                 last = Refusal::not_run(Reason::BackEndRefused, format!("{leaf} refused: {refusal:?}"));
             }
-            Err(OperationFailure::NoWord) if !shared.mechanisms.unknown_outcomes => {
+            Err(OperationFailure::NoResponse) if !shared.mechanisms.unknown_outcomes => {
                 last = Refusal::not_run(Reason::BackEndFailed, format!("{leaf} gave no word"));
             }
-            Err(OperationFailure::NoWord) => {
+            Err(OperationFailure::NoResponse) => {
                 let message = format!("{leaf} was sent the operation and gave no word of it");
                 return Err(Refusal::unknown(Reason::BackEndFailed, message));
             }
@@ -305,7 +305,7 @@
 }
 
 /// Tells the holders what became of the operation, so that any node can answer for the ticket.
-async fn record_everywhere(
+async fn record_outcome(
     shared: &Arc<Shared>,
     ticket: &Ticket,
     claimant: &Claimant,
@@ -316,8 +316,8 @@
         Err(refusal) if refusal.outcome == Outcome::NotRun => TicketState::NotRun { reason: refusal.reason },
         Err(refusal) => TicketState::Unknown { reason: refusal.reason },
     };
-    let until = shared.clock.now().plus(RECORD_PATIENCE);
-    let mut telling = tokio::task::JoinSet::new();
+    let until = shared.clock.now().plus(RECORD_TIMEOUT);
+    let mut recording = tokio::task::JoinSet::new();
     for holder in &ticket.holders {
         if holder == shared.key() {
             shared.claims.lock().record(ticket.id, claimant, state.clone());
@@ -329,13 +329,13 @@
             claimant: claimant.clone(),
             state: state.clone(),
         };
-        telling.spawn(async move { ask(&shared, &holder, request, until).await });
+        recording.spawn(async move { request_holder(&shared, &holder, request, until).await });
     }
     // The caller's answer does not wait for holders: one of them is enough, and this node is
     // often one. The rest goes on by itself, and a planned stop waits for it.
     let in_flight = shared.lifecycle.track();
     tokio::spawn(async move {
-        telling.join_all().await;
+        recording.join_all().await;
         drop(in_flight);
     });
 }
@@ -343,26 +343,26 @@
 /// What became of a ticket, by the word of its holders.
 pub async fn ticket_state(shared: &Arc<Shared>, ticket: &Ticket) -> Result<Option<TicketState>, Refusal> {
     let now = shared.clock.now();
-    let mut asking = tokio::task::JoinSet::new();
+    let mut requests = tokio::task::JoinSet::new();
     for holder in ticket.holders.clone() {
         let (shared, ticket) = (shared.clone(), ticket.clone());
-        asking.spawn(async move {
+        requests.spawn(async move {
             if holder == *shared.key() {
                 return Some(shared.claims.lock().lookup(&ticket, shared.clock.wall()));
             }
             let request = PeerRequest::QuestionTicket { ticket };
-            match ask(&shared, &holder, request, now.plus(HOLDER_PATIENCE)).await {
+            match request_holder(&shared, &holder, request, now.plus(HOLDER_TIMEOUT)).await {
                 Some(PeerResponse::Claim(answer)) => Some(answer),
                 _ => None,
             }
         });
     }
-    let answers: Vec<ClaimAnswer> = asking.join_all().await.into_iter().flatten().collect();
-    combine(ticket, &answers)
+    let answers: Vec<ClaimAnswer> = requests.join_all().await.into_iter().flatten().collect();
+    combine_answers(ticket, &answers)
 }
 
 /// One word out of the holders' answers. `Ok(None)`: nobody has claimed it yet.
-fn combine(ticket: &Ticket, answers: &[ClaimAnswer]) -> Result<Option<TicketState>, Refusal> {
+fn combine_answers(ticket: &Ticket, answers: &[ClaimAnswer]) -> Result<Option<TicketState>, Refusal> {
     let states = answers.iter().filter_map(|answer| match answer {
         ClaimAnswer::HeldBy { state, .. } => Some(state),
         _ => None,
--- a/crates/sablebay-node/src/root_search.rs
+++ b/crates/sablebay-node/src/root_search.rs
@@ -19,7 +19,7 @@
 /// Peers that are asked at once when a node finds its configuration unconfirmed.
 const CONFIRMATION_PEERS: usize = 3;
 /// How long a request waits for them.
-const CONFIRMATION_PATIENCE: Micros = Micros::from_millis(250);
+const CONFIRMATION_TIMEOUT: Micros = Micros::from_millis(250);
 /// When to come back to a node that is not ready or not confirmed, in milliseconds.
 const NOT_READY_RETRY_MS: u64 = 500;
 
@@ -107,7 +107,7 @@
     if shared.freshness.is_fresh(now) {
         return Ok(());
     }
-    let until = shared.clock.instant(now.plus(CONFIRMATION_PATIENCE).min(deadline));
+    let until = shared.clock.instant(now.plus(CONFIRMATION_TIMEOUT).min(deadline));
     step_fleet(shared, |fleet, now, outputs| fleet.ask_for_confirmation(CONFIRMATION_PEERS, now, outputs));
     let confirmed = async {
         loop {
--- a/crates/sablebay-node/src/search_driver.rs
+++ b/crates/sablebay-node/src/search_driver.rs
@@ -21,11 +21,11 @@
 use crate::shared::Shared;
 
 /// Events handled in one turn.
-const EVENTS_PER_TURN: usize = 64;
+const EVENTS_PER_STEP: usize = 64;
 /// The part of the remaining time that an aggregator keeps for its way back, in percent.
-const RETURN_PERCENT: u64 = 5;
+const RETURN_MARGIN_PERCENT: u64 = 5;
 /// That time at the most.
-const MAXIMUM_RETURN: Micros = Micros::from_millis(10);
+const MAXIMUM_RETURN_MARGIN: Micros = Micros::from_millis(10);
 
 /// One search being run.
 pub struct SearchDriver<'a> {
@@ -43,7 +43,7 @@
 enum SentCall {
     ToLeaf(Arc<LeafClient>, CallId, ReplicaIndex),
     ToPeer(tokio::task::AbortHandle),
-    Over,
+    Finished,
 }
 
 /// Runs a search to its end.
@@ -73,38 +73,38 @@
     });
     driver.perform(&mut actions);
     let mut guard = AbandonOnDrop { search: Some(search), driver };
-    let mut events = Vec::with_capacity(EVENTS_PER_TURN);
+    let mut events = Vec::with_capacity(EVENTS_PER_STEP);
     loop {
         let (search, driver) = guard.parts();
         if search.is_finished() {
             break;
         }
         let wake = shared.clock.instant(search.next_wake());
-        let received = tokio::time::timeout_at(wake, receiver.recv_many(&mut events, EVENTS_PER_TURN)).await;
+        let received = tokio::time::timeout_at(wake, receiver.recv_many(&mut events, EVENTS_PER_STEP)).await;
         let now = shared.clock.now();
         {
             let routing = &mut route.routing.lock();
-            let mut turn = SearchContext { routing, now, random: &mut random, actions: &mut actions };
+            let mut context = SearchContext { routing, now, random: &mut random, actions: &mut actions };
             for event in events.drain(..) {
-                driver.note(&event);
-                feed(search, event, &mut turn);
+                driver.note_draining(&event);
+                apply_event(search, event, &mut context);
             }
             if received.is_err() || now >= search.next_wake() {
-                search.on_wake(&mut turn);
+                search.on_wake(&mut context);
             }
         }
         driver.perform(&mut actions);
-        driver.tell_draining();
+        driver.report_draining();
     }
     guard.search.take().expect("the search is taken once").into_result()
 }
 
-fn feed(search: &mut Search, event: CallEvent, turn: &mut SearchContext<'_, SmallRng>) {
+fn apply_event(search: &mut Search, event: CallEvent, context: &mut SearchContext<'_, SmallRng>) {
     match event.outcome {
         Ok(answer) => {
-            search.on_answer(event.attempt, answer, turn);
+            search.on_answer(event.attempt, answer, context);
         }
-        Err((failure, report)) => search.on_failure(event.attempt, failure, report, turn),
+        Err((failure, report)) => search.on_failure(event.attempt, failure, report, context),
     }
 }
 
@@ -158,7 +158,7 @@
         deadline: Micros,
     ) {
         let target = self.targets.get(replica.0 as usize).cloned();
-        let sent = match target.unwrap_or_else(|| self.newer_target(replica)) {
+        let sent = match target.unwrap_or_else(|| self.refreshed_target(replica)) {
             CallTarget::Leaf(client) => {
                 let call =
                     client.search(&self.outgoing, attempt, partitions, version, deadline, &self.events);
@@ -171,9 +171,9 @@
                 let task = tokio::spawn(call_peer(shared, node, outgoing, call, events));
                 SentCall::ToPeer(task.abort_handle())
             }
-            CallTarget::Gone => {
+            CallTarget::Removed => {
                 self.fail(attempt, CallFailure::NotSent);
-                SentCall::Over
+                SentCall::Finished
             }
         };
         debug_assert_eq!(self.sent.len(), attempt.0 as usize);
@@ -181,9 +181,9 @@
     }
 
     /// A replica that was configured after the search began, for a plan made again.
-    fn newer_target(&mut self, replica: ReplicaIndex) -> CallTarget {
+    fn refreshed_target(&mut self, replica: ReplicaIndex) -> CallTarget {
         self.targets = self.route.targets.load_full();
-        self.targets.get(replica.0 as usize).cloned().unwrap_or(CallTarget::Gone)
+        self.targets.get(replica.0 as usize).cloned().unwrap_or(CallTarget::Removed)
     }
 
     fn fail(&self, attempt: AttemptNumber, failure: CallFailure) {
@@ -194,15 +194,15 @@
         let Some(sent) = self.sent.get_mut(attempt.0 as usize) else {
             return;
         };
-        match std::mem::replace(sent, SentCall::Over) {
+        match std::mem::replace(sent, SentCall::Finished) {
             SentCall::ToLeaf(client, call, _) => client.cancel(call),
             SentCall::ToPeer(task) => task.abort(),
-            SentCall::Over => {}
+            SentCall::Finished => {}
         }
     }
 
     /// Notes a leaf that says it is leaving, to tell the fleet.
-    fn note(&mut self, event: &CallEvent) {
+    fn note_draining(&mut self, event: &CallEvent) {
         let report = match &event.outcome {
             Ok(answer) => answer.report.as_ref(),
             Err((_, report)) => report.as_ref(),
@@ -217,7 +217,7 @@
         }
     }
 
-    fn tell_draining(&mut self) {
+    fn report_draining(&mut self) {
         for replica in std::mem::take(&mut self.draining_seen) {
             let target = self.route.routing.lock().balancer.replica(replica).target.clone();
             if let Target::Leaf(leaf) = target {
@@ -245,13 +245,13 @@
 ) {
     let now = shared.clock.now();
     let remaining = call.deadline.since(now);
-    let way_back = Micros(remaining.0 * RETURN_PERCENT / 100).min(MAXIMUM_RETURN);
+    let return_margin = Micros(remaining.0 * RETURN_MARGIN_PERCENT / 100).min(MAXIMUM_RETURN_MARGIN);
     let partial = PartialSearch {
         service: outgoing.service.clone(),
         revision: shared.configuration().map(|c| c.version.revision).unwrap_or_default(),
         version: call.version,
         partitions: (*call.partitions).clone(),
-        remaining_us: remaining.since(way_back).0,
+        remaining_us: remaining.since(return_margin).0,
         limit: u32::try_from(outgoing.limit).unwrap_or(u32::MAX),
         order: outgoing.sort,
         query: outgoing.query.get().to_string(),
@@ -282,7 +282,7 @@
             let Ok(hits) = serde_json::from_slice(&result.hits) else {
                 return Err((CallFailure::Mismatched, None));
             };
-            if lost_to_version(&result.coverage) {
+            if version_not_held(&result.coverage) {
                 return Err((CallFailure::NotHeld, Some(report)));
             }
             let (version, coverage, work) = (result.version, result.coverage, result.work);
@@ -297,7 +297,7 @@
 }
 
 /// Whether nothing was answered because no replica holds the version.
-fn lost_to_version(coverage: &Coverage) -> bool {
+fn version_not_held(coverage: &Coverage) -> bool {
     let not_held = |gap: &sablebay_query::Gap| gap.reason == sablebay_query::GapReason::NotHeld;
     coverage.answered.is_empty() && !coverage.missing.is_empty() && coverage.missing.iter().all(not_held)
 }
--- a/crates/sablebay-node/src/service_state.rs
+++ b/crates/sablebay-node/src/service_state.rs
@@ -31,7 +31,7 @@
     /// What was counted.
     pub counts: Mutex<ServiceCounts>,
     admission: Mutex<AdmissionQueue>,
-    built: Mutex<Built>,
+    built: Mutex<BuiltPlans>,
     direct_targets: ArcSwap<Vec<CallTarget>>,
     peer_targets: ArcSwap<Vec<CallTarget>>,
 }
@@ -44,7 +44,7 @@
     /// An aggregator.
     Peer(NodeId),
     /// A replica that is configured no more.
-    Gone,
+    Removed,
 }
 
 /// The replicas of a service that a search sends its calls to.
@@ -67,22 +67,22 @@
 
 /// What the plans were made from, and when.
 #[derive(Default)]
-struct Built {
+struct BuiltPlans {
     epoch: Option<u64>,
     direct_epoch: Option<u64>,
-    callers: Option<PlannedFor>,
+    callers: Option<CallerPlanKey>,
     layout: Option<Arc<IndexLayout>>,
     uses_peers: bool,
 }
 
 /// What the plan for callers was made from: while it is the same, the plan is too.
-struct PlannedFor {
+struct CallerPlanKey {
     settings: Arc<ServiceSettings>,
     index: Option<Entry>,
     aggregators: Vec<NodeId>,
 }
 
-impl PlannedFor {
+impl CallerPlanKey {
     fn new(inputs: &PlanInputs<'_>, aggregators: Vec<NodeId>) -> Self {
         Self { settings: inputs.settings.clone(), index: inputs.index_entry().cloned(), aggregators }
     }
@@ -95,7 +95,7 @@
 }
 
 /// The index's layout under the configuration in force: the one at hand, or read anew.
-fn current_layout(built: &Built, inputs: &PlanInputs<'_>) -> Option<Arc<IndexLayout>> {
+fn current_layout(built: &BuiltPlans, inputs: &PlanInputs<'_>) -> Option<Arc<IndexLayout>> {
     let document = &inputs.configuration.document;
     if let Some(layout) = built.layout.as_ref().filter(|layout| layout.is_current(document)) {
         return Some(layout.clone());
@@ -134,8 +134,8 @@
     fn release(&mut self, now: Micros, duration: Micros) {
         let mut next = self.machine.leave(now, duration);
         while let Some(id) = next {
-            let told = self.waiting.remove(&id).is_some_and(|sender| sender.send(()).is_ok());
-            if told {
+            let notified = self.waiting.remove(&id).is_some_and(|sender| sender.send(()).is_ok());
+            if notified {
                 return;
             }
             next = self.machine.leave(now, duration);
@@ -232,7 +232,7 @@
     }
 
     /// What every node needs to know of a service, and the plan over aggregators if it uses them.
-    fn refresh_for_callers(&self, built: &mut Built, inputs: &PlanInputs<'_>) {
+    fn refresh_for_callers(&self, built: &mut BuiltPlans, inputs: &PlanInputs<'_>) {
         let settings = inputs.settings;
         self.admission.lock().machine.set_limits(settings.concurrency, settings.queue);
         let aggregators = inputs.view.aggregators(&settings.service, &inputs.shared.settings);
@@ -254,11 +254,11 @@
             self.peer_targets.store(Arc::new(call_targets(&peers, inputs, &layout)));
             peers.plan = Arc::new(plan);
         }
-        built.callers = Some(PlannedFor::new(inputs, aggregators));
+        built.callers = Some(CallerPlanKey::new(inputs, aggregators));
     }
 
     /// The plan over the leaves themselves.
-    fn refresh_direct(&self, built: &mut Built, inputs: &PlanInputs<'_>) {
+    fn refresh_direct(&self, built: &mut BuiltPlans, inputs: &PlanInputs<'_>) {
         let Some(layout) = current_layout(built, inputs) else {
             return;
         };
@@ -293,11 +293,11 @@
                 }
             }
         };
-        let mut ticket = Waiting { state: self.clone(), id, started: false };
+        let mut waiter = QueuedWaiter { state: self.clone(), id, started: false };
         let started = tokio::time::timeout_at(clock.instant(deadline), &mut receiver).await;
-        let won = matches!(started, Ok(Ok(()))) || receiver.try_recv().is_ok();
-        if won {
-            ticket.started = true;
+        let admitted = matches!(started, Ok(Ok(()))) || receiver.try_recv().is_ok();
+        if admitted {
+            waiter.started = true;
             return Ok(AdmissionPermit { state: self.clone(), clock, started: clock.now() });
         }
         const LATE_RETRY_MS: u64 = 50;
@@ -312,13 +312,13 @@
 }
 
 /// A waiter; leaves the queue when dropped, also when its caller goes away.
-struct Waiting {
+struct QueuedWaiter {
     state: Arc<ServiceState>,
     id: WaiterId,
     started: bool,
 }
 
-impl Drop for Waiting {
+impl Drop for QueuedWaiter {
     fn drop(&mut self) {
         if self.started {
             return;
--- a/crates/sablebay-node/src/service_state/plan.rs
+++ b/crates/sablebay-node/src/service_state/plan.rs
@@ -38,7 +38,7 @@
 ) -> Vec<CallTarget> {
     let client = |leaf: &LeafId| layout.leaves.get(leaf).map(|leaf| inputs.shared.leaf_client(leaf));
     let target = |replica: &ReplicaState| match &replica.target {
-        Target::Leaf(leaf) => client(leaf).map_or(CallTarget::Gone, CallTarget::Leaf),
+        Target::Leaf(leaf) => client(leaf).map_or(CallTarget::Removed, CallTarget::Leaf),
         Target::Peer(node) => CallTarget::Peer(node.clone()),
     };
     routing.balancer.replicas().map(target).collect()
@@ -51,8 +51,8 @@
     aggregators: &[NodeId],
     shared: &Shared,
 ) -> bool {
-    let alone = aggregators.len() <= 1 && aggregators.contains(&shared.settings.node);
-    if alone {
+    let is_sole_aggregator = aggregators.len() <= 1 && aggregators.contains(&shared.settings.node);
+    if is_sole_aggregator {
         return false;
     }
     match settings.fan_out {
--- a/crates/sablebay-node/tests/caller_counts.rs
+++ b/crates/sablebay-node/tests/caller_counts.rs
@@ -42,6 +42,6 @@
     counts.refused("unknown_key");
     counts.refused("unknown_key");
     counts.refused("outdated");
-    let told: Vec<(String, u64)> = counts.refusals().into_iter().collect();
-    assert_eq!(told, [("outdated".to_string(), 1), ("unknown_key".to_string(), 2)]);
+    let refusals: Vec<(String, u64)> = counts.refusals().into_iter().collect();
+    assert_eq!(refusals, [("outdated".to_string(), 1), ("unknown_key".to_string(), 2)]);
 }
--- a/crates/sablebay-node/tests/plans.rs
+++ b/crates/sablebay-node/tests/plans.rs
@@ -22,7 +22,7 @@
 
 /// The revisions that plans are seen under by one thread, as long as `running`; whether one was lower
 /// than the one before.
-fn plans_go_back(shared: &Shared, running: &AtomicBool) -> bool {
+fn observes_older_plan(shared: &Shared, running: &AtomicBool) -> bool {
     let mut last = 0;
     while running.load(Ordering::Relaxed) {
         let Some(state) = shared.service(&ServiceId::new("s")) else { continue };
@@ -44,7 +44,7 @@
     let readers: Vec<_> = (0..THREADS)
         .map(|_| {
             let (shared, running) = (node.shared.clone(), running.clone());
-            tokio::task::spawn_blocking(move || plans_go_back(&shared, &running))
+            tokio::task::spawn_blocking(move || observes_older_plan(&shared, &running))
         })
         .collect();
     for configuration in configurations {
