--- a/crates/sablebay-node/src/caller_api.rs
+++ b/crates/sablebay-node/src/caller_api.rs
@@ -1,4 +1,4 @@
-//! The callers' HTTP API.
+//! The HTTP API for callers: queries, operations and tickets.
 
 use std::sync::Arc;
 
@@ -25,18 +25,15 @@
 use crate::root_search::{QueryInput, find_service, root_search, stopping};
 use crate::shared::Shared;
 
-/// The longest body.
 const MAXIMUM_BODY_BYTES: usize = 256 * 1024;
-/// Hits in one answer at the most.
+/// Maximum number of hits that a query may request.
 const MAXIMUM_LIMIT: usize = 10_000;
-/// The longest deadline a caller may ask for, in milliseconds.
 const MAXIMUM_DEADLINE_MS: u64 = 600_000;
-/// The longest request identifier.
+/// In bytes.
 const MAXIMUM_REQUEST_ID_LENGTH: usize = 128;
 
 type Answer = Result<Response, Refusal>;
 
-/// The routes.
 pub fn caller_routes(shared: Arc<Shared>) -> Router {
     let routes = Router::new()
         .route("/v1/services/{service}/query", post(query))
@@ -49,7 +46,7 @@
         .with_state(shared)
 }
 
-/// A draining node tells its callers to take their next request elsewhere.
+/// Adds `Connection: close` to responses while the node drains, so that callers reconnect to another node.
 async fn close_when_draining(
     State(shared): State<Arc<Shared>>,
     request: axum::extract::Request,
@@ -66,7 +63,7 @@
     answer.unwrap_or_else(refusal_response)
 }
 
-/// What callers may say in headers.
+/// Request options that callers send as headers.
 struct CallerHeaders {
     request_id: RequestId,
     deadline_ms: Option<u64>,
@@ -78,14 +75,14 @@
         return Ok(None);
     };
     let text = value.to_str();
-    let bad = |_| Refusal::not_run(Reason::BadRequest, format!("the header {name} is not plain text"));
+    let bad = |_| Refusal::not_run(Reason::BadRequest, format!("the header {name} is not plain ASCII text"));
     text.map(Some).map_err(bad)
 }
 
 fn read_headers(headers: &HeaderMap) -> Result<CallerHeaders, Refusal> {
     let request_id = match text_header(headers, REQUEST_ID_HEADER)? {
         Some(id) if id.len() > MAXIMUM_REQUEST_ID_LENGTH => {
-            let message = format!("{REQUEST_ID_HEADER} is over {MAXIMUM_REQUEST_ID_LENGTH} bytes");
+            let message = format!("{REQUEST_ID_HEADER} exceeds {MAXIMUM_REQUEST_ID_LENGTH} bytes");
             return Err(Refusal::not_run(Reason::TooLarge, message));
         }
         Some(id) => RequestId::new(id),
@@ -96,7 +93,8 @@
         Some(text) => {
             let limits = 1..=MAXIMUM_DEADLINE_MS;
             let value = text.parse::<u64>().ok().filter(|value| limits.contains(value));
-            let message = format!("{DEADLINE_HEADER} is `{text}`, not 1 to {MAXIMUM_DEADLINE_MS}");
+            let message =
+                format!("{DEADLINE_HEADER} is `{text}`; expected 1 to {MAXIMUM_DEADLINE_MS} milliseconds");
             Some(value.ok_or_else(|| Refusal::not_run(Reason::BadRequest, message))?)
         }
     };
@@ -104,23 +102,23 @@
     Ok(CallerHeaders { request_id, deadline_ms, ticket })
 }
 
-/// The body as sent, or why it was not taken.
+/// The request body, or why it was rejected.
 type ReceivedBody = Result<Bytes, axum::extract::rejection::BytesRejection>;
 
 fn read_body(body: ReceivedBody) -> Result<Bytes, Refusal> {
     body.map_err(|rejection| {
         if rejection.status() == StatusCode::PAYLOAD_TOO_LARGE {
-            let message = format!("the body is over {MAXIMUM_BODY_BYTES} bytes");
+            let message = format!("the request body exceeds {MAXIMUM_BODY_BYTES} bytes");
             Refusal::not_run(Reason::TooLarge, message)
         } else {
-            Refusal::not_run(Reason::BadRequest, "the body could not be read")
+            Refusal::not_run(Reason::BadRequest, "the request body could not be read")
         }
     })
 }
 
 fn parse_body<'a, T: serde::Deserialize<'a>>(body: &'a [u8]) -> Result<T, Refusal> {
     serde_json::from_slice(body).map_err(|error| {
-        Refusal::not_run(Reason::BadRequest, format!("the body is not as expected: {error}"))
+        Refusal::not_run(Reason::BadRequest, format!("the request body is invalid: {error}"))
     })
 }
 
@@ -143,7 +141,7 @@
     let body = read_body(body)?;
     let body: QueryBody = parse_body(&body)?;
     if body.limit > MAXIMUM_LIMIT {
-        let message = format!("limit is {}, over {MAXIMUM_LIMIT}", body.limit);
+        let message = format!("limit is {}; the maximum is {MAXIMUM_LIMIT}", body.limit);
         return Err(Refusal::not_run(Reason::TooLarge, message));
     }
     let request_id = headers.request_id.clone();
@@ -188,8 +186,8 @@
     let operation: Box<RawValue> = parse_body(&body)?;
     let request_id = headers.request_id.clone();
     let input = OperationInput { operation, ticket: headers.ticket, deadline_ms: headers.deadline_ms };
-    // The operation goes on when the caller goes away: it may have been sent, and its outcome has
-    // to be recorded.
+    // Spawned so that a caller's disconnect does not cancel the operation: it may have been sent
+    // already, and its outcome must be recorded.
     let service_id = ServiceId::new(service);
     let running = {
         let shared = shared.clone();
@@ -197,7 +195,7 @@
     };
     let joined = running.await;
     let result = joined.unwrap_or_else(|_| {
-        Err(Refusal::unknown(Reason::PeerFailed, "the node failed while the operation ran"))
+        Err(Refusal::unknown(Reason::PeerFailed, "the node failed while the operation was running"))
     });
     if let Err(refusal) = &result {
         let reason = refusal.reason.to_string();
--- a/crates/sablebay-node/src/caller_counts.rs
+++ b/crates/sablebay-node/src/caller_counts.rs
@@ -1,4 +1,4 @@
-//! Counts of requests by their callers: by tenant, and by the reason why a caller could not be authenticated.
+//! Request counts by tenant, and by the reason why a caller could not be authenticated.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,31 +8,28 @@
 use prometheus_client::metrics::family::Family;
 use prometheus_client::registry::Registry;
 
-/// Tenants that are counted by name. There may be any number of them, and each costs a scraper two series for
-/// each node; what goes beyond is counted together.
+/// Maximum number of tenants with series of their own. Bounds the number of time series; requests of further
+/// tenants are counted together.
 pub const NAMED_TENANTS: usize = 50;
-/// The name that all further tenants are counted under.
+/// The label under which all further tenants are counted.
 const OTHER_TENANTS: &str = "other";
 
-/// Why a caller could not be authenticated.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ReasonLabel {
     reason: &'static str,
 }
 
-/// What became of requests of a tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct TenantLabels {
     tenant: String,
     outcome: &'static str,
 }
 
-/// Counts of requests by their callers.
 #[derive(Debug, Default)]
 pub struct CallerCounts {
     refused: Family<ReasonLabel, Counter>,
     requests: Family<TenantLabels, Counter>,
-    /// The tenants that are counted by name: those that called first.
+    /// Tenants with series of their own: the first [`NAMED_TENANTS`] that called.
     named: Mutex<BTreeSet<String>>,
 }
 
@@ -40,17 +37,17 @@
     /// Reasons why a caller could not be authenticated.
     pub const REASONS: [&'static str; 5] = ["no_key", "malformed_key", "unknown_key", "unsure", "outdated"];
 
-    /// A request was refused because its caller could not be authenticated, for one of [`Self::REASONS`].
+    /// Counts a request whose caller could not be authenticated; `reason` is one of [`Self::REASONS`].
     pub fn refused(&self, reason: &'static str) {
         self.refused.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// A request of a tenant was answered.
+    /// Counts an answered request.
     pub fn answered(&self, tenant: &str) {
         self.count(tenant, "answered");
     }
 
-    /// A request of a tenant was refused, or failed.
+    /// Counts a request that was refused or failed.
     pub fn failed(&self, tenant: &str) {
         self.count(tenant, "failed");
     }
@@ -60,7 +57,7 @@
         self.requests.get_or_create(&TenantLabels { tenant, outcome }).inc();
     }
 
-    /// The name that a tenant is counted under. The characters that the format of metrics quotes by are left out.
+    /// The label value for a tenant. Quotes and backslashes are replaced, since the text format treats them specially.
     fn tenant_label(&self, tenant: &str) -> String {
         let mut named = self.named.lock();
         if !named.contains(tenant) {
@@ -72,7 +69,7 @@
         tenant.replace(['"', '\\'], "_")
     }
 
-    /// Requests refused because their caller could not be authenticated, by reason.
+    /// Unauthenticated requests by reason.
     pub fn refusals(&self) -> BTreeMap<String, u64> {
         let count = |reason: &'static str| {
             let counter = self.refused.get(&ReasonLabel { reason })?;
@@ -81,7 +78,7 @@
         Self::REASONS.into_iter().filter_map(count).collect()
     }
 
-    /// All of them, for a registry.
+    /// Registers the counters.
     pub fn register(&self, registry: &mut Registry) {
         let registry = registry.sub_registry_with_prefix("gateway");
         registry.register(
--- a/crates/sablebay-node/src/common_routes.rs
+++ b/crates/sablebay-node/src/common_routes.rs
@@ -1,4 +1,4 @@
-//! Routes that the callers' and the operators' listeners have alike.
+//! Routes shared by the caller and operator listeners.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use crate::outcome_body::refusal_response;
 use crate::shared::Shared;
 
-/// Adds `/healthz`, `/readyz`, and a refusal for every path and method that there is not.
+/// Adds `/healthz`, `/readyz`, and a refusal for unknown paths and unsupported methods.
 pub fn with_common_routes(routes: Router<Arc<Shared>>) -> Router<Arc<Shared>> {
     routes
         .route("/healthz", get(|| async { "ok\n" }))
@@ -23,7 +23,7 @@
 }
 
 async fn no_such_path() -> Response {
-    refusal_response(Refusal::not_run(Reason::NoSuchPath, "there is no such path or method"))
+    refusal_response(Refusal::not_run(Reason::NoSuchPath, "no such path or method"))
 }
 
 async fn ready(State(shared): State<Arc<Shared>>) -> Response {
--- a/crates/sablebay-node/src/connection_limits.rs
+++ b/crates/sablebay-node/src/connection_limits.rs
@@ -1,8 +1,7 @@
-//! How long a caller's connection may rest, and how long the head of a request may take.
+//! Idle and request head timeouts of callers' connections.
 //!
-//! The server library knows one time limit for both; here they are apart, and may change while a
-//! connection is open. A connection that is over its limit is closed; a request whose head was read
-//! is never touched: its own deadline bounds it.
+//! hyper has a single timeout for both; here they are separate and may change while a connection
+//! is open. They do not apply while a request is served: its deadline bounds it.
 
 use std::io;
 use std::pin::Pin;
@@ -15,14 +14,13 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// What bounds a caller's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// How long the head of a request may take from its first byte.
+    /// Time allowed for receiving a request head, from its first byte.
     pub head_timeout: Duration,
-    /// How long the connection may rest between requests, and before the first.
+    /// Time allowed without a request, between requests and before the first.
     pub idle_timeout: Duration,
-    /// The longest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
 }
 
@@ -36,25 +34,24 @@
     }
 }
 
-/// Where a connection is between two requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
-    /// Nothing of the next request has come.
+    /// No byte of the next request has been received.
     Idle { since: Instant },
-    /// A part of its head has come.
+    /// Part of a request head has been received.
     ReadingHead { since: Instant },
-    /// A request is being answered.
+    /// A request is being served.
     Serving,
 }
 
-/// What a connection does at the moment; shared by its stream and its service.
+/// The current state of a connection, shared by its stream and its service.
 #[derive(Clone, Debug)]
 pub struct ConnectionActivity {
     state: Arc<Mutex<ConnectionState>>,
 }
 
 impl ConnectionActivity {
-    /// Of a connection that was just accepted.
+    /// The state of a newly accepted connection.
     pub fn new() -> Self {
         Self { state: Arc::new(Mutex::new(ConnectionState::Idle { since: Instant::now() })) }
     }
@@ -66,13 +63,13 @@
         }
     }
 
-    /// A request's head was read. The connection rests again when the guard is dropped.
+    /// Marks a request as being served; the connection is idle again when the guard is dropped.
     pub fn serve(&self) -> ServingGuard {
         *self.state.lock() = ConnectionState::Serving;
         ServingGuard { activity: self.clone() }
     }
 
-    /// When the connection is over its limit, if it stays as it is; nothing while it serves.
+    /// When the current state times out; `None` while a request is served.
     fn expires_at(&self, limits: &ConnectionLimits) -> Option<Instant> {
         match *self.state.lock() {
             ConnectionState::Idle { since } => Some(since + limits.idle_timeout),
@@ -81,10 +78,10 @@
         }
     }
 
-    /// Waits until the connection is over its limit.
+    /// Waits until the connection times out.
     ///
-    /// Looks once in the time that a head may take, since each look wakes the process: a head that
-    /// is too slow is given up after one to two of these times.
+    /// Checks at most once per `head_timeout` to limit wake-ups, so a slow request head is detected
+    /// after one to two timeouts.
     pub async fn expired(&self, limits: impl Fn() -> ConnectionLimits) {
         loop {
             let now = Instant::now();
@@ -99,7 +96,7 @@
     }
 }
 
-/// A request being answered.
+/// Marks a request as being served until dropped.
 #[derive(Debug)]
 pub struct ServingGuard {
     activity: ConnectionActivity,
@@ -111,7 +108,7 @@
     }
 }
 
-/// A caller's stream that notes when bytes come.
+/// A TCP stream that records when bytes are received.
 #[derive(Debug)]
 pub struct ObservedStream {
     stream: TcpStream,
@@ -119,7 +116,6 @@
 }
 
 impl ObservedStream {
-    /// Observes a stream.
     pub fn new(stream: TcpStream, activity: ConnectionActivity) -> Self {
         Self { stream, activity }
     }
--- a/crates/sablebay-node/src/error.rs
+++ b/crates/sablebay-node/src/error.rs
@@ -1,32 +1,26 @@
-//! Errors of this crate.
+//! Errors raised while a node starts.
 
 use std::net::SocketAddr;
 
 use derive_more::{Display, Error};
 
-/// Why a node could not start or go on.
 #[derive(Debug, Display, Error)]
 pub enum NodeError {
     /// A listener could not be opened.
     #[display("cannot listen on {address} for {purpose}: {source}")]
     Listen {
-        /// The address.
         address: SocketAddr,
-        /// Who connects there.
+        /// What the listener is for, such as callers or peers.
         purpose: &'static str,
-        /// The system's error.
         source: std::io::Error,
     },
     /// The log could not be started.
     #[display("cannot start the log: {message}")]
     Log {
-        /// What the library said.
+        /// The error of the logging library.
         message: String,
     },
-    /// Peers without a shared key are accepted on loopback alone.
+    /// Without a shared key, peer connections are only accepted on a loopback address.
     #[display("the peer address {address} is not loopback, and no fleet_key is set")]
-    KeyRequired {
-        /// The address.
-        address: SocketAddr,
-    },
+    KeyRequired { address: SocketAddr },
 }
--- a/crates/sablebay-node/src/http_listener.rs
+++ b/crates/sablebay-node/src/http_listener.rs
@@ -1,11 +1,8 @@
-//! An HTTP listener that can be closed without cutting a request.
+//! An HTTP listener that shuts down without dropping requests.
 //!
-//! A server that closes its socket and its idle connections at one moment cuts two kinds of
-//! requests: those on connections that the kernel has accepted and the process has not, and those
-//! that cross the close of an idle connection. Here the two steps are apart. When the listener
-//! closes, the connections that wait in the kernel's queue are still served; open connections go
-//! on, and each is told with its next answer that it is the last. Only connections that stay
-//! silent until the last phase are closed without an answer.
+//! Shutdown has two phases. First the listener closes: connections in the kernel's accept queue
+//! and open connections are still served. Then connections without a request in progress are
+//! closed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,33 +18,33 @@
 
 use crate::connection_limits::{ConnectionActivity, ConnectionLimits, ObservedStream};
 
-/// How long to wait after a connection could not be accepted, for instance for want of descriptors.
+/// Delay after a failed accept, for example when file descriptors are exhausted.
 const ACCEPT_RETRY: Duration = Duration::from_millis(10);
 
-/// The smallest buffer for heads that the server library takes.
+/// The minimum read buffer that hyper accepts, in bytes.
 const MINIMUM_HEAD_BUFFER: usize = 8_192;
-/// How long a connection that is over its limit may take to end in order.
+/// How long a connection that exceeded its limits may take to shut down gracefully.
 const EXPIRED_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// How far the stop of a listener has come. It only ever advances.
+/// The shutdown phase of a listener; it only advances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ListenerPhase {
     /// New connections are accepted.
     #[default]
     Open,
-    /// No new connections; open ones are served until they end or are told to.
+    /// No new connections are accepted; open connections are still served.
     Closed,
     /// Connections without a request in progress are closed.
     Ended,
 }
 
-/// Serves `routes` until the phase is over [`ListenerPhase::Open`] and every connection has ended.
-/// Connections are bounded by [`ConnectionLimits::default`].
+/// Serves `routes` until the phase is past [`ListenerPhase::Open`] and every connection has ended,
+/// with [`ConnectionLimits::default`].
 pub async fn serve_http(listener: TcpListener, routes: Router, phase: watch::Receiver<ListenerPhase>) {
     serve_http_within(listener, routes, phase, ConnectionLimits::default).await;
 }
 
-/// As [`serve_http`], with limits that may change while connections are open.
+/// Like [`serve_http`], with limits that are read anew for each check and may change at run time.
 pub async fn serve_http_within<L>(
     listener: TcpListener,
     routes: Router,
@@ -64,7 +61,7 @@
                     connections.spawn(serve_connection(stream, from, routes.clone(), phase.clone(), limits.clone()));
                 }
                 Err(error) => {
-                    log::warn!("node: a connection was not accepted: {error}.");
+                    log::warn!("node: cannot accept a connection: {error}.");
                     tokio::time::sleep(ACCEPT_RETRY).await;
                 }
             },
@@ -78,18 +75,18 @@
     connections.join_all().await;
 }
 
-/// Waits for a phase. A sender that is gone means the same as the last phase.
+/// Waits until a phase is reached. A dropped sender counts as the last phase.
 async fn wait_for_phase(phase: &mut watch::Receiver<ListenerPhase>, wanted: ListenerPhase) {
     let _ = phase.wait_for(|phase| *phase >= wanted).await;
 }
 
-/// Closes the listener, and takes the connections that were waiting to be accepted.
+/// Closes the listener and returns the connections that were in its accept queue.
 fn close_listener(listener: TcpListener) -> Vec<(TcpStream, SocketAddr)> {
     let mut waiting = Vec::new();
     let Ok(listener) = listener.into_std() else {
         return waiting;
     };
-    // The socket does not block: an error means that none is left.
+    // The socket is non-blocking: an error means that the queue is empty.
     while let Ok((stream, from)) = listener.accept() {
         let nonblocking = stream.set_nonblocking(true);
         if let Ok(stream) = nonblocking.and_then(|()| TcpStream::from_std(stream)) {
@@ -106,7 +103,7 @@
     mut phase: watch::Receiver<ListenerPhase>,
     limits: L,
 ) {
-    // A failure to set the option costs some latency, and nothing else.
+    // Without the option the connection works, with higher latency.
     let _ = stream.set_nodelay(true);
     let activity = ConnectionActivity::new();
     let stream = ObservedStream::new(stream, activity.clone());
@@ -125,14 +122,14 @@
     let mut builder = hyper::server::conn::http1::Builder::new();
     builder.max_buf_size(limits().head_bytes.max(MINIMUM_HEAD_BUFFER));
     let mut connection = std::pin::pin!(builder.serve_connection(TokioIo::new(stream), service));
-    // How a connection ends is the other side's matter.
+    // Errors of the connection are caused by the client and are ignored.
     tokio::select! {
         _ = connection.as_mut() => return,
         () = wait_for_phase(&mut phase, ListenerPhase::Ended) => {}
         () = activity.expired(limits) => {
-            log::debug!("node: a connection from {from} was idle, or the head of its request slow, for too long.");
+            log::debug!("node: closing the connection from {from}: idle or request head timeout exceeded.");
             connection.as_mut().graceful_shutdown();
-            // A head that never comes to its end, or an answer that is never read, is not waited for.
+            // The client may never complete the head or read the response.
             let _ = tokio::time::timeout(EXPIRED_CLOSE_TIMEOUT, connection).await;
             return;
         }
--- a/crates/sablebay-node/src/leaf_client.rs
+++ b/crates/sablebay-node/src/leaf_client.rs
@@ -1,7 +1,7 @@
-//! Calls to one leaf: coalesced into batches, over a bounded pool of connections.
+//! Calls to one leaf, coalesced into batches over a bounded pool of connections.
 //!
-//! The leaf's connections are the scarce thing: it takes about a hundred from the whole fleet.
-//! While all of a node's share are busy its calls queue up, and the next batch is larger.
+//! A leaf accepts a limited number of connections from the whole fleet. While all connections of
+//! this node are busy, calls queue up and form a larger batch.
 
 mod batch;
 mod operation;
@@ -24,33 +24,30 @@
 
 pub use operation::OperationFailure;
 
-/// What all searches of one query have in common.
+/// The parameters shared by all calls of one query.
 #[derive(Debug)]
 pub struct OutgoingSearch {
-    /// The service.
     pub service: ServiceId,
-    /// Hits wanted.
+    /// Maximum number of hits.
     pub limit: usize,
-    /// Their order.
     pub sort: SortOrder,
-    /// The caller's query.
+    /// The caller's query, passed through unchanged.
     pub query: Arc<RawValue>,
-    /// How long a call may wait for others, in microseconds.
+    /// How long a call may wait for others to join its batch.
     pub coalesce: Micros,
-    /// Calls in one batch at the most.
+    /// Maximum number of calls in one batch.
     pub batch: usize,
 }
 
-/// What came of a call.
+/// The outcome of a call.
 #[derive(Debug)]
 pub struct CallEvent {
-    /// The call.
     pub attempt: AttemptNumber,
-    /// The answer, or how it failed and what the leaf said of itself.
+    /// The answer, or the failure with the load report of the leaf, if any.
     pub outcome: Result<ShardAnswer, (CallFailure, Option<LoadReport>)>,
 }
 
-/// One search on its way to the leaf.
+/// A call that is queued or in flight.
 pub(crate) struct QueuedCall {
     pub call_id: CallId,
     pub attempt: AttemptNumber,
@@ -63,7 +60,7 @@
 
 impl QueuedCall {
     fn fail(&self, failure: CallFailure, report: Option<LoadReport>) {
-        // A query that is over has dropped its receiver; nobody wants the word then.
+        // The receiver is dropped when the query has ended; the event is then not needed.
         let _ = self.events.send(CallEvent { attempt: self.attempt, outcome: Err((failure, report)) });
     }
 }
@@ -73,16 +70,14 @@
     Cancel(CallId),
 }
 
-/// Counts of what a client discarded.
+/// Counters of calls sent and answers discarded.
 #[derive(Debug, Default)]
 pub struct ClientCounters {
-    /// Answers with a call id that was not asked, or asked in another batch.
+    /// Answers whose call id is not open in the batch.
     pub misaddressed: AtomicU64,
-    /// Lines that could not be understood.
+    /// Lines that could not be parsed.
     pub malformed: AtomicU64,
-    /// Batches sent.
     pub batches: AtomicU64,
-    /// Calls sent.
     pub calls: AtomicU64,
 }
 
@@ -92,11 +87,11 @@
     pub clock: Clock,
     pub pool: ConnectionPool,
     pub counters: Arc<ClientCounters>,
-    /// Whether answers are held against the calls that they name; off in tests alone.
+    /// Whether answers are matched to calls by call id; disabled only in tests.
     pub correlates: bool,
 }
 
-/// The calls of this node to one leaf.
+/// The client of this node for one leaf.
 pub struct LeafClient {
     context: Arc<ClientContext>,
     settings: Arc<LeafSettings>,
@@ -105,7 +100,7 @@
 }
 
 impl LeafClient {
-    /// A client that uses `connections` connections at the most. `correlates` is off in tests alone.
+    /// Creates a client with at most `connections` connections. `correlates` is false only in tests.
     pub fn new(
         settings: Arc<LeafSettings>,
         connections: usize,
@@ -128,17 +123,16 @@
         Self { context, settings, commands, next_call }
     }
 
-    /// The leaf, as configured.
     pub fn settings(&self) -> &LeafSettings {
         &self.settings
     }
 
-    /// Changes how many connections are used.
+    /// Sets the maximum number of connections.
     pub fn set_connections(&self, connections: usize) {
         self.context.pool.set_limit(connections);
     }
 
-    /// Sends a search. What comes of it goes to `events`.
+    /// Sends a search; its outcome is sent to `events`.
     pub fn search(
         &self,
         search: &Arc<OutgoingSearch>,
@@ -158,8 +152,7 @@
             deadline,
             events: events.clone(),
         };
-        // A call that need not wait for company or for a connection's turn is sent at once; the
-        // dispatcher would only add a hop between tasks.
+        // Without coalescing and with a connection free, the call bypasses the dispatcher task.
         if search.coalesce == Micros(0)
             && let Some(permit) = self.context.pool.try_permit()
         {
@@ -174,13 +167,13 @@
         call_id
     }
 
-    /// Tells the leaf that an answer is no longer wanted.
+    /// Cancels a call that is queued or was sent.
     pub fn cancel(&self, call_id: CallId) {
-        // A closed queue means that the client is gone, and its calls with it.
+        // The queue is closed only when the client has been dropped, with all of its calls.
         let _ = self.commands.send(Command::Cancel(call_id));
     }
 
-    /// Asks the leaf for its load; warms a connection on the way.
+    /// Requests the load of the leaf; also keeps a connection warm.
     pub async fn load(&self) -> Option<LeafLoad> {
         let body = self.context.pool.get(LOAD_PATH).await?;
         serde_json::from_slice(&body).ok()
@@ -191,13 +184,12 @@
     async fn send_cancellations(&self, call_ids: Vec<CallId>) {
         let cancel = CancelCalls { caller: self.caller.clone(), call_ids };
         if let Ok(body) = serde_json::to_vec(&cancel) {
-            // A cancellation that is lost costs the leaf some work, and nothing else.
+            // Best effort: a lost cancellation only costs the leaf unneeded work.
             let _ = self.pool.post(CANCEL_PATH, body.into()).await;
         }
     }
 }
 
-/// The report in a leaf's load.
 pub(crate) fn load_report(load: LeafLoad) -> LoadReport {
     LoadReport {
         in_flight: load.in_flight,
--- a/crates/sablebay-node/src/leaf_client/batch.rs
+++ b/crates/sablebay-node/src/leaf_client/batch.rs
@@ -1,5 +1,5 @@
-//! Batches of searches: gathering calls, sending them as one request, reading answers as they
-//! are streamed back.
+//! Batches of searches: collecting calls, sending them as one request, and reading the answers as
+//! they are streamed back.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -17,12 +17,12 @@
 
 use super::{CallEvent, ClientContext, Command, QueuedCall, load_report};
 
-/// How long after the last deadline of a batch its connection is given up.
+/// How long a batch waits for answers after its last deadline.
 const ANSWER_GRACE: Micros = Micros::from_millis(250);
-/// The longest line that a leaf may answer with.
+/// Maximum length of one answer line.
 const MAXIMUM_LINE_BYTES: usize = 8 << 20;
 
-/// Gathers calls into batches and sends each on a connection of its own turn.
+/// Collects calls into batches and sends each as soon as a connection is free.
 pub(super) async fn run_dispatcher(
     context: Arc<ClientContext>,
     mut commands: mpsc::UnboundedReceiver<Command>,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Lets the first call wait a little for others, when its service allows that.
+/// Waits for further calls until the batch is full or the coalescing time of the first call is over.
 async fn wait_to_coalesce(
     context: &Arc<ClientContext>,
     commands: &mut mpsc::UnboundedReceiver<Command>,
@@ -87,7 +87,7 @@
     }
 }
 
-/// Waits for a connection's turn, and gathers further calls meanwhile.
+/// Waits for a free connection, and collects further calls meanwhile.
 async fn wait_for_permit(
     context: &Arc<ClientContext>,
     commands: &mut mpsc::UnboundedReceiver<Command>,
@@ -104,7 +104,8 @@
     }
 }
 
-/// Nothing is sent at or after its deadline, also when the process was paused before this line.
+/// Fails calls whose deadline has passed, and drops calls whose query has ended. Runs right before
+/// sending, so that a process pause cannot cause a late call.
 fn drop_expired(context: &ClientContext, waiting: &mut Vec<QueuedCall>) {
     let now = context.clock.now();
     waiting.retain(|call| {
@@ -139,7 +140,7 @@
     Some(Bytes::from(body))
 }
 
-/// Sends calls as one request, and passes on what comes back.
+/// Sends calls as one request and forwards the answers to their queries.
 pub(super) async fn send_batch(
     context: Arc<ClientContext>,
     permit: OwnedSemaphorePermit,
@@ -178,8 +179,8 @@
     read_answers(context, response.into_body(), open, lease).await
 }
 
-/// Reads answers line by line. The connection goes back to the pool only when every line was
-/// one that had been asked for.
+/// Reads answers line by line. The connection returns to the pool only if every line matched an
+/// open call.
 async fn read_answers(
     context: &Arc<ClientContext>,
     mut body: Incoming,
@@ -201,7 +202,7 @@
     Ok(())
 }
 
-/// Takes every line that `data` completes; what is left of the last one is kept in `rest`.
+/// Handles every line that `data` completes; an incomplete last line is kept in `partial_line`.
 fn handle_lines(
     context: &ClientContext,
     data: &[u8],
@@ -229,7 +230,7 @@
     }
     let answer: LeafAnswer = serde_json::from_slice(line).map_err(|error| {
         context.counters.malformed.fetch_add(1, Ordering::Relaxed);
-        log::warn!("leaf: {} sent a line that is no answer: {error}.", context.leaf);
+        log::warn!("leaf: cannot parse an answer line from {}: {error}.", context.leaf);
         ExchangeFailure::Broken
     })?;
     let call = if context.correlates { open.take(answer.call_id) } else { open.take_oldest() };
@@ -269,13 +270,13 @@
 }
 
 impl OpenCalls {
-    /// Takes a call out; an answer that is repeated finds nothing.
+    /// Removes and returns a call; `None` for a duplicate answer.
     fn take(&mut self, call_id: CallId) -> Option<QueuedCall> {
         let matches = |slot: &&mut Option<QueuedCall>| slot.as_ref().is_some_and(|c| c.call_id == call_id);
         self.calls.iter_mut().find(matches).and_then(Option::take)
     }
 
-    /// Takes the oldest call that is open, whatever the answer says.
+    /// Removes and returns the oldest open call, regardless of the answer's call id.
     fn take_oldest(&mut self) -> Option<QueuedCall> {
         self.calls.iter_mut().find_map(Option::take)
     }
--- a/crates/sablebay-node/src/leaf_client/operation.rs
+++ b/crates/sablebay-node/src/leaf_client/operation.rs
@@ -1,4 +1,4 @@
-//! One operation, sent once: never queued, batched, hedged or retried.
+//! Sends one operation to a leaf at most once, without queueing, batching, hedging or retries.
 
 use derive_more::Display;
 use http::Method;
@@ -11,7 +11,7 @@
 
 use super::LeafClient;
 
-/// The longest result of an operation.
+/// Maximum size of an operation's result.
 const MAXIMUM_RESULT_BYTES: usize = 1 << 20;
 
 /// Why an operation has no result.
@@ -20,11 +20,11 @@
     /// No byte can have reached the leaf.
     #[display("not sent")]
     NotSent,
-    /// The leaf says that it did not run it, and will not.
+    /// The leaf reports that it did not and will not run the operation.
     #[display("refused: {_0:?}")]
     Refused(LeafRefusal),
-    /// It was sent, and no word came back.
-    #[display("no word")]
+    /// The operation was sent, but no valid response arrived; it may have run.
+    #[display("no response")]
     NoResponse,
 }
 
@@ -32,7 +32,7 @@
     /// Sends an operation and waits for its result until `deadline`.
     ///
     /// # Errors
-    /// [`OperationFailure`], which tells whether it can have run.
+    /// [`OperationFailure`], which tells whether the operation may have run.
     pub async fn operation(
         &self,
         service: &ServiceId,
--- a/crates/sablebay-node/src/lib.rs
+++ b/crates/sablebay-node/src/lib.rs
@@ -1,4 +1,4 @@
-//! The tokio shell of a node: listeners, connections and tasks around the decision logic of
+//! The tokio runtime of a node: listeners, connections and tasks that drive the state machines of
 //! `sablebay-query` and `sablebay-fleet`.
 
 mod admin_api;
--- a/crates/sablebay-node/src/lifecycle.rs
+++ b/crates/sablebay-node/src/lifecycle.rs
@@ -1,11 +1,11 @@
-//! Where a node is in its life, and the count of requests in flight that a planned stop waits for.
+//! The draining flag of a node, and the count of requests in flight that a planned stop waits for.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
 
 use tokio::sync::Notify;
 
-/// Shared by everything that takes requests.
+/// Draining flag and in-flight count, shared by all request handlers.
 #[derive(Clone, Default)]
 pub struct Lifecycle {
     inner: Arc<Inner>,
@@ -19,7 +19,7 @@
     stop_requested: Notify,
 }
 
-/// A request in flight; the count falls when this is dropped.
+/// Guard of a request in flight; decrements the count when dropped.
 pub struct InFlight {
     inner: Arc<Inner>,
 }
@@ -33,38 +33,36 @@
 }
 
 impl Lifecycle {
-    /// Takes a new request, unless the node is draining.
+    /// Admits a new request, unless the node is draining.
     ///
-    /// The count is raised before the check: a stop that looks at the count after setting the
-    /// flag cannot miss a request that was let in.
+    /// The count is incremented before the flag is read: a stop that sets the flag and then reads
+    /// the count cannot miss an admitted request.
     pub fn enter(&self) -> Option<InFlight> {
         self.inner.in_flight.fetch_add(1, Ordering::AcqRel);
         let guard = InFlight { inner: self.inner.clone() };
         (!self.is_draining()).then_some(guard)
     }
 
-    /// Counts work that belongs to a request that was let in, also while the node is draining.
+    /// Counts work that belongs to an admitted request, also while the node is draining.
     pub fn track(&self) -> InFlight {
         self.inner.in_flight.fetch_add(1, Ordering::AcqRel);
         InFlight { inner: self.inner.clone() }
     }
 
-    /// Whether new work is refused.
     pub fn is_draining(&self) -> bool {
         self.inner.draining.load(Ordering::Acquire)
     }
 
-    /// Refuses new work, or takes it again.
+    /// Sets whether new requests are refused.
     pub fn set_draining(&self, draining: bool) {
         self.inner.draining.store(draining, Ordering::Release);
     }
 
-    /// Requests in flight.
     pub fn in_flight(&self) -> i64 {
         self.inner.in_flight.load(Ordering::Acquire)
     }
 
-    /// Waits until nothing is in flight.
+    /// Waits until no request is in flight.
     pub async fn wait_idle(&self) {
         loop {
             let notified = self.inner.idle.notified();
@@ -75,12 +73,12 @@
         }
     }
 
-    /// Asks for a planned stop.
+    /// Requests a planned stop.
     pub fn request_stop(&self) {
         self.inner.stop_requested.notify_one();
     }
 
-    /// Waits until a planned stop is asked for.
+    /// Waits until a planned stop is requested.
     pub async fn stop_requested(&self) {
         self.inner.stop_requested.notified().await;
     }
--- a/crates/sablebay-node/src/load_poll.rs
+++ b/crates/sablebay-node/src/load_poll.rs
@@ -1,5 +1,5 @@
-//! Asks leaves for their load: what versions they hold, whether they are leaving. Also keeps a
-//! connection to each warm.
+//! Polls leaves for their load, the versions that they hold and whether they are draining. Polling
+//! also keeps a connection to each leaf warm.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,16 +17,15 @@
 use crate::service_state::ServiceState;
 use crate::shared::Shared;
 
-/// How often a leaf that has not answered a call lately is asked.
+/// Polling interval for leaves without a recent report.
 const POLL_INTERVAL: Duration = Duration::from_millis(1_000);
-/// How old a report may be before the leaf is asked.
+/// Age above which a report is stale and its leaf is polled.
 const MAXIMUM_REPORT_AGE: Micros = Micros::from_millis(900);
-/// How long a query waits to learn which versions there are.
+/// How long a query waits for replicas to report their versions.
 const VERSIONS_TIMEOUT: Micros = Micros::from_millis(1_000);
-/// Leaves asked at once.
 const MAXIMUM_CONCURRENT_POLLS: usize = 64;
 
-/// Polls the leaves of every service that is in use here, until the node ends.
+/// Polls the leaves of every service in use on this node, until the node stops.
 pub async fn run_load_polls(shared: Arc<Shared>) {
     let mut interval = tokio::time::interval(POLL_INTERVAL);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
@@ -40,7 +39,7 @@
     }
 }
 
-/// Asks the leaves of a service whose reports are old.
+/// Polls the leaves of a service whose reports are stale.
 async fn poll_leaves(shared: &Arc<Shared>, state: &Arc<ServiceState>, now: Micros) {
     let stale: Vec<LeafId> = {
         let routing = state.direct.lock();
@@ -92,7 +91,8 @@
     }
 }
 
-/// Makes sure that the versions of a service's replicas are known, as far as they answer.
+/// Polls the leaves of a service if their versions are unknown, waiting for at most
+/// [`VERSIONS_TIMEOUT`].
 pub async fn ensure_versions(shared: &Arc<Shared>, state: &Arc<ServiceState>, deadline: Micros) {
     if state.direct.lock().knows_versions() {
         return;
@@ -100,11 +100,12 @@
     let now = shared.clock.now();
     let until = now.plus(VERSIONS_TIMEOUT).min(deadline);
     let polling = poll_leaves(shared, state, Micros::MAX);
-    // What is not known by then the search finds out by itself.
+    // On a timeout the search proceeds with the versions known so far.
     let _ = tokio::time::timeout_at(shared.clock.instant(until), polling).await;
 }
 
-/// Makes sure that the versions that aggregators can answer at are known.
+/// Requests the versions that aggregators can serve if they are unknown, waiting for at most
+/// [`VERSIONS_TIMEOUT`].
 pub async fn ensure_peer_versions(shared: &Arc<Shared>, state: &Arc<ServiceState>, deadline: Micros) {
     if state.through_peers.lock().knows_versions() {
         return;
@@ -123,7 +124,7 @@
         });
     }
     let until = shared.clock.now().plus(VERSIONS_TIMEOUT).min(deadline);
-    // As above.
+    // On a timeout the search proceeds with the versions known so far.
     let _ = tokio::time::timeout_at(shared.clock.instant(until), requests.join_all()).await;
 }
 
@@ -161,7 +162,7 @@
     true
 }
 
-/// Versions that some partitions of a service can be had in, through this node.
+/// The versions at which this node can search the given partitions of a service.
 pub async fn local_versions(
     shared: &Arc<Shared>,
     service: &sablebay_model::ServiceId,
--- a/crates/sablebay-node/src/metrics.rs
+++ b/crates/sablebay-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics for Prometheus.
+//! Prometheus metrics of a node.
 
 use parking_lot::Mutex;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -12,13 +12,11 @@
 use sablebay_model::{Micros, Refusal, ServiceId};
 use sablebay_query::SearchResult;
 
-/// The label of per-service metrics.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ServiceLabel {
     service: String,
 }
 
-/// The labels of refusals.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RefusalLabels {
     service: String,
@@ -29,7 +27,6 @@
 /// Upper bounds of the latency histogram, in seconds.
 const LATENCY_BUCKETS: [f64; 12] = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.33, 0.5, 1.0, 2.5];
 
-/// Every metric of a node.
 pub struct Metrics {
     registry: Mutex<Registry>,
     answers: Family<ServiceLabel, Counter>,
@@ -40,21 +37,20 @@
     hedges: Family<ServiceLabel, Counter>,
     retries: Family<ServiceLabel, Counter>,
     discarded: Family<ServiceLabel, Counter>,
-    /// The revision in force.
+    /// Revision of the active configuration.
     pub revision: Gauge,
-    /// Members that take work, this node among them.
+    /// Members that accept work, including this node.
     pub members: Gauge,
-    /// Requests in flight.
     pub in_flight: Gauge,
-    /// Peer frames with a wrong proof.
+    /// Peer frames that failed authentication.
     pub frames_wrong_proof: Gauge,
-    /// Peer frames that were malformed or oversized.
+    /// Malformed or oversized peer frames.
     pub frames_malformed: Gauge,
-    /// Bytes sent to peers for control.
+    /// Bytes of control traffic sent to peers.
     pub control_bytes: Gauge,
-    /// Answers of leaves that belonged to no open call.
+    /// Leaf answers that matched no open call.
     pub misaddressed: Gauge,
-    /// Milliseconds since the configuration was confirmed; -1 when it never was.
+    /// Milliseconds since the configuration was last confirmed; -1 if it never was.
     pub confirmed_ms_ago: Gauge,
 }
 
@@ -69,7 +65,6 @@
 }
 
 impl Metrics {
-    /// Metrics at zero.
     pub fn new() -> Self {
         let mut metrics = Self {
             registry: Mutex::new(Registry::with_prefix("sablebay")),
@@ -127,7 +122,7 @@
         );
     }
 
-    /// Counts the end of a query.
+    /// Records the result and duration of a query.
     pub fn count_query(&self, service: &ServiceId, result: &Result<SearchResult, Refusal>, took: Micros) {
         let label = ServiceLabel { service: service.to_string() };
         match result {
@@ -153,12 +148,12 @@
         }
     }
 
-    /// Adds the metrics of another part of the process.
+    /// Lets another component register its metrics.
     pub fn extend(&self, register: impl FnOnce(&mut Registry)) {
         register(&mut self.registry.lock());
     }
 
-    /// All metrics in the text format.
+    /// Encodes all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
--- a/crates/sablebay-node/src/operation.rs
+++ b/crates/sablebay-node/src/operation.rs
@@ -1,4 +1,4 @@
-//! Operations that must run once at most: tickets, claims, the one dispatch, and the outcome.
+//! At-most-once operations: mints and claims tickets, dispatches the operation, records the outcome.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -23,25 +23,26 @@
 use crate::service_state::ServiceState;
 use crate::shared::Shared;
 
-/// How long a holder may take to answer before it counts as lost.
+/// How long a claim holder may take to answer before it counts as lost.
 const HOLDER_TIMEOUT: Micros = Micros::from_millis(400);
-/// When to ask for a ticket whose outcome is not known yet, in milliseconds.
+/// Retry delay for tickets whose outcome is not known yet.
 const OUTCOME_RETRY_MS: u64 = 100;
-/// How long telling the holders of an outcome may take.
+/// How long recording an outcome with the claim holders may take.
 const RECORD_TIMEOUT: Micros = Micros::from_millis(1_000);
 
-/// An operation as it came in.
+/// An operation as received.
 #[derive(Debug)]
 pub struct OperationInput {
-    /// Passed to the back end as it is.
+    /// Passed to the back end unchanged.
     pub operation: Box<RawValue>,
-    /// The ticket, when the caller has one.
+    /// The ticket sent by the caller; if absent, one is minted.
     pub ticket: Option<String>,
-    /// The caller's deadline; the service's own when absent.
+    /// The caller's deadline; if absent, the deadline of the service applies.
     pub deadline_ms: Option<u64>,
 }
 
-/// Mints a ticket for a service: this node and two others, in other zones where there are any.
+/// Mints a ticket for a service. Its claim holders are this node and randomly chosen members,
+/// preferably in other zones.
 pub fn mint_ticket(shared: &Shared, settings: &ServiceSettings) -> Ticket {
     let mut holders = vec![shared.key().clone()];
     let mut zones = vec![shared.settings.zone.clone()];
@@ -69,10 +70,10 @@
     }
 }
 
-/// Runs an operation once at most, and returns its ticket and result.
+/// Runs an operation at most once and returns its ticket and result.
 ///
 /// # Errors
-/// The refusal to give to the caller.
+/// The refusal to return to the caller.
 pub async fn run_operation(
     shared: &Arc<Shared>,
     service_id: &ServiceId,
@@ -91,9 +92,9 @@
     let limit_ms = input.deadline_ms.unwrap_or(settings.deadline_ms);
     let deadline = arrived.plus(Micros::from_millis(limit_ms));
     confirm(shared, &settings, deadline).await.map_err(&before_claim)?;
-    // Looked up again: a node that woke from a pause may have adopted a configuration just now.
+    // Looked up again: a newer configuration may have been adopted while waiting for confirmation.
     let (state, settings) = find_service(shared, service_id).map_err(&before_claim)?;
-    // An operation goes to a leaf from here, also where queries go through aggregators.
+    // Operations are sent directly to a leaf, even if queries go through aggregators.
     let state = shared.service_with_leaves(service_id).unwrap_or(state);
     let (ticket, minted_here) = match submitted {
         None => (mint_ticket(shared, &settings), true),
@@ -121,8 +122,8 @@
     Ok(ticket)
 }
 
-/// A refusal before any claim: this submission did not run. Of a ticket that others may have
-/// submitted too, no more can be said than that the outcome is not known here.
+/// The refusal of a submission that claimed nothing and thus did not run. If the caller supplied the
+/// ticket, another submission of it may have run, so the outcome is unknown.
 fn not_claimed(refusal: Refusal, minted_here: bool, ticket: &Ticket) -> Refusal {
     if minted_here {
         return refusal;
@@ -130,7 +131,7 @@
     Refusal { outcome: Outcome::Unknown, ..refusal }.with_ticket(ticket.to_string())
 }
 
-/// Claims a ticket. Returns only when this node may dispatch.
+/// Claims a ticket. On success this node alone may dispatch the operation.
 async fn claim(
     shared: &Arc<Shared>,
     ticket: &Ticket,
@@ -154,7 +155,7 @@
             decision => return Err(refusal_for(decision, minted_here, ticket)),
         }
         let reply = receiver.recv().await;
-        let (position, reply) = reply.expect("a sender is kept here");
+        let (position, reply) = reply.expect("the channel is open while `replies` is in scope");
         step = submission.on_reply(position, reply);
     }
 }
@@ -163,24 +164,26 @@
     let text = ticket.to_string();
     match decision {
         SubmissionStep::ClaimedElsewhere(TicketState::NotRun { reason }) => {
-            Refusal::not_run(reason, "the ticket was used, and the operation did not run").with_ticket(text)
-        }
-        SubmissionStep::ClaimedElsewhere(TicketState::Done { .. }) => {
-            Refusal::unknown(Reason::ClaimedElsewhere, "the operation ran; ask for the ticket's result")
-                .retry_after(0)
+            Refusal::not_run(reason, "the ticket was already used and the operation did not run")
                 .with_ticket(text)
         }
+        SubmissionStep::ClaimedElsewhere(TicketState::Done { .. }) => Refusal::unknown(
+            Reason::ClaimedElsewhere,
+            "the operation already ran; request the result of the ticket",
+        )
+        .retry_after(0)
+        .with_ticket(text),
         SubmissionStep::ClaimedElsewhere(_) => {
-            Refusal::unknown(Reason::ClaimedElsewhere, "another submission of this ticket is first")
+            Refusal::unknown(Reason::ClaimedElsewhere, "another submission of this ticket holds the claim")
                 .retry_after(OUTCOME_RETRY_MS)
                 .with_ticket(text)
         }
         SubmissionStep::NeverRuns => {
-            let message = "submissions of this ticket met, and none got a majority; use a new ticket";
+            let message = "concurrent submissions of this ticket left none with a majority; use a new ticket";
             Refusal::not_run(Reason::HoldersLost, message).with_ticket(text)
         }
         SubmissionStep::ExpiredNotRun => {
-            Refusal::not_run(Reason::TicketExpired, "the ticket expired unused").with_ticket(text)
+            Refusal::not_run(Reason::TicketExpired, "the ticket expired before it was used").with_ticket(text)
         }
         SubmissionStep::ExpiredUnknown => {
             Refusal::unknown(Reason::TicketExpired, "the ticket expired").with_ticket(text)
@@ -214,12 +217,13 @@
                 _ => HolderReply::Lost,
             }
         };
-        // A submission that is decided wants no more replies.
+        // The receiver is dropped once the submission is decided.
         let _ = replies.send((position, reply));
     });
 }
 
-/// Sends a request to one life of a node; nothing when that life is over or does not answer.
+/// Sends a request to one incarnation of a node; `None` if that incarnation has ended or does not
+/// answer.
 async fn request_holder(
     shared: &Arc<Shared>,
     holder: &InstanceKey,
@@ -239,8 +243,8 @@
     }
 }
 
-/// Sends the operation to one back end, once. Another back end is tried only when the one before
-/// cannot have run it.
+/// Sends the operation to one back end. Another back end is tried only if the previous one cannot
+/// have run the operation.
 async fn dispatch_once(
     shared: &Arc<Shared>,
     state: &Arc<ServiceState>,
@@ -248,11 +252,14 @@
     operation: Box<RawValue>,
     deadline: Micros,
 ) -> Result<Box<RawValue>, Refusal> {
-    let mut last = Refusal::not_run(Reason::NoReplica, "no back end takes operations");
+    let mut last = Refusal::not_run(Reason::NoReplica, "no back end accepts operations");
     for leaf in operation_leaves(shared, state) {
         let now = shared.clock.now();
         if now >= deadline {
-            return Err(Refusal::not_run(Reason::DeadlineExceeded, "the deadline passed before dispatch"));
+            return Err(Refusal::not_run(
+                Reason::DeadlineExceeded,
+                "the deadline passed before the operation was dispatched",
+            ));
         }
         let Some(client) = shared.known_leaf_client(&leaf) else {
             continue;
@@ -271,10 +278,10 @@
                 last = Refusal::not_run(Reason::BackEndRefused, format!("{leaf} refused: {refusal:?}"));
             }
             Err(OperationFailure::NoResponse) if !shared.mechanisms.unknown_outcomes => {
-                last = Refusal::not_run(Reason::BackEndFailed, format!("{leaf} gave no word"));
+                last = Refusal::not_run(Reason::BackEndFailed, format!("{leaf} did not respond"));
             }
             Err(OperationFailure::NoResponse) => {
-                let message = format!("{leaf} was sent the operation and gave no word of it");
+                let message = format!("{leaf} was sent the operation but did not report an outcome");
                 return Err(Refusal::unknown(Reason::BackEndFailed, message));
             }
         }
@@ -282,7 +289,7 @@
     Err(last.retry_after(OUTCOME_RETRY_MS))
 }
 
-/// The leaves that can take an operation, best first: those of the first shard.
+/// The leaves of the first shard that are not leaving: usable ones first, then by cost.
 fn operation_leaves(shared: &Shared, state: &ServiceState) -> Vec<LeafId> {
     let now = shared.clock.now();
     let routing = state.direct.lock();
@@ -304,7 +311,7 @@
     leaves.collect()
 }
 
-/// Tells the holders what became of the operation, so that any node can answer for the ticket.
+/// Records the outcome with the claim holders, so that any node can report the state of the ticket.
 async fn record_outcome(
     shared: &Arc<Shared>,
     ticket: &Ticket,
@@ -331,8 +338,8 @@
         };
         recording.spawn(async move { request_holder(&shared, &holder, request, until).await });
     }
-    // The caller's answer does not wait for holders: one of them is enough, and this node is
-    // often one. The rest goes on by itself, and a planned stop waits for it.
+    // Remote holders are updated in the background, without delaying the answer; a planned stop
+    // waits for the updates.
     let in_flight = shared.lifecycle.track();
     tokio::spawn(async move {
         recording.join_all().await;
@@ -340,7 +347,7 @@
     });
 }
 
-/// What became of a ticket, by the word of its holders.
+/// Determines the state of a ticket from the answers of its claim holders.
 pub async fn ticket_state(shared: &Arc<Shared>, ticket: &Ticket) -> Result<Option<TicketState>, Refusal> {
     let now = shared.clock.now();
     let mut requests = tokio::task::JoinSet::new();
@@ -361,7 +368,7 @@
     combine_answers(ticket, &answers)
 }
 
-/// One word out of the holders' answers. `Ok(None)`: nobody has claimed it yet.
+/// Merges the holders' answers into one state; `Ok(None)` if the ticket is unclaimed.
 fn combine_answers(ticket: &Ticket, answers: &[ClaimAnswer]) -> Result<Option<TicketState>, Refusal> {
     let states = answers.iter().filter_map(|answer| match answer {
         ClaimAnswer::HeldBy { state, .. } => Some(state),
--- a/crates/sablebay-node/src/outcome_body.rs
+++ b/crates/sablebay-node/src/outcome_body.rs
@@ -1,4 +1,4 @@
-//! Refusals as HTTP responses: one JSON shape for all of them.
+//! Converts refusals into HTTP responses with a common JSON body.
 
 use axum::Json;
 use axum::http::{HeaderValue, StatusCode, header};
@@ -6,7 +6,6 @@
 
 use sablebay_model::{Reason, Refusal};
 
-/// The status that goes with a reason.
 fn status_of(reason: Reason) -> StatusCode {
     match reason {
         Reason::BadRequest | Reason::BadTicket => StatusCode::BAD_REQUEST,
@@ -27,7 +26,7 @@
     }
 }
 
-/// A refusal as a response. `Retry-After` is in whole seconds, rounded up; the body has
+/// Converts a refusal into a response. `Retry-After` is in seconds, rounded up; the body has
 /// milliseconds.
 pub fn refusal_response(refusal: Refusal) -> Response {
     let status = status_of(refusal.reason);
--- a/crates/sablebay-node/src/partial_search.rs
+++ b/crates/sablebay-node/src/partial_search.rs
@@ -1,4 +1,4 @@
-//! A part of a search, run for another node: this node is the aggregator.
+//! Runs part of a search for another node, with this node as the aggregator.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use crate::search_driver::drive;
 use crate::shared::Shared;
 
-/// Runs a part of a search and returns its result, or a refusal that says it did not run.
+/// Runs part of a search and returns its result, or a refusal if the search did not run.
 pub async fn partial_search(shared: &Arc<Shared>, partial: PartialSearch) -> PeerResponse {
     let received = shared.clock.now();
     let deadline = received.plus(Micros(partial.remaining_us));
@@ -21,10 +21,10 @@
         return refuse(Reason::Stopping, "the node is stopping");
     };
     let Some(service) = shared.service_with_leaves(&partial.service) else {
-        return refuse(Reason::UnknownService, "the service is not in force here");
+        return refuse(Reason::UnknownService, "this node's configuration has no such service");
     };
     let Ok(query) = RawValue::from_string(partial.query) else {
-        return refuse(Reason::BadRequest, "the query is not JSON");
+        return refuse(Reason::BadRequest, "the query is not valid JSON");
     };
     ensure_versions(shared, &service, deadline).await;
     let settings = shared.configuration().and_then(|c| c.services.get(&partial.service).cloned());
@@ -38,7 +38,7 @@
     });
     let plan = Arc::new(service.direct.lock().plan.restricted_to(&partial.partitions));
     if plan.partitions() != partial.partitions {
-        return refuse(Reason::NoReplica, "the index map in force here lacks some of the partitions");
+        return refuse(Reason::NoReplica, "this node's index map lacks some of the requested partitions");
     }
     let request =
         SearchRequest { deadline, limit: partial.limit as usize, order: partial.order, may_replan: false };
@@ -46,7 +46,7 @@
     let result = drive(shared, service.direct_route(), outgoing, search).await;
     let versions = service.direct.lock().versions_for(&partial.partitions);
     let Ok(hits) = serde_json::to_vec(&result.hits) else {
-        return refuse(Reason::PeerFailed, "the hits cannot be written");
+        return refuse(Reason::PeerFailed, "the hits cannot be serialized");
     };
     PeerResponse::PartialSearch(Box::new(PartialResult {
         version: result.version,
--- a/crates/sablebay-node/src/root_search.rs
+++ b/crates/sablebay-node/src/root_search.rs
@@ -1,4 +1,4 @@
-//! A query from its arrival to its answer, on the node that the caller asked.
+//! Runs a query on the node that received it: checks, admission, search and answer.
 
 use std::sync::Arc;
 
@@ -16,32 +16,31 @@
 use crate::service_state::ServiceState;
 use crate::shared::Shared;
 
-/// Peers that are asked at once when a node finds its configuration unconfirmed.
+/// Number of peers asked at once to confirm the configuration.
 const CONFIRMATION_PEERS: usize = 3;
-/// How long a request waits for them.
+/// How long a request waits for a confirmation.
 const CONFIRMATION_TIMEOUT: Micros = Micros::from_millis(250);
-/// When to come back to a node that is not ready or not confirmed, in milliseconds.
+/// Retry delay for requests to a node that is not ready or whose configuration is unconfirmed.
 const NOT_READY_RETRY_MS: u64 = 500;
 
-/// A query as it came in.
+/// A query as received.
 #[derive(Debug)]
 pub struct QueryInput {
-    /// The caller's identifier.
+    /// Identifier of the request, for logs and the answer.
     pub request_id: RequestId,
-    /// Passed to the leaves as it is.
+    /// Passed to the leaves unchanged.
     pub query: Arc<RawValue>,
-    /// Hits wanted.
+    /// Maximum number of hits.
     pub limit: usize,
-    /// Their order.
     pub sort: SortOrder,
-    /// The caller's deadline; the service's own when absent.
+    /// The caller's deadline; if absent, the deadline of the service applies.
     pub deadline_ms: Option<u64>,
 }
 
 /// Runs a query.
 ///
 /// # Errors
-/// The refusal to give to the caller.
+/// The refusal to return to the caller.
 pub async fn root_search(
     shared: &Arc<Shared>,
     service_id: &ServiceId,
@@ -54,7 +53,7 @@
     let limit_ms = input.deadline_ms.unwrap_or(settings.deadline_ms);
     let deadline = arrived.plus(Micros::from_millis(limit_ms));
     confirm(shared, &settings, deadline).await?;
-    // Looked up again: a node that woke from a pause may have adopted a configuration just now.
+    // Looked up again: a newer configuration may have been adopted while waiting for confirmation.
     let (state, settings) = find_service(shared, service_id)?;
     let result = admitted_search(shared, &state, &settings, &input, deadline).await;
     let ended = shared.clock.now();
@@ -75,12 +74,12 @@
 }
 
 pub(crate) fn stopping(shared: &Shared) -> Refusal {
-    let refusal = Refusal::not_run(Reason::Stopping, "the node is stopping; ask another one");
+    let refusal = Refusal::not_run(Reason::Stopping, "the node is stopping; use another node");
     let retry_ms = if shared.view.load().peers.is_empty() { NOT_READY_RETRY_MS } else { 0 };
     refusal.retry_after(retry_ms)
 }
 
-/// The service's state and settings, when the node is ready.
+/// Returns the state and settings of a service, or a refusal if the node is not ready.
 pub(crate) fn find_service(
     shared: &Arc<Shared>,
     service_id: &ServiceId,
@@ -90,14 +89,14 @@
         let refusal = Refusal::not_run(Reason::NotReady, "the node has no configuration yet");
         return Err(refusal.retry_after(NOT_READY_RETRY_MS));
     };
-    let unknown = || Refusal::not_run(Reason::UnknownService, format!("there is no service `{service_id}`"));
+    let unknown = || Refusal::not_run(Reason::UnknownService, format!("unknown service `{service_id}`"));
     let settings = configuration.services.get(service_id).cloned().ok_or_else(unknown)?;
     let state = shared.service(service_id).ok_or_else(unknown)?;
     Ok((state, settings))
 }
 
-/// Makes sure that the configuration is confirmed before new work; what to do when it cannot be
-/// is the service's choice.
+/// Waits until the configuration is confirmed to be the newest. If it cannot be confirmed in time,
+/// `when_unconfirmed` of the service decides whether the request is served or refused.
 pub(crate) async fn confirm(
     shared: &Arc<Shared>,
     settings: &ServiceSettings,
@@ -122,7 +121,7 @@
     if confirmed || settings.when_unconfirmed == WhenUnconfirmed::Serve {
         return Ok(());
     }
-    let message = "no peer confirms that this node's configuration is the newest";
+    let message = "no peer confirmed that this node's configuration is the newest";
     Err(Refusal::not_run(Reason::Unconfirmed, message).retry_after(NOT_READY_RETRY_MS))
 }
 
@@ -160,7 +159,7 @@
     };
     let version = version.ok_or_else(|| no_version(shared, deadline))?;
     if shared.clock.now() >= deadline {
-        let message = "the deadline passed before a back end was asked";
+        let message = "the deadline passed before a back end was called";
         return Err(Refusal::not_run(Reason::DeadlineExceeded, message));
     }
     let search = Search::new(request, plan, version);
@@ -172,10 +171,10 @@
     const RETRY_MS: u64 = 200;
     let late = shared.clock.now() >= deadline;
     let reason = if late { Reason::DeadlineExceeded } else { Reason::NoVersion };
-    Refusal::not_run(reason, "no replica told which versions it holds").retry_after(RETRY_MS)
+    Refusal::not_run(reason, "no replica reported which versions it holds").retry_after(RETRY_MS)
 }
 
-/// An answer that covers nothing is a failure, and says why.
+/// Turns a result without any answered partition into a refusal, with the reason of the first gap.
 fn refuse_empty(result: SearchResult) -> Result<SearchResult, Refusal> {
     use sablebay_query::GapReason;
     const RETRY_MS: u64 = 100;
@@ -189,7 +188,7 @@
         Some(GapReason::Refused) => Reason::Overloaded,
         _ => Reason::NoReplica,
     };
-    // Queries change nothing, so that "unknown" costs the caller no more than a second query.
+    // Queries are read-only: after an unknown outcome the caller can safely retry.
     Err(Refusal::unknown(reason, "no partition was answered").retry_after(RETRY_MS))
 }
 
--- a/crates/sablebay-node/src/search_driver.rs
+++ b/crates/sablebay-node/src/search_driver.rs
@@ -1,4 +1,4 @@
-//! Runs one search's state machine: performs its actions, feeds it what comes back.
+//! Drives the state machine of a search: performs its actions and passes it the outcomes.
 
 use std::sync::Arc;
 
@@ -20,33 +20,33 @@
 use crate::service_state::{CallTarget, Route};
 use crate::shared::Shared;
 
-/// Events handled in one turn.
+/// Maximum number of events handled in one step of the state machine.
 const EVENTS_PER_STEP: usize = 64;
-/// The part of the remaining time that an aggregator keeps for its way back, in percent.
+/// The part of the remaining time that is reserved for returning an aggregator's answer, in percent.
 const RETURN_MARGIN_PERCENT: u64 = 5;
-/// That time at the most.
+/// The upper bound of the time reserved for returning an answer.
 const MAXIMUM_RETURN_MARGIN: Micros = Micros::from_millis(10);
 
-/// One search being run.
+/// The I/O side of one running search.
 pub struct SearchDriver<'a> {
     shared: &'a Arc<Shared>,
     route: Route<'a>,
     targets: Arc<Vec<CallTarget>>,
     outgoing: Arc<OutgoingSearch>,
     events: mpsc::UnboundedSender<CallEvent>,
-    /// By attempt number, which counts from zero.
+    /// Indexed by attempt number.
     sent: Vec<SentCall>,
     draining_seen: Vec<ReplicaIndex>,
 }
 
-/// How a call that was sent can be cancelled.
+/// A call that was sent, with the handle to cancel it.
 enum SentCall {
     ToLeaf(Arc<LeafClient>, CallId, ReplicaIndex),
     ToPeer(tokio::task::AbortHandle),
     Finished,
 }
 
-/// Runs a search to its end.
+/// Runs a search to completion.
 pub async fn drive(
     shared: &Arc<Shared>,
     route: Route<'_>,
@@ -108,7 +108,7 @@
     }
 }
 
-/// Cancels what is open when the caller goes away in the middle of a search.
+/// Cancels open calls if the search is dropped before it has finished.
 struct AbandonOnDrop<'a> {
     search: Option<Search>,
     driver: SearchDriver<'a>,
@@ -180,7 +180,7 @@
         self.sent.push(sent);
     }
 
-    /// A replica that was configured after the search began, for a plan made again.
+    /// The target of a replica that was configured after the search began, for a search that replans.
     fn refreshed_target(&mut self, replica: ReplicaIndex) -> CallTarget {
         self.targets = self.route.targets.load_full();
         self.targets.get(replica.0 as usize).cloned().unwrap_or(CallTarget::Removed)
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Notes a leaf that says it is leaving, to tell the fleet.
+    /// Records a leaf that reports that it is draining.
     fn note_draining(&mut self, event: &CallEvent) {
         let report = match &event.outcome {
             Ok(answer) => answer.report.as_ref(),
@@ -227,7 +227,7 @@
     }
 }
 
-/// One call to an aggregator.
+/// A call to an aggregator.
 struct PartialCall {
     attempt: AttemptNumber,
     partitions: Arc<PartitionSet>,
@@ -235,7 +235,7 @@
     deadline: Micros,
 }
 
-/// Sends a part of the search to an aggregator, which may be this node itself.
+/// Sends part of the search to an aggregator, which may be this node.
 async fn call_peer(
     shared: Arc<Shared>,
     node: sablebay_model::NodeId,
@@ -296,7 +296,7 @@
     }
 }
 
-/// Whether nothing was answered because no replica holds the version.
+/// Whether no partition was answered because no replica holds the version.
 fn version_not_held(coverage: &Coverage) -> bool {
     let not_held = |gap: &sablebay_query::Gap| gap.reason == sablebay_query::GapReason::NotHeld;
     coverage.answered.is_empty() && !coverage.missing.is_empty() && coverage.missing.iter().all(not_held)
--- a/crates/sablebay-node/src/service_counts.rs
+++ b/crates/sablebay-node/src/service_counts.rs
@@ -1,4 +1,4 @@
-//! What one node counts of one service, and how the counts of many nodes are merged.
+//! Per-service query statistics of a node, and merging them across nodes.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 use sablebay_model::{Micros, Refusal};
 use sablebay_query::SearchResult;
 
-/// Latencies up to this are told apart, in microseconds.
+/// The highest latency that the histogram distinguishes, in microseconds.
 const MAXIMUM_LATENCY_US: u64 = 600_000_000;
 
-/// What was counted of one service on one node.
+/// Query statistics of one service on one node.
 pub struct ServiceCounts {
     report: ServiceReport,
     latency: Histogram<u64>,
@@ -28,7 +28,7 @@
 }
 
 impl ServiceCounts {
-    /// Counts the end of a query.
+    /// Records the result and duration of a query.
     pub fn count(&mut self, result: &Result<SearchResult, Refusal>, took: Micros) {
         self.report.queries += 1;
         match result {
@@ -47,7 +47,6 @@
         }
     }
 
-    /// The report of what was counted.
     pub fn report(&self) -> ServiceReport {
         let recorded = self.latency.iter_recorded();
         let latency_us = recorded.map(|value| (value.value_iterated_to(), value.count_at_value()));
@@ -55,26 +54,26 @@
     }
 }
 
-/// How one service behaves.
+/// Query statistics of one service, as exchanged between nodes and shown to operators.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ServiceReport {
-    /// Queries that ended.
+    /// Completed queries, answered or refused.
     pub queries: u64,
-    /// Queries that were answered.
+    /// Answered queries.
     pub answered: u64,
-    /// Answers with nothing missing.
+    /// Answers that cover all partitions.
     pub full_coverage: u64,
     /// Calls to leaves.
     pub leaf_calls: u64,
-    /// Hedged calls among them.
+    /// Hedged calls, included in `leaf_calls`.
     pub hedges: u64,
-    /// Retried calls among them.
+    /// Retried calls, included in `leaf_calls`.
     pub retries: u64,
-    /// Answers of leaves that were discarded.
+    /// Discarded leaf answers.
     pub discarded: u64,
-    /// Queries without an answer, by reason.
+    /// Refused queries by reason.
     pub refusals: BTreeMap<String, u64>,
-    /// Latencies in microseconds, with how many queries had them.
+    /// Pairs of a latency in microseconds and the number of queries with it.
     pub latency_us: Vec<(u64, u64)>,
 }
 
@@ -94,7 +93,7 @@
         self.latency_us.extend(&other.latency_us);
     }
 
-    /// Latency quantiles in milliseconds, over all that was merged.
+    /// Latency quantiles in milliseconds, over all merged reports.
     pub fn latency_ms(&self, quantiles: &[f64]) -> Vec<f64> {
         let mut histogram = empty_histogram();
         for (value, count) in &self.latency_us {
@@ -104,7 +103,7 @@
         quantiles.iter().map(value).collect()
     }
 
-    /// Extra calls in percent of first calls.
+    /// Hedged and retried calls in percent of first calls.
     pub fn extra_load_percent(&self) -> f64 {
         let extra = self.hedges + self.retries;
         let first = self.leaf_calls.saturating_sub(extra);
--- a/crates/sablebay-node/src/service_state.rs
+++ b/crates/sablebay-node/src/service_state.rs
@@ -21,14 +21,12 @@
 
 use plan::{PlanInputs, call_targets, direct_plan, peer_plan, uses_peers};
 
-/// The state of one service.
 pub struct ServiceState {
     service: ServiceId,
-    /// Calls to leaves.
+    /// Routing of calls to leaves.
     pub direct: Mutex<ServiceRouting>,
-    /// Calls to aggregators, when this node does not call the leaves itself.
+    /// Routing of calls to aggregators, if this node does not call the leaves itself.
     pub through_peers: Mutex<ServiceRouting>,
-    /// What was counted.
     pub counts: Mutex<ServiceCounts>,
     admission: Mutex<AdmissionQueue>,
     built: Mutex<BuiltPlans>,
@@ -36,36 +34,35 @@
     peer_targets: ArcSwap<Vec<CallTarget>>,
 }
 
-/// Who takes the calls to a replica, by the replica's position in the service's table.
+/// The destination of calls to a replica.
 #[derive(Clone)]
 pub enum CallTarget {
-    /// A leaf, through its client.
+    /// A leaf.
     Leaf(Arc<LeafClient>),
     /// An aggregator.
     Peer(NodeId),
-    /// A replica that is configured no more.
+    /// A replica that is no longer configured.
     Removed,
 }
 
-/// The replicas of a service that a search sends its calls to.
+/// The routing state and call targets that a search uses.
 #[derive(Clone, Copy)]
 pub struct Route<'a> {
-    /// The decision logic's state.
     pub routing: &'a Mutex<ServiceRouting>,
-    /// Who takes the calls.
+    /// Call targets, indexed by replica.
     pub targets: &'a ArcSwap<Vec<CallTarget>>,
 }
 
-/// Which plans a caller of [`ServiceState::refresh`] is going to use.
+/// The plan that a caller of [`ServiceState::refresh`] needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlanNeed {
-    /// The one that callers' queries take, through aggregators or not.
+    /// The plan for callers' queries, over leaves or aggregators.
     Callers,
-    /// The one over the leaves, also where callers' queries go through aggregators.
+    /// The plan over the leaves, even if callers' queries go through aggregators.
     Leaves,
 }
 
-/// What the plans were made from, and when.
+/// The view epochs and inputs from which the current plans were built.
 #[derive(Default)]
 struct BuiltPlans {
     epoch: Option<u64>,
@@ -75,7 +72,7 @@
     uses_peers: bool,
 }
 
-/// What the plan for callers was made from: while it is the same, the plan is too.
+/// The inputs of the plan for callers; the plan is rebuilt only if they change.
 struct CallerPlanKey {
     settings: Arc<ServiceSettings>,
     index: Option<Entry>,
@@ -94,7 +91,7 @@
     }
 }
 
-/// The index's layout under the configuration in force: the one at hand, or read anew.
+/// The index layout of the active configuration: the cached one if it is current, else a newly read one.
 fn current_layout(built: &BuiltPlans, inputs: &PlanInputs<'_>) -> Option<Arc<IndexLayout>> {
     let document = &inputs.configuration.document;
     if let Some(layout) = built.layout.as_ref().filter(|layout| layout.is_current(document)) {
@@ -103,7 +100,7 @@
     match inputs.configuration.index_layout(&inputs.settings.index) {
         Ok(layout) => Some(Arc::new(layout)),
         Err(error) => {
-            log::error!("configuration: an index in force cannot be read: {error}.");
+            log::error!("configuration: cannot read an index of the active configuration: {error}.");
             None
         }
     }
@@ -114,7 +111,7 @@
     waiting: HashMap<WaiterId, oneshot::Sender<()>>,
 }
 
-/// A place in the service; given up when dropped.
+/// Permission to run one request of the service; released when dropped.
 pub struct AdmissionPermit {
     state: Arc<ServiceState>,
     clock: crate::clock::Clock,
@@ -130,7 +127,7 @@
 }
 
 impl AdmissionQueue {
-    /// Frees a place and starts the next waiter that is still there.
+    /// Releases a slot and admits the next waiter that has not been cancelled.
     fn release(&mut self, now: Micros, duration: Micros) {
         let mut next = self.machine.leave(now, duration);
         while let Some(id) = next {
@@ -155,7 +152,6 @@
 }
 
 impl ServiceState {
-    /// The state of a service that was not used before.
     pub fn new(settings: &ServiceSettings, mechanisms: &NodeMechanisms, now: Micros) -> Self {
         let routing = routing_settings(settings, mechanisms);
         Self {
@@ -173,7 +169,6 @@
         }
     }
 
-    /// The service.
     pub fn service_id(&self) -> ServiceId {
         self.service.clone()
     }
@@ -186,12 +181,12 @@
         }
     }
 
-    /// The way to the leaves.
+    /// The route over the leaves.
     pub fn direct_route(&self) -> Route<'_> {
         Route { routing: &self.direct, targets: &self.direct_targets }
     }
 
-    /// The way to the aggregators.
+    /// The route over the aggregators.
     pub fn peer_route(&self) -> Route<'_> {
         Route { routing: &self.through_peers, targets: &self.peer_targets }
     }
@@ -201,9 +196,10 @@
         self.built.lock().uses_peers
     }
 
-    /// Makes the plans that are needed anew, when the configuration or the members changed since.
-    /// Returns whether `view` was current: plans made from a newer one are never replaced by older
-    /// ones, else a query could be planned under a configuration that was in force before.
+    /// Rebuilds the needed plans if the configuration or the members have changed.
+    ///
+    /// Returns false, and changes nothing, if the plans were built from a view newer than `view`:
+    /// queries must not be planned under a superseded configuration.
     pub fn refresh(
         &self,
         shared: &Shared,
@@ -231,7 +227,7 @@
         true
     }
 
-    /// What every node needs to know of a service, and the plan over aggregators if it uses them.
+    /// Updates the admission limits, and the plan over aggregators if the service uses them.
     fn refresh_for_callers(&self, built: &mut BuiltPlans, inputs: &PlanInputs<'_>) {
         let settings = inputs.settings;
         self.admission.lock().machine.set_limits(settings.concurrency, settings.queue);
@@ -257,7 +253,7 @@
         built.callers = Some(CallerPlanKey::new(inputs, aggregators));
     }
 
-    /// The plan over the leaves themselves.
+    /// Rebuilds the plan over the leaves.
     fn refresh_direct(&self, built: &mut BuiltPlans, inputs: &PlanInputs<'_>) {
         let Some(layout) = current_layout(built, inputs) else {
             return;
@@ -267,14 +263,14 @@
         let plan = direct_plan(&mut direct, inputs, &layout);
         self.direct_targets.store(Arc::new(call_targets(&direct, inputs, &layout)));
         direct.plan = Arc::new(plan);
-        // Kept where leaves are called alone: the rest of the fleet need not hold it.
+        // Cached only on nodes that call leaves directly, to save memory on the others.
         built.layout = Some(layout);
     }
 
-    /// Takes a place in the service, or waits for one until `deadline`.
+    /// Acquires a slot of the service, waiting until `deadline` if none is free.
     ///
     /// # Errors
-    /// Milliseconds after which to come back.
+    /// The delay in milliseconds after which the caller may retry.
     pub async fn admit(
         self: &Arc<Self>,
         clock: crate::clock::Clock,
@@ -304,14 +300,14 @@
         Err(LATE_RETRY_MS)
     }
 
-    /// Requests running and waiting.
+    /// The numbers of running and waiting requests.
     pub fn load(&self) -> (u32, usize) {
         let queue = self.admission.lock();
         (queue.machine.running(), queue.machine.waiting())
     }
 }
 
-/// A waiter; leaves the queue when dropped, also when its caller goes away.
+/// A queued request; removed from the queue when dropped, unless it was admitted.
 struct QueuedWaiter {
     state: Arc<ServiceState>,
     id: WaiterId,
--- a/crates/sablebay-node/src/service_state/plan.rs
+++ b/crates/sablebay-node/src/service_state/plan.rs
@@ -1,4 +1,4 @@
-//! Plans of a service, made from the configuration in force and the members present.
+//! Builds the shard plans of a service from the active configuration and the present members.
 
 use std::sync::Arc;
 
@@ -12,10 +12,9 @@
 use crate::cluster_view::ClusterView;
 use crate::shared::Shared;
 
-/// Shards above which an index is searched through aggregators.
+/// Number of shards above which an index is searched through aggregators.
 const WIDE_INDEX_SHARDS: usize = 64;
 
-/// What plans are made from.
 pub(super) struct PlanInputs<'a> {
     pub(super) shared: &'a Shared,
     pub(super) view: &'a ClusterView,
@@ -24,13 +23,13 @@
 }
 
 impl PlanInputs<'_> {
-    /// The index map's entry in the configuration in force.
+    /// The entry of the index in the active configuration.
     pub(super) fn index_entry(&self) -> Option<&Entry> {
         self.configuration.document.entry(EntryKind::Index, self.settings.index.as_str())
     }
 }
 
-/// The targets of every replica, so that a call finds its client without a lock or a look-up.
+/// The call target of every replica, resolved in advance so that calls need no lock or lookup.
 pub(super) fn call_targets(
     routing: &ServiceRouting,
     inputs: &PlanInputs<'_>,
@@ -44,7 +43,7 @@
     routing.balancer.replicas().map(target).collect()
 }
 
-/// Whether this node's callers are served through aggregators.
+/// Whether this node serves its callers through aggregators.
 pub(super) fn uses_peers(
     settings: &ServiceSettings,
     index: &IndexMap,
@@ -64,7 +63,7 @@
     }
 }
 
-/// The shards that a service searches: those of its index, cut to its partitions.
+/// The shards that a service searches: those of its index, restricted to the service's partitions.
 fn wanted_shards<'a>(
     index: &'a IndexMap,
     settings: &'a ServiceSettings,
@@ -78,7 +77,7 @@
     })
 }
 
-/// The index's shards, with the leaves that hold them.
+/// Plans over the index's shards, with the leaves that hold them as replicas.
 pub(super) fn direct_plan(
     routing: &mut ServiceRouting,
     inputs: &PlanInputs<'_>,
@@ -105,7 +104,8 @@
     ShardPlan { revision: configuration.version.revision, shards, through_peers: false }
 }
 
-/// Shards of about equal size, one for each aggregator; each can be answered by any of them.
+/// Plans over groups of shards, each of which any aggregator can answer. A wide index has one group
+/// for each aggregator, other indexes have a single group.
 pub(super) fn peer_plan(
     routing: &mut ServiceRouting,
     inputs: &PlanInputs<'_>,
--- a/crates/sablebay-node/tests/caller_counts.rs
+++ b/crates/sablebay-node/tests/caller_counts.rs
@@ -1,4 +1,4 @@
-//! Counts by caller have a bounded number of series.
+//! Guards against an unbounded number of metric series and against malformed label values.
 
 use prometheus_client::encoding::text::encode;
 use prometheus_client::registry::Registry;
@@ -42,6 +42,6 @@
     counts.refused("unknown_key");
     counts.refused("unknown_key");
     counts.refused("outdated");
-    let refusals: Vec<(String, u64)> = counts.refusals().into_iter().collect();
-    assert_eq!(refusals, [("outdated".to_string(), 1), ("unknown_key".to_string(), 2)]);
+    let by_reason: Vec<(String, u64)> = counts.refusals().into_iter().collect();
+    assert_eq!(by_reason, [("outdated".to_string(), 1), ("unknown_key".to_string(), 2)]);
 }
--- a/crates/sablebay-node/tests/http_listener.rs
+++ b/crates/sablebay-node/tests/http_listener.rs
@@ -1,5 +1,5 @@
-//! A listener that closes cuts no request: neither one that waits in the kernel's queue, nor one
-//! that crosses the close on an open connection.
+//! Guards against requests lost while a listener closes, whether in the kernel's accept queue or on
+//! an open connection.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -24,16 +24,16 @@
     (address, listeners, tokio::spawn(serve_http(listener, routes, phase)))
 }
 
-/// Reads what comes until the connection ends.
+/// Reads until the server closes the connection.
 async fn read_to_end(mut stream: TcpStream) -> String {
     let reading = tokio::task::spawn_blocking(move || {
         let mut text = String::new();
         stream.read_to_string(&mut text).map(|_| text)
     });
-    reading.await.unwrap().expect("the connection ends in order")
+    reading.await.unwrap().expect("the server closes the connection without an error")
 }
 
-/// Waits until the listener takes no new connections.
+/// Waits until the listener refuses new connections.
 async fn wait_until_refused(address: SocketAddr) {
     loop {
         match TcpStream::connect(address) {
@@ -47,7 +47,7 @@
 async fn a_connection_that_waits_to_be_accepted_is_served() {
     let (address, listeners, server) = start().await;
     tokio::task::yield_now().await;
-    // This thread runs everything: the server cannot accept before the listener is closed.
+    // The runtime is single-threaded: the server cannot accept before the listener is closed.
     let mut streams: Vec<TcpStream> = (0..20).map(|_| TcpStream::connect(address).unwrap()).collect();
     for stream in &mut streams {
         stream.write_all(REQUEST).unwrap();
--- a/crates/sablebay-node/tests/plans.rs
+++ b/crates/sablebay-node/tests/plans.rs
@@ -1,4 +1,5 @@
-//! Plans follow the configuration in force and never go back, however many threads look at once.
+//! Guards against a plan being replaced by one of an older configuration revision under concurrent
+//! access.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -20,8 +21,7 @@
     Arc::new(Configuration::parse("test", &text).unwrap())
 }
 
-/// The revisions that plans are seen under by one thread, as long as `running`; whether one was lower
-/// than the one before.
+/// Reads plans while `running` is set; returns whether a plan's revision was lower than the previous one.
 fn observes_older_plan(shared: &Shared, running: &AtomicBool) -> bool {
     let mut last = 0;
     while running.load(Ordering::Relaxed) {
@@ -53,6 +53,6 @@
     }
     running.store(false, Ordering::Relaxed);
     for reader in readers {
-        assert!(!reader.await.unwrap(), "a plan went back");
+        assert!(!reader.await.unwrap(), "a plan was replaced by an older one");
     }
 }
