--- a/crates/sablebay-node/src/caller_counts.rs
+++ b/crates/sablebay-node/src/caller_counts.rs
@@ -57,7 +57,7 @@
         self.requests.get_or_create(&TenantLabels { tenant, outcome }).inc();
     }
 
-    /// The label value for a tenant. Quotes and backslashes are replaced, since the text format treats them specially.
+    /// The label value for a tenant, with the characters replaced that the text format would escape.
     fn tenant_label(&self, tenant: &str) -> String {
         let mut named = self.named.lock();
         if !named.contains(tenant) {
--- a/crates/sablebay-node/src/http_listener.rs
+++ b/crates/sablebay-node/src/http_listener.rs
@@ -21,7 +21,7 @@
 /// Delay after a failed accept, for example when file descriptors are exhausted.
 const ACCEPT_RETRY: Duration = Duration::from_millis(10);
 
-/// The minimum read buffer that hyper accepts, in bytes.
+/// The minimum that hyper accepts for `max_buf_size`, in bytes.
 const MINIMUM_HEAD_BUFFER: usize = 8_192;
 /// How long a connection that exceeded its limits may take to shut down gracefully.
 const EXPIRED_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
@@ -44,7 +44,7 @@
     serve_http_within(listener, routes, phase, ConnectionLimits::default).await;
 }
 
-/// Like [`serve_http`], with limits that are read anew for each check and may change at run time.
+/// Like [`serve_http`], with limits that may change while connections are open.
 pub async fn serve_http_within<L>(
     listener: TcpListener,
     routes: Router,
@@ -122,7 +122,7 @@
     let mut builder = hyper::server::conn::http1::Builder::new();
     builder.max_buf_size(limits().head_bytes.max(MINIMUM_HEAD_BUFFER));
     let mut connection = std::pin::pin!(builder.serve_connection(TokioIo::new(stream), service));
-    // Errors of the connection are caused by the client and are ignored.
+    // Connection errors affect only this client and are ignored.
     tokio::select! {
         _ = connection.as_mut() => return,
         () = wait_for_phase(&mut phase, ListenerPhase::Ended) => {}
--- a/crates/sablebay-node/src/leaf_client/batch.rs
+++ b/crates/sablebay-node/src/leaf_client/batch.rs
@@ -104,8 +104,8 @@
     }
 }
 
-/// Fails calls whose deadline has passed, and drops calls whose query has ended. Runs right before
-/// sending, so that a process pause cannot cause a late call.
+/// Fails calls whose deadline has passed, and drops calls whose query has ended, so that a
+/// batch that waited too long, or a paused process, sends no late calls.
 fn drop_expired(context: &ClientContext, waiting: &mut Vec<QueuedCall>) {
     let now = context.clock.now();
     waiting.retain(|call| {
--- a/crates/sablebay-node/src/metrics.rs
+++ b/crates/sablebay-node/src/metrics.rs
@@ -37,7 +37,7 @@
     hedges: Family<ServiceLabel, Counter>,
     retries: Family<ServiceLabel, Counter>,
     discarded: Family<ServiceLabel, Counter>,
-    /// Revision of the active configuration.
+    /// Revision of the configuration in force.
     pub revision: Gauge,
     /// Members that accept work, including this node.
     pub members: Gauge,
--- a/crates/sablebay-node/src/service_state.rs
+++ b/crates/sablebay-node/src/service_state.rs
@@ -91,7 +91,7 @@
     }
 }
 
-/// The index layout of the active configuration: the cached one if it is current, else a newly read one.
+/// The index layout of the configuration in force; read again only if the cached one is outdated.
 fn current_layout(built: &BuiltPlans, inputs: &PlanInputs<'_>) -> Option<Arc<IndexLayout>> {
     let document = &inputs.configuration.document;
     if let Some(layout) = built.layout.as_ref().filter(|layout| layout.is_current(document)) {
@@ -100,7 +100,7 @@
     match inputs.configuration.index_layout(&inputs.settings.index) {
         Ok(layout) => Some(Arc::new(layout)),
         Err(error) => {
-            log::error!("configuration: cannot read an index of the active configuration: {error}.");
+            log::error!("configuration: cannot read an index of the configuration in force: {error}.");
             None
         }
     }
--- a/crates/sablebay-node/src/service_state/plan.rs
+++ b/crates/sablebay-node/src/service_state/plan.rs
@@ -1,4 +1,4 @@
-//! Builds the shard plans of a service from the active configuration and the present members.
+//! Builds the shard plans of a service from the configuration in force and the present members.
 
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
 }
 
 impl PlanInputs<'_> {
-    /// The entry of the index in the active configuration.
+    /// The entry of the index in the configuration in force.
     pub(super) fn index_entry(&self) -> Option<&Entry> {
         self.configuration.document.entry(EntryKind::Index, self.settings.index.as_str())
     }
