--- a/crates/sablebay-gateway/src/ingress.rs
+++ b/crates/sablebay-gateway/src/ingress.rs
@@ -49,7 +49,7 @@
     request: Request,
 ) -> Response {
     // A graceful stop waits for this request; requests are accepted until the listener closes.
-    let _in_flight = context.node.lifecycle.hold();
+    let _in_flight = context.node.lifecycle.track();
     let mut response = answer(&context, request).await.map(Body::new);
     if context.node.lifecycle.is_draining() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/crates/sablebay-node/src/leaf_client/batch.rs
+++ b/crates/sablebay-node/src/leaf_client/batch.rs
@@ -1,5 +1,5 @@
-//! Batches of searches: gathering calls, sending them as one request, reading answers as they
-//! are streamed back.
+//! Batches of searches: collecting calls, sending them as one request, and reading the answers as
+//! they are streamed back.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -15,14 +15,14 @@
 use sablebay_protocol::backend::{LeafAnswer, LeafCallRef, LeafRefusal, SEARCH_PATH, SearchBatch};
 use sablebay_query::{CallFailure, Coverage, ShardAnswer, Work};
 
-use super::{CallEvent, ClientContext, Command, QueuedCall, report_of};
+use super::{CallEvent, ClientContext, Command, QueuedCall, load_report};
 
-/// How long after the last deadline of a batch its connection is given up.
+/// How long a batch waits for answers after its last deadline.
 const ANSWER_GRACE: Micros = Micros::from_millis(250);
-/// The longest line that a leaf may answer with.
+/// Maximum length of one answer line.
 const MAXIMUM_LINE_BYTES: usize = 8 << 20;
 
-/// Gathers calls into batches and sends each on a connection of its own turn.
+/// Collects calls into batches and sends each as soon as a connection is free.
 pub(super) async fn run_dispatcher(
     context: Arc<ClientContext>,
     mut commands: mpsc::UnboundedReceiver<Command>,
@@ -33,7 +33,7 @@
             let Some(command) = commands.recv().await else {
                 return;
             };
-            take_command(&context, command, &mut waiting);
+            handle_command(&context, command, &mut waiting);
             continue;
         }
         wait_to_coalesce(&context, &mut commands, &mut waiting).await;
@@ -46,7 +46,7 @@
     }
 }
 
-fn take_command(context: &Arc<ClientContext>, command: Command, waiting: &mut Vec<QueuedCall>) {
+fn handle_command(context: &Arc<ClientContext>, command: Command, waiting: &mut Vec<QueuedCall>) {
     match command {
         Command::Search(call) => waiting.push(call),
         Command::Cancel(call_id) => {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Lets the first call wait a little for others, when its service allows that.
+/// Waits for further calls until the batch is full or the coalescing time of the first call is over.
 async fn wait_to_coalesce(
     context: &Arc<ClientContext>,
     commands: &mut mpsc::UnboundedReceiver<Command>,
@@ -74,20 +74,20 @@
     while waiting.len() < full {
         match commands.try_recv() {
             Ok(command) => {
-                take_command(context, command, waiting);
+                handle_command(context, command, waiting);
                 continue;
             }
             Err(_) if tokio::time::Instant::now() >= until => return,
             Err(_) => {}
         }
         match tokio::time::timeout_at(until, commands.recv()).await {
-            Ok(Some(command)) => take_command(context, command, waiting),
+            Ok(Some(command)) => handle_command(context, command, waiting),
             Ok(None) | Err(_) => return,
         }
     }
 }
 
-/// Waits for a connection's turn, and gathers further calls meanwhile.
+/// Waits for a free connection, and collects further calls meanwhile.
 async fn wait_for_permit(
     context: &Arc<ClientContext>,
     commands: &mut mpsc::UnboundedReceiver<Command>,
@@ -99,12 +99,13 @@
         tokio::select! {
             biased;
             permit = &mut permit => return permit,
-            Some(command) = commands.recv() => take_command(context, command, waiting),
+            Some(command) = commands.recv() => handle_command(context, command, waiting),
         }
     }
 }
 
-/// Nothing is sent at or after its deadline, also when the process was paused before this line.
+/// Fails calls whose deadline has passed, and drops calls whose query has ended, so that a
+/// batch that waited too long, or a paused process, sends no late calls.
 fn drop_expired(context: &ClientContext, waiting: &mut Vec<QueuedCall>) {
     let now = context.clock.now();
     waiting.retain(|call| {
@@ -139,7 +140,7 @@
     Some(Bytes::from(body))
 }
 
-/// Sends calls as one request, and passes on what comes back.
+/// Sends calls as one request and forwards the answers to their queries.
 pub(super) async fn send_batch(
     context: Arc<ClientContext>,
     permit: OwnedSemaphorePermit,
@@ -178,22 +179,22 @@
     read_answers(context, response.into_body(), open, lease).await
 }
 
-/// Reads answers line by line. The connection goes back to the pool only when every line was
-/// one that had been asked for.
+/// Reads answers line by line. The connection returns to the pool only if every line matched an
+/// open call.
 async fn read_answers(
     context: &Arc<ClientContext>,
     mut body: Incoming,
     open: &mut OpenCalls,
     lease: Lease,
 ) -> Result<(), ExchangeFailure> {
-    let mut rest: Vec<u8> = Vec::new();
+    let mut partial_line: Vec<u8> = Vec::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| ExchangeFailure::Broken)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        take_lines(context, &data, &mut rest, open)?;
-        if rest.len() > MAXIMUM_LINE_BYTES {
+        handle_lines(context, &data, &mut partial_line, open)?;
+        if partial_line.len() > MAXIMUM_LINE_BYTES {
             return Err(ExchangeFailure::Broken);
         }
     }
@@ -201,35 +202,35 @@
     Ok(())
 }
 
-/// Takes every line that `data` completes; what is left of the last one is kept in `rest`.
-fn take_lines(
+/// Handles every line that `data` completes; an incomplete last line is kept in `partial_line`.
+fn handle_lines(
     context: &ClientContext,
     data: &[u8],
-    rest: &mut Vec<u8>,
+    partial_line: &mut Vec<u8>,
     open: &mut OpenCalls,
 ) -> Result<(), ExchangeFailure> {
     let mut from = 0;
     for end in memchr::memchr_iter(b'\n', data) {
-        if rest.is_empty() {
-            take_line(context, &data[from..end], open)?;
+        if partial_line.is_empty() {
+            handle_line(context, &data[from..end], open)?;
         } else {
-            rest.extend_from_slice(&data[from..end]);
-            take_line(context, rest, open)?;
-            rest.clear();
+            partial_line.extend_from_slice(&data[from..end]);
+            handle_line(context, partial_line, open)?;
+            partial_line.clear();
         }
         from = end + 1;
     }
-    rest.extend_from_slice(&data[from..]);
+    partial_line.extend_from_slice(&data[from..]);
     Ok(())
 }
 
-fn take_line(context: &ClientContext, line: &[u8], open: &mut OpenCalls) -> Result<(), ExchangeFailure> {
+fn handle_line(context: &ClientContext, line: &[u8], open: &mut OpenCalls) -> Result<(), ExchangeFailure> {
     if line.is_empty() {
         return Ok(());
     }
     let answer: LeafAnswer = serde_json::from_slice(line).map_err(|error| {
         context.counters.malformed.fetch_add(1, Ordering::Relaxed);
-        log::warn!("leaf: {} sent a line that is no answer: {error}.", context.leaf);
+        log::warn!("leaf: cannot parse an answer line from {}: {error}.", context.leaf);
         ExchangeFailure::Broken
     })?;
     let call = if context.correlates { open.take(answer.call_id) } else { open.take_oldest() };
@@ -243,7 +244,7 @@
 }
 
 fn outcome_of(answer: LeafAnswer) -> Result<ShardAnswer, (CallFailure, Option<sablebay_query::LoadReport>)> {
-    let report = report_of(answer.load);
+    let report = load_report(answer.load);
     if let Some(refusal) = answer.refusal {
         let failure = match refusal {
             LeafRefusal::NotHeld => CallFailure::NotHeld,
@@ -269,13 +270,13 @@
 }
 
 impl OpenCalls {
-    /// Takes a call out; an answer that is repeated finds nothing.
+    /// Removes and returns a call; `None` for a duplicate answer.
     fn take(&mut self, call_id: CallId) -> Option<QueuedCall> {
         let matches = |slot: &&mut Option<QueuedCall>| slot.as_ref().is_some_and(|c| c.call_id == call_id);
         self.calls.iter_mut().find(matches).and_then(Option::take)
     }
 
-    /// Takes the oldest call that is open, whatever the answer says.
+    /// Removes and returns the oldest open call, regardless of the answer's call id.
     fn take_oldest(&mut self) -> Option<QueuedCall> {
         self.calls.iter_mut().find_map(Option::take)
     }
--- a/crates/sablebay-node/src/leaf_client/operation.rs
+++ b/crates/sablebay-node/src/leaf_client/operation.rs
@@ -1,4 +1,4 @@
-//! One operation, sent once: never queued, batched, hedged or retried.
+//! Sends one operation to a leaf at most once, without queueing, batching, hedging or retries.
 
 use derive_more::Display;
 use http::Method;
@@ -11,7 +11,7 @@
 
 use super::LeafClient;
 
-/// The longest result of an operation.
+/// Maximum size of an operation's result.
 const MAXIMUM_RESULT_BYTES: usize = 1 << 20;
 
 /// Why an operation has no result.
@@ -20,19 +20,19 @@
     /// No byte can have reached the leaf.
     #[display("not sent")]
     NotSent,
-    /// The leaf says that it did not run it, and will not.
+    /// The leaf reports that it did not and will not run the operation.
     #[display("refused: {_0:?}")]
     Refused(LeafRefusal),
-    /// It was sent, and no word came back.
-    #[display("no word")]
-    NoWord,
+    /// The operation was sent, but no valid response arrived; it may have run.
+    #[display("no response")]
+    NoResponse,
 }
 
 impl LeafClient {
     /// Sends an operation and waits for its result until `deadline`.
     ///
     /// # Errors
-    /// [`OperationFailure`], which tells whether it can have run.
+    /// [`OperationFailure`], which tells whether the operation may have run.
     pub async fn operation(
         &self,
         service: &ServiceId,
@@ -67,27 +67,28 @@
                 context.pool.send(&mut lease, json_request(Method::POST, OPERATION_PATH, body.into())).await;
             let response = sent.map_err(|failure| match failure {
                 ExchangeFailure::NotSent => OperationFailure::NotSent,
-                ExchangeFailure::Broken => OperationFailure::NoWord,
+                ExchangeFailure::Broken => OperationFailure::NoResponse,
             })?;
             let limited = Limited::new(response.into_body(), MAXIMUM_RESULT_BYTES);
-            let collected = limited.collect().await.map_err(|_| OperationFailure::NoWord)?;
+            let collected = limited.collect().await.map_err(|_| OperationFailure::NoResponse)?;
             Ok(collected.to_bytes())
         };
         let exchanged = tokio::time::timeout_at(until, exchange).await;
-        let bytes = exchanged.map_err(|_| OperationFailure::NoWord)??;
+        let bytes = exchanged.map_err(|_| OperationFailure::NoResponse)??;
         context.pool.give_back(lease);
         read_result(call_id, &bytes)
     }
 }
 
 fn read_result(call_id: CallId, bytes: &[u8]) -> Result<Box<RawValue>, OperationFailure> {
-    let answer: LeafOperationAnswer = serde_json::from_slice(bytes).map_err(|_| OperationFailure::NoWord)?;
+    let answer: LeafOperationAnswer =
+        serde_json::from_slice(bytes).map_err(|_| OperationFailure::NoResponse)?;
     if answer.call_id != call_id {
-        return Err(OperationFailure::NoWord);
+        return Err(OperationFailure::NoResponse);
     }
     match (answer.result, answer.refusal) {
         (Some(result), None) => Ok(result),
         (None, Some(refusal)) => Err(OperationFailure::Refused(refusal)),
-        _ => Err(OperationFailure::NoWord),
+        _ => Err(OperationFailure::NoResponse),
     }
 }
--- a/crates/sablebay-node/src/load_poll.rs
+++ b/crates/sablebay-node/src/load_poll.rs
@@ -1,5 +1,5 @@
-//! Asks leaves for their load: what versions they hold, whether they are leaving. Also keeps a
-//! connection to each warm.
+//! Polls leaves for their load, the versions that they hold and whether they are draining. Polling
+//! also keeps a connection to each leaf warm.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,21 +12,20 @@
 use sablebay_query::{LoadReport, Target};
 
 use crate::fleet_task::note_leaf;
-use crate::leaf_client::report_of;
+use crate::leaf_client::load_report;
 use crate::peers::Lane;
 use crate::service_state::ServiceState;
 use crate::shared::Shared;
 
-/// How often a leaf that has not answered a call lately is asked.
+/// Polling interval for leaves without a recent report.
 const POLL_INTERVAL: Duration = Duration::from_millis(1_000);
-/// How old a report may be before the leaf is asked.
-const REPORT_AGE: Micros = Micros::from_millis(900);
-/// How long a query waits to learn which versions there are.
-const VERSIONS_PATIENCE: Micros = Micros::from_millis(1_000);
-/// Leaves asked at once.
-const POLLS_AT_ONCE: usize = 64;
+/// Age above which a report is stale and its leaf is polled.
+const MAXIMUM_REPORT_AGE: Micros = Micros::from_millis(900);
+/// How long a query waits for replicas to report their versions.
+const VERSIONS_TIMEOUT: Micros = Micros::from_millis(1_000);
+const MAXIMUM_CONCURRENT_POLLS: usize = 64;
 
-/// Polls the leaves of every service that is in use here, until the node ends.
+/// Polls the leaves of every service in use on this node, until the node stops.
 pub async fn run_load_polls(shared: Arc<Shared>) {
     let mut interval = tokio::time::interval(POLL_INTERVAL);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
@@ -40,11 +39,11 @@
     }
 }
 
-/// Asks the leaves of a service whose reports are old.
+/// Polls the leaves of a service whose reports are stale.
 async fn poll_leaves(shared: &Arc<Shared>, state: &Arc<ServiceState>, now: Micros) {
     let stale: Vec<LeafId> = {
         let routing = state.direct.lock();
-        let old = |at: Micros| now.since(at) >= REPORT_AGE;
+        let old = |at: Micros| now.since(at) >= MAXIMUM_REPORT_AGE;
         let replicas = routing.balancer.replicas();
         replicas
             .filter(|replica| replica.report.as_ref().is_none_or(|(_, at)| old(*at)))
@@ -54,15 +53,15 @@
             })
             .collect()
     };
-    let mut asking = JoinSet::new();
+    let mut requests = JoinSet::new();
     for leaf in stale {
-        if asking.len() >= POLLS_AT_ONCE {
-            asking.join_next().await;
+        if requests.len() >= MAXIMUM_CONCURRENT_POLLS {
+            requests.join_next().await;
         }
         let (shared, state) = (shared.clone(), state.clone());
-        asking.spawn(async move { poll_leaf(&shared, &state, leaf).await });
+        requests.spawn(async move { poll_leaf(&shared, &state, leaf).await });
     }
-    asking.join_all().await;
+    requests.join_all().await;
 }
 
 async fn poll_leaf(shared: &Arc<Shared>, state: &Arc<ServiceState>, leaf: LeafId) {
@@ -72,16 +71,16 @@
     let Some(load) = client.load().await else {
         return;
     };
-    take_load(shared, state, &leaf, load);
+    apply_load(shared, state, &leaf, load);
 }
 
-fn take_load(shared: &Arc<Shared>, state: &Arc<ServiceState>, leaf: &LeafId, load: LeafLoad) {
+fn apply_load(shared: &Arc<Shared>, state: &Arc<ServiceState>, leaf: &LeafId, load: LeafLoad) {
     let draining = load.draining;
     {
         let mut routing = state.direct.lock();
         let target = Target::Leaf(leaf.clone());
         if let Some(index) = routing.balancer.position(&target) {
-            routing.balancer.reported(index, report_of(load), shared.clock.now());
+            routing.balancer.reported(index, load_report(load), shared.clock.now());
         }
     }
     if draining || shared.listed_leaving.lock().contains(leaf) {
@@ -92,42 +91,44 @@
     }
 }
 
-/// Makes sure that the versions of a service's replicas are known, as far as they answer.
+/// Polls the leaves of a service if their versions are unknown, waiting for at most
+/// [`VERSIONS_TIMEOUT`].
 pub async fn ensure_versions(shared: &Arc<Shared>, state: &Arc<ServiceState>, deadline: Micros) {
     if state.direct.lock().knows_versions() {
         return;
     }
     let now = shared.clock.now();
-    let until = now.plus(VERSIONS_PATIENCE).min(deadline);
+    let until = now.plus(VERSIONS_TIMEOUT).min(deadline);
     let polling = poll_leaves(shared, state, Micros::MAX);
-    // What is not known by then the search finds out by itself.
+    // On a timeout the search proceeds with the versions known so far.
     let _ = tokio::time::timeout_at(shared.clock.instant(until), polling).await;
 }
 
-/// Makes sure that the versions that aggregators can answer at are known.
+/// Requests the versions that aggregators can serve if they are unknown, waiting for at most
+/// [`VERSIONS_TIMEOUT`].
 pub async fn ensure_peer_versions(shared: &Arc<Shared>, state: &Arc<ServiceState>, deadline: Micros) {
     if state.through_peers.lock().knows_versions() {
         return;
     }
     let plan = state.through_peers.lock().plan.clone();
-    let mut asking = JoinSet::new();
+    let mut requests = JoinSet::new();
     for shard in &plan.shards {
         let (shared, state) = (shared.clone(), state.clone());
         let (partitions, replicas) = ((*shard.partitions).clone(), shard.replicas.clone());
-        asking.spawn(async move {
+        requests.spawn(async move {
             for replica in replicas {
-                if ask_peer(&shared, &state, replica, partitions.clone(), deadline).await {
+                if request_versions(&shared, &state, replica, partitions.clone(), deadline).await {
                     return;
                 }
             }
         });
     }
-    let until = shared.clock.now().plus(VERSIONS_PATIENCE).min(deadline);
-    // As above.
-    let _ = tokio::time::timeout_at(shared.clock.instant(until), asking.join_all()).await;
+    let until = shared.clock.now().plus(VERSIONS_TIMEOUT).min(deadline);
+    // On a timeout the search proceeds with the versions known so far.
+    let _ = tokio::time::timeout_at(shared.clock.instant(until), requests.join_all()).await;
 }
 
-async fn ask_peer(
+async fn request_versions(
     shared: &Arc<Shared>,
     state: &Arc<ServiceState>,
     replica: sablebay_query::ReplicaIndex,
@@ -161,7 +162,7 @@
     true
 }
 
-/// Versions that some partitions of a service can be had in, through this node.
+/// The versions at which this node can search the given partitions of a service.
 pub async fn local_versions(
     shared: &Arc<Shared>,
     service: &sablebay_model::ServiceId,
--- a/crates/sablebay-node/src/operation.rs
+++ b/crates/sablebay-node/src/operation.rs
@@ -1,4 +1,4 @@
-//! Operations that must run once at most: tickets, claims, the one dispatch, and the outcome.
+//! At-most-once operations: mints and claims tickets, dispatches the operation, records the outcome.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -23,25 +23,26 @@
 use crate::service_state::ServiceState;
 use crate::shared::Shared;
 
-/// How long a holder may take to answer before it counts as lost.
-const HOLDER_PATIENCE: Micros = Micros::from_millis(400);
-/// When to ask for a ticket whose outcome is not known yet, in milliseconds.
+/// How long a claim holder may take to answer before it counts as lost.
+const HOLDER_TIMEOUT: Micros = Micros::from_millis(400);
+/// Retry delay for tickets whose outcome is not known yet.
 const OUTCOME_RETRY_MS: u64 = 100;
-/// How long telling the holders of an outcome may take.
-const RECORD_PATIENCE: Micros = Micros::from_millis(1_000);
+/// How long recording an outcome with the claim holders may take.
+const RECORD_TIMEOUT: Micros = Micros::from_millis(1_000);
 
-/// An operation as it came in.
+/// An operation as received.
 #[derive(Debug)]
 pub struct OperationInput {
-    /// Passed to the back end as it is.
+    /// Passed to the back end unchanged.
     pub operation: Box<RawValue>,
-    /// The ticket, when the caller has one.
+    /// The ticket sent by the caller; if absent, one is minted.
     pub ticket: Option<String>,
-    /// The caller's deadline; the service's own when absent.
+    /// The caller's deadline; if absent, the deadline of the service applies.
     pub deadline_ms: Option<u64>,
 }
 
-/// Mints a ticket for a service: this node and two others, in other zones where there are any.
+/// Mints a ticket for a service. Its claim holders are this node and randomly chosen members,
+/// preferably in other zones.
 pub fn mint_ticket(shared: &Shared, settings: &ServiceSettings) -> Ticket {
     let mut holders = vec![shared.key().clone()];
     let mut zones = vec![shared.settings.zone.clone()];
@@ -50,11 +51,11 @@
     drop(fleet);
     let mut random = rand::rng();
     while holders.len() < CLAIM_HOLDERS && !candidates.is_empty() {
-        let elsewhere: Vec<usize> =
+        let other_zones: Vec<usize> =
             (0..candidates.len()).filter(|at| !zones.contains(&candidates[*at].zone)).collect();
-        let position = match elsewhere.len() {
+        let position = match other_zones.len() {
             0 => random.random_range(0..candidates.len()),
-            count => elsewhere[random.random_range(0..count)],
+            count => other_zones[random.random_range(0..count)],
         };
         let chosen = candidates.swap_remove(position);
         zones.push(chosen.zone.clone());
@@ -69,44 +70,44 @@
     }
 }
 
-/// Runs an operation once at most, and returns its ticket and result.
+/// Runs an operation at most once and returns its ticket and result.
 ///
 /// # Errors
-/// The refusal to give to the caller.
+/// The refusal to return to the caller.
 pub async fn run_operation(
     shared: &Arc<Shared>,
     service_id: &ServiceId,
     input: OperationInput,
 ) -> Result<(Ticket, Box<RawValue>), Refusal> {
-    let given = input.ticket.as_deref().map(|text| read_ticket(text, service_id)).transpose()?;
-    let elsewhere = |refusal| match &given {
+    let submitted = input.ticket.as_deref().map(|text| read_ticket(text, service_id)).transpose()?;
+    let before_claim = |refusal| match &submitted {
         None => refusal,
         Some(ticket) => not_claimed(refusal, false, ticket),
     };
     let in_flight = shared.lifecycle.enter().ok_or_else(|| stopping(shared));
-    let _in_flight = in_flight.map_err(&elsewhere)?;
-    let _slot = shared.take_slot().map_err(&elsewhere)?;
+    let _in_flight = in_flight.map_err(&before_claim)?;
+    let _slot = shared.take_slot().map_err(&before_claim)?;
     let arrived = shared.clock.now();
-    let (_, settings) = find_service(shared, service_id).map_err(&elsewhere)?;
+    let (_, settings) = find_service(shared, service_id).map_err(&before_claim)?;
     let limit_ms = input.deadline_ms.unwrap_or(settings.deadline_ms);
     let deadline = arrived.plus(Micros::from_millis(limit_ms));
-    confirm(shared, &settings, deadline).await.map_err(&elsewhere)?;
-    // Looked up again: a node that woke from a pause may have adopted a configuration just now.
-    let (state, settings) = find_service(shared, service_id).map_err(&elsewhere)?;
-    // An operation goes to a leaf from here, also where queries go through aggregators.
+    confirm(shared, &settings, deadline).await.map_err(&before_claim)?;
+    // Looked up again: a newer configuration may have been adopted while waiting for confirmation.
+    let (state, settings) = find_service(shared, service_id).map_err(&before_claim)?;
+    // Operations are sent directly to a leaf, even if queries go through aggregators.
     let state = shared.service_with_leaves(service_id).unwrap_or(state);
-    let (ticket, fresh) = match given {
+    let (ticket, minted_here) = match submitted {
         None => (mint_ticket(shared, &settings), true),
         Some(ticket) => (ticket, false),
     };
     let permit = state.admit(shared.clock, deadline).await;
     let _permit = permit.map_err(|retry_after_ms| {
         let refusal = Refusal::not_run(Reason::Overloaded, "the service has no free slot");
-        not_claimed(refusal.retry_after(retry_after_ms), fresh, &ticket)
+        not_claimed(refusal.retry_after(retry_after_ms), minted_here, &ticket)
     })?;
-    let claimant = claim(shared, &ticket, fresh, deadline).await?;
+    let claimant = claim(shared, &ticket, minted_here, deadline).await?;
     let outcome = dispatch_once(shared, &state, &ticket, input.operation, deadline).await;
-    record_everywhere(shared, &ticket, &claimant, &outcome).await;
+    record_outcome(shared, &ticket, &claimant, &outcome).await;
     outcome.map(|result| (ticket.clone(), result)).map_err(|refusal| refusal.with_ticket(ticket.to_string()))
 }
 
@@ -121,20 +122,20 @@
     Ok(ticket)
 }
 
-/// A refusal before any claim: this submission did not run. Of a ticket that others may have
-/// submitted too, no more can be said than that the outcome is not known here.
-fn not_claimed(refusal: Refusal, fresh: bool, ticket: &Ticket) -> Refusal {
-    if fresh {
+/// The refusal of a submission that claimed nothing and thus did not run. If the caller supplied the
+/// ticket, another submission of it may have run, so the outcome is unknown.
+fn not_claimed(refusal: Refusal, minted_here: bool, ticket: &Ticket) -> Refusal {
+    if minted_here {
         return refusal;
     }
     Refusal { outcome: Outcome::Unknown, ..refusal }.with_ticket(ticket.to_string())
 }
 
-/// Claims a ticket. Returns only when this node may dispatch.
+/// Claims a ticket. On success this node alone may dispatch the operation.
 async fn claim(
     shared: &Arc<Shared>,
     ticket: &Ticket,
-    fresh: bool,
+    minted_here: bool,
     deadline: Micros,
 ) -> Result<Claimant, Refusal> {
     let attempt = shared.next_claim.fetch_add(1, Ordering::Relaxed);
@@ -146,41 +147,43 @@
         match step {
             SubmissionStep::Ask(positions) => {
                 for position in positions {
-                    ask_holder(shared, ticket, &claimant, position, deadline, replies.clone());
+                    send_claim(shared, ticket, &claimant, position, deadline, replies.clone());
                 }
             }
             SubmissionStep::Wait => {}
             SubmissionStep::Dispatch => return Ok(claimant),
-            decision => return Err(refusal_for(decision, fresh, ticket)),
+            decision => return Err(refusal_for(decision, minted_here, ticket)),
         }
         let reply = receiver.recv().await;
-        let (position, reply) = reply.expect("a sender is kept here");
+        let (position, reply) = reply.expect("the channel is open while `replies` is in scope");
         step = submission.on_reply(position, reply);
     }
 }
 
-fn refusal_for(decision: SubmissionStep, fresh: bool, ticket: &Ticket) -> Refusal {
+fn refusal_for(decision: SubmissionStep, minted_here: bool, ticket: &Ticket) -> Refusal {
     let text = ticket.to_string();
     match decision {
         SubmissionStep::ClaimedElsewhere(TicketState::NotRun { reason }) => {
-            Refusal::not_run(reason, "the ticket was used, and the operation did not run").with_ticket(text)
-        }
-        SubmissionStep::ClaimedElsewhere(TicketState::Done { .. }) => {
-            Refusal::unknown(Reason::ClaimedElsewhere, "the operation ran; ask for the ticket's result")
-                .retry_after(0)
+            Refusal::not_run(reason, "the ticket was already used and the operation did not run")
                 .with_ticket(text)
         }
+        SubmissionStep::ClaimedElsewhere(TicketState::Done { .. }) => Refusal::unknown(
+            Reason::ClaimedElsewhere,
+            "the operation already ran; request the result of the ticket",
+        )
+        .retry_after(0)
+        .with_ticket(text),
         SubmissionStep::ClaimedElsewhere(_) => {
-            Refusal::unknown(Reason::ClaimedElsewhere, "another submission of this ticket is first")
+            Refusal::unknown(Reason::ClaimedElsewhere, "another submission of this ticket holds the claim")
                 .retry_after(OUTCOME_RETRY_MS)
                 .with_ticket(text)
         }
         SubmissionStep::NeverRuns => {
-            let message = "submissions of this ticket met, and none got a majority; use a new ticket";
+            let message = "concurrent submissions of this ticket left none with a majority; use a new ticket";
             Refusal::not_run(Reason::HoldersLost, message).with_ticket(text)
         }
         SubmissionStep::ExpiredNotRun => {
-            Refusal::not_run(Reason::TicketExpired, "the ticket expired unused").with_ticket(text)
+            Refusal::not_run(Reason::TicketExpired, "the ticket expired before it was used").with_ticket(text)
         }
         SubmissionStep::ExpiredUnknown => {
             Refusal::unknown(Reason::TicketExpired, "the ticket expired").with_ticket(text)
@@ -188,12 +191,12 @@
         _ => {
             let message = "too few of the ticket's holders answered";
             let refusal = Refusal::not_run(Reason::HoldersLost, message).retry_after(OUTCOME_RETRY_MS);
-            not_claimed(refusal, fresh, ticket)
+            not_claimed(refusal, minted_here, ticket)
         }
     }
 }
 
-fn ask_holder(
+fn send_claim(
     shared: &Arc<Shared>,
     ticket: &Ticket,
     claimant: &Claimant,
@@ -205,22 +208,23 @@
     let holder = ticket.holders[position].clone();
     let shared = shared.clone();
     tokio::spawn(async move {
-        let until = shared.clock.now().plus(HOLDER_PATIENCE).min(deadline);
+        let until = shared.clock.now().plus(HOLDER_TIMEOUT).min(deadline);
         let reply = if holder == *shared.key() {
             HolderReply::Answer(shared.claims.lock().claim(&request, shared.clock.wall()))
         } else {
-            match ask(&shared, &holder, PeerRequest::Claim(request), until).await {
+            match request_holder(&shared, &holder, PeerRequest::Claim(request), until).await {
                 Some(PeerResponse::Claim(answer)) => HolderReply::Answer(answer),
                 _ => HolderReply::Lost,
             }
         };
-        // A submission that is decided wants no more replies.
+        // The receiver is dropped once the submission is decided.
         let _ = replies.send((position, reply));
     });
 }
 
-/// Sends a request to one life of a node; nothing when that life is over or does not answer.
-async fn ask(
+/// Sends a request to one incarnation of a node; `None` if that incarnation has ended or does not
+/// answer.
+async fn request_holder(
     shared: &Arc<Shared>,
     holder: &InstanceKey,
     request: PeerRequest,
@@ -239,8 +243,8 @@
     }
 }
 
-/// Sends the operation to one back end, once. Another back end is tried only when the one before
-/// cannot have run it.
+/// Sends the operation to one back end. Another back end is tried only if the previous one cannot
+/// have run the operation.
 async fn dispatch_once(
     shared: &Arc<Shared>,
     state: &Arc<ServiceState>,
@@ -248,11 +252,14 @@
     operation: Box<RawValue>,
     deadline: Micros,
 ) -> Result<Box<RawValue>, Refusal> {
-    let mut last = Refusal::not_run(Reason::NoReplica, "no back end takes operations");
+    let mut last = Refusal::not_run(Reason::NoReplica, "no back end accepts operations");
     for leaf in operation_leaves(shared, state) {
         let now = shared.clock.now();
         if now >= deadline {
-            return Err(Refusal::not_run(Reason::DeadlineExceeded, "the deadline passed before dispatch"));
+            return Err(Refusal::not_run(
+                Reason::DeadlineExceeded,
+                "the deadline passed before the operation was dispatched",
+            ));
         }
         let Some(client) = shared.known_leaf_client(&leaf) else {
             continue;
@@ -270,11 +277,11 @@
                 }
                 last = Refusal::not_run(Reason::BackEndRefused, format!("{leaf} refused: {refusal:?}"));
             }
-            Err(OperationFailure::NoWord) if !shared.mechanisms.unknown_outcomes => {
-                last = Refusal::not_run(Reason::BackEndFailed, format!("{leaf} gave no word"));
+            Err(OperationFailure::NoResponse) if !shared.mechanisms.unknown_outcomes => {
+                last = Refusal::not_run(Reason::BackEndFailed, format!("{leaf} did not respond"));
             }
-            Err(OperationFailure::NoWord) => {
-                let message = format!("{leaf} was sent the operation and gave no word of it");
+            Err(OperationFailure::NoResponse) => {
+                let message = format!("{leaf} was sent the operation but did not report an outcome");
                 return Err(Refusal::unknown(Reason::BackEndFailed, message));
             }
         }
@@ -282,7 +289,7 @@
     Err(last.retry_after(OUTCOME_RETRY_MS))
 }
 
-/// The leaves that can take an operation, best first: those of the first shard.
+/// The leaves of the first shard that are not leaving: usable ones first, then by cost.
 fn operation_leaves(shared: &Shared, state: &ServiceState) -> Vec<LeafId> {
     let now = shared.clock.now();
     let routing = state.direct.lock();
@@ -304,8 +311,8 @@
     leaves.collect()
 }
 
-/// Tells the holders what became of the operation, so that any node can answer for the ticket.
-async fn record_everywhere(
+/// Records the outcome with the claim holders, so that any node can report the state of the ticket.
+async fn record_outcome(
     shared: &Arc<Shared>,
     ticket: &Ticket,
     claimant: &Claimant,
@@ -316,8 +323,8 @@
         Err(refusal) if refusal.outcome == Outcome::NotRun => TicketState::NotRun { reason: refusal.reason },
         Err(refusal) => TicketState::Unknown { reason: refusal.reason },
     };
-    let until = shared.clock.now().plus(RECORD_PATIENCE);
-    let mut telling = tokio::task::JoinSet::new();
+    let until = shared.clock.now().plus(RECORD_TIMEOUT);
+    let mut recording = tokio::task::JoinSet::new();
     for holder in &ticket.holders {
         if holder == shared.key() {
             shared.claims.lock().record(ticket.id, claimant, state.clone());
@@ -329,40 +336,40 @@
             claimant: claimant.clone(),
             state: state.clone(),
         };
-        telling.spawn(async move { ask(&shared, &holder, request, until).await });
+        recording.spawn(async move { request_holder(&shared, &holder, request, until).await });
     }
-    // The caller's answer does not wait for holders: one of them is enough, and this node is
-    // often one. The rest goes on by itself, and a planned stop waits for it.
-    let in_flight = shared.lifecycle.hold();
+    // Remote holders are updated in the background, without delaying the answer; a planned stop
+    // waits for the updates.
+    let in_flight = shared.lifecycle.track();
     tokio::spawn(async move {
-        telling.join_all().await;
+        recording.join_all().await;
         drop(in_flight);
     });
 }
 
-/// What became of a ticket, by the word of its holders.
+/// Determines the state of a ticket from the answers of its claim holders.
 pub async fn ticket_state(shared: &Arc<Shared>, ticket: &Ticket) -> Result<Option<TicketState>, Refusal> {
     let now = shared.clock.now();
-    let mut asking = tokio::task::JoinSet::new();
+    let mut requests = tokio::task::JoinSet::new();
     for holder in ticket.holders.clone() {
         let (shared, ticket) = (shared.clone(), ticket.clone());
-        asking.spawn(async move {
+        requests.spawn(async move {
             if holder == *shared.key() {
                 return Some(shared.claims.lock().lookup(&ticket, shared.clock.wall()));
             }
             let request = PeerRequest::QuestionTicket { ticket };
-            match ask(&shared, &holder, request, now.plus(HOLDER_PATIENCE)).await {
+            match request_holder(&shared, &holder, request, now.plus(HOLDER_TIMEOUT)).await {
                 Some(PeerResponse::Claim(answer)) => Some(answer),
                 _ => None,
             }
         });
     }
-    let answers: Vec<ClaimAnswer> = asking.join_all().await.into_iter().flatten().collect();
-    combine(ticket, &answers)
+    let answers: Vec<ClaimAnswer> = requests.join_all().await.into_iter().flatten().collect();
+    combine_answers(ticket, &answers)
 }
 
-/// One word out of the holders' answers. `Ok(None)`: nobody has claimed it yet.
-fn combine(ticket: &Ticket, answers: &[ClaimAnswer]) -> Result<Option<TicketState>, Refusal> {
+/// Merges the holders' answers into one state; `Ok(None)` if the ticket is unclaimed.
+fn combine_answers(ticket: &Ticket, answers: &[ClaimAnswer]) -> Result<Option<TicketState>, Refusal> {
     let states = answers.iter().filter_map(|answer| match answer {
         ClaimAnswer::HeldBy { state, .. } => Some(state),
         _ => None,
--- a/crates/sablebay-node/tests/plans.rs
+++ b/crates/sablebay-node/tests/plans.rs
@@ -1,4 +1,5 @@
-//! Plans follow the configuration in force and never go back, however many threads look at once.
+//! Guards against a plan being replaced by one of an older configuration revision under concurrent
+//! access.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -20,9 +21,8 @@
     Arc::new(Configuration::parse("test", &text).unwrap())
 }
 
-/// The revisions that plans are seen under by one thread, as long as `running`; whether one was lower
-/// than the one before.
-fn plans_go_back(shared: &Shared, running: &AtomicBool) -> bool {
+/// Reads plans while `running` is set; returns whether a plan's revision was lower than the previous one.
+fn observes_older_plan(shared: &Shared, running: &AtomicBool) -> bool {
     let mut last = 0;
     while running.load(Ordering::Relaxed) {
         let Some(state) = shared.service(&ServiceId::new("s")) else { continue };
@@ -44,7 +44,7 @@
     let readers: Vec<_> = (0..THREADS)
         .map(|_| {
             let (shared, running) = (node.shared.clone(), running.clone());
-            tokio::task::spawn_blocking(move || plans_go_back(&shared, &running))
+            tokio::task::spawn_blocking(move || observes_older_plan(&shared, &running))
         })
         .collect();
     for configuration in configurations {
@@ -53,6 +53,6 @@
     }
     running.store(false, Ordering::Relaxed);
     for reader in readers {
-        assert!(!reader.await.unwrap(), "a plan went back");
+        assert!(!reader.await.unwrap(), "a plan was replaced by an older one");
     }
 }
