--- a/crates/sablebay-gateway/src/call.rs
+++ b/crates/sablebay-gateway/src/call.rs
@@ -172,7 +172,12 @@
         CallResult::Success(_) | CallResult::Failure(CallFailure::Failed, _) => {
             let quarantine = &context.node.quarantine;
             if !quarantine.is_empty() {
-                quarantine.survived(&context.digest_of(request), service, started_at, context.clock().now());
+                quarantine.record_success(
+                    &context.digest_of(request),
+                    service,
+                    started_at,
+                    context.clock().now(),
+                );
             }
         }
         CallResult::Failure(CallFailure::Broken, _) => {
@@ -209,7 +214,7 @@
         log::warn!(request = id, digest = digest.to_string().as_str(), route = request.route.as_str(), replica = run.replica.as_str(), ran_for_ms = run.ended_at.since(run.started_at).as_millis(); "gateway: a back end ended while it had this request.");
     }
     context.dispatch.lock().table.note_ended([(run.replica.clone(), run.known_at)], now);
-    context.node.quarantine.crashed(digest, &request.route, run, now);
+    context.node.quarantine.record_crash(digest, &request.route, run, now);
 }
 
 /// Tells the replica table how a call went.
--- a/crates/sablebay-gateway/src/confirmation.rs
+++ b/crates/sablebay-gateway/src/confirmation.rs
@@ -62,7 +62,7 @@
     /// Looks whether the machine was suspended. Connections that rested meanwhile are closed: their other ends have
     /// forgotten them, or have passed their addresses on.
     pub fn look_for_suspension(&self) {
-        let Some(slept) = self.node.suspension.look(&self.clock()) else {
+        let Some(slept) = self.node.suspension.detect(&self.clock()) else {
             return;
         };
         log::warn!(suspended_ms = slept.as_millis(), catalogue_age_ms = self.catalogue_age().as_millis(); "node: the machine was suspended; nothing is sent until the catalogue is confirmed.");
@@ -82,8 +82,8 @@
     /// waited here while the machine was suspended says nothing.
     pub fn note_contact(&self, asked_at: Micros, at: Micros) {
         self.look_for_suspension();
-        if !self.node.suspension.woke_since(asked_at) {
-            self.node.catalogue.hear(at);
+        if !self.node.suspension.resumed_since(asked_at) {
+            self.node.catalogue.record_contact(at);
         }
     }
 
@@ -99,7 +99,7 @@
     pub fn confirm_configuration(&self, asked_at: Micros, bound: Micros) {
         self.look_for_suspension();
         let newest = self.node.catalogue.read(CatalogueView::has_newest_configuration);
-        if newest && !self.node.suspension.woke_since(asked_at) {
+        if newest && !self.node.suspension.resumed_since(asked_at) {
             self.node.catalogue.confirm(bound);
         }
     }
--- a/crates/sablebay-gateway/src/delegated.rs
+++ b/crates/sablebay-gateway/src/delegated.rs
@@ -9,7 +9,7 @@
 use sablebay_catalogue::{Gather, ReplicaId, ServiceName, ZoneNotice};
 use sablebay_dispatch::{CallFailure, CallKey, CallNumber, DelegatedShards, GatheredShards, RECORD_BYTES};
 use sablebay_model::Micros;
-use sablebay_node::{Lane, PeerFailure, PeerNews, PendingAnswer};
+use sablebay_node::{Lane, PeerFailure, PeerReply, PendingAnswer};
 use sablebay_protocol::peer::{GatheredPart, PartialGather, PeerRequest, PeerResponse};
 
 use crate::call::{CallEvent, CallNews, ForwardedRequest};
@@ -101,8 +101,8 @@
         let until = context.clock().instant(delegation.times.deadline);
         let news = tokio::time::timeout_at(until, answer.next()).await;
         let (response, last) = match news {
-            Ok(Some(PeerNews::Progress(response))) => (response, false),
-            Ok(Some(PeerNews::Answer(response))) => (response, true),
+            Ok(Some(PeerReply::Progress(response))) => (response, false),
+            Ok(Some(PeerReply::Answer(response))) => (response, true),
             Ok(None) => return Err(CallFailure::Broken),
             Err(_) => return Err(CallFailure::TimedOut),
         };
@@ -114,7 +114,7 @@
         note_heard(context, delegation, &part);
         if let Some(notice) = &part.quarantine {
             let gatherer = delegation.delegated.gatherer.as_str();
-            context.node.quarantine.hear(
+            context.node.quarantine.merge_notices(
                 gatherer,
                 std::slice::from_ref(notice),
                 false,
--- a/crates/sablebay-gateway/src/document_fetch.rs
+++ b/crates/sablebay-gateway/src/document_fetch.rs
@@ -87,7 +87,7 @@
         let now = context.clock().now();
         let documents = &context.node.catalogue.documents;
         documents.expire(now);
-        documents.begin(digest, now);
+        documents.begin_fetch(digest, now);
         let wanted = documents.missing(digest).into_iter().collect();
         let sources = source.into_iter().chain([offerer]).collect();
         let (asked, calls) = (BTreeSet::new(), JoinSet::new());
@@ -100,7 +100,7 @@
         loop {
             self.ask();
             if self.calls.is_empty() {
-                return self.context.node.catalogue.documents.is_whole(self.digest);
+                return self.context.node.catalogue.documents.is_complete(self.digest);
             }
             match tokio::time::timeout(STALL, self.calls.join_next()).await {
                 Ok(Some(Ok(answer))) => {
@@ -156,7 +156,7 @@
         };
         self.asked.remove(&number);
         self.wanted.remove(&number);
-        documents.put(self.digest, number, content)
+        documents.insert_chunk(self.digest, number, content)
     }
 
     /// Turns to the next source, if there is one, for what the present one was asked for as well.
--- a/crates/sablebay-gateway/src/gateway.rs
+++ b/crates/sablebay-gateway/src/gateway.rs
@@ -106,7 +106,7 @@
         if node.shared.gatherer.set(gatherer).is_err() {
             log::warn!("gateway: another gateway of this node gathers for other nodes already.");
         }
-        if node.shared.account_keeper.set(Arc::new(GatewayAccounts::new(&context))).is_err() {
+        if node.shared.account_owner.set(Arc::new(GatewayAccounts::new(&context))).is_err() {
             log::warn!("gateway: another gateway of this node keeps accounts already.");
         }
         let traffic = node.shared.peers.traffic();
--- a/crates/sablebay-gateway/src/gatherer.rs
+++ b/crates/sablebay-gateway/src/gatherer.rs
@@ -108,7 +108,7 @@
         gatherer_timeout: Micros::MAX,
     };
     if let Some(notice) = &partial.quarantine {
-        context.node.quarantine.hear(from.node.as_str(), std::slice::from_ref(notice), false, now);
+        context.node.quarantine.merge_notices(from.node.as_str(), std::slice::from_ref(notice), false, now);
     }
     let crowded = crowded(context, &targets, now);
     let spares = spares(&partial, &targets);
--- a/crates/sablebay-gateway/src/peer_catalogue.rs
+++ b/crates/sablebay-gateway/src/peer_catalogue.rs
@@ -147,7 +147,7 @@
     let (size, position) = fleet.size(Micros::from(context.clock().running_for()));
     drop(fleet);
     if size.running_for >= SETTLING_TIME {
-        context.node.catalogue.tell_nodes_met(number_to_tell);
+        context.node.catalogue.set_nodes_met(number_to_tell);
     }
     note_fleet_part(context, part);
     let shared = size.sharing(context.settings.load().assumed_nodes as usize);
--- a/crates/sablebay-gateway/src/quarantine.rs
+++ b/crates/sablebay-gateway/src/quarantine.rs
@@ -54,7 +54,7 @@
             return None;
         }
         let now = self.clock().now();
-        match self.node.quarantine.standing(&self.digest_of(request), now) {
+        match self.node.quarantine.status(&self.digest_of(request), now) {
             QuarantineStatus::Quarantined { until } => Some(until.since(now)),
             _ => None,
         }
@@ -73,7 +73,7 @@
         let quarantine = &self.node.quarantine;
         self.mechanisms.quarantine
             && !quarantine.is_empty()
-            && quarantine.standing(&self.digest_of(request), self.clock().now()) != QuarantineStatus::Clear
+            && quarantine.status(&self.digest_of(request), self.clock().now()) != QuarantineStatus::Clear
     }
 
     /// Whether a run of a request may begin at a service. Every first call, hedge, retry and gathered part
@@ -106,7 +106,7 @@
                 compare_at = Instant::now() + COMPARE_PERIOD;
                 let now = context.clock().now();
                 context.dispatch.lock().table.expire_ended(now);
-                context.metrics.held_back.set(context.node.quarantine.held(now) as i64);
+                context.metrics.held_back.set(context.node.quarantine.quarantined_count(now) as i64);
                 tell_news(&context);
                 let peer = {
                     let mut fleet = context.fleet.lock();
@@ -125,7 +125,7 @@
 }
 
 fn tell_news<C: CallerProtocol, B: BackendProtocol>(context: &Arc<Context<C, B>>) {
-    let news = context.node.quarantine.take_news(context.clock().now());
+    let news = context.node.quarantine.take_updates(context.clock().now());
     if news.is_empty() {
         return;
     }
@@ -175,7 +175,7 @@
     let until = Instant::now() + PATIENCE;
     let answer = context.node.peers.request(address, Lane::Control, request, until).await;
     if let Ok(PeerResponse::Quarantine(notices)) = answer {
-        context.node.quarantine.hear("a peer", &notices, false, context.clock().now());
+        context.node.quarantine.merge_notices("a peer", &notices, false, context.clock().now());
     }
 }
 
@@ -188,7 +188,7 @@
 
 impl<C: CallerProtocol, B: BackendProtocol> Drop for Asking<C, B> {
     fn drop(&mut self) {
-        self.context.node.quarantine.stop_asking(&self.digest, self.run);
+        self.context.node.quarantine.end_lease_request(&self.digest, self.run);
     }
 }
 
@@ -204,7 +204,7 @@
         let Asking { context, digest, run } = &self.asking;
         let quarantine = &context.node.quarantine;
         let Some(address) = self.keeper else {
-            quarantine.over(digest, *run);
+            quarantine.release_lease(digest, *run);
             return;
         };
         let Some(notice) = quarantine.notice(digest, context.clock().now()) else {
@@ -236,7 +236,7 @@
     digest: RequestDigest,
     wanted: LeaseRequest,
 ) -> LeaseAnswer<C, B> {
-    if !context.node.quarantine.may_ask(&digest, wanted, context.clock().now()) {
+    if !context.node.quarantine.begin_lease_request(&digest, wanted, context.clock().now()) {
         return LeaseAnswer::Taken;
     }
     let asking = Asking { context: context.clone(), digest, run: wanted.run };
@@ -259,7 +259,7 @@
         let answer = context.node.peers.request(address, Lane::Control, request, until).await;
         if let Ok(PeerResponse::QuarantineLease { granted, notice }) = answer {
             let known: Vec<QuarantineNotice> = notice.into_iter().collect();
-            context.node.quarantine.hear("a keeper", &known, false, context.clock().now());
+            context.node.quarantine.merge_notices("a keeper", &known, false, context.clock().now());
             if granted {
                 return LeaseAnswer::Granted(RunLease { asking, keeper });
             }
--- a/crates/sablebay-gateway/src/quota.rs
+++ b/crates/sablebay-gateway/src/quota.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use sablebay_model::{Micros, Reason, Refusal};
-use sablebay_node::{AccountKeeper, Lane};
+use sablebay_node::{AccountOwner, Lane};
 use sablebay_protocol::peer::{PeerRequest, PeerResponse};
 use sablebay_tenants::quota::{
     AccountEvent, Arrival, QuotaGrant, QuotaRequest, QuotaRule, allowance_by_uptime, is_starting,
@@ -374,7 +374,7 @@
     }
 }
 
-impl<C: CallerProtocol, B: BackendProtocol> AccountKeeper for GatewayAccounts<C, B> {
+impl<C: CallerProtocol, B: BackendProtocol> AccountOwner for GatewayAccounts<C, B> {
     fn answer(&self, question: &QuotaRequest) -> PeerResponse {
         match self.context.upgrade() {
             Some(context) => PeerResponse::Quota(context.lend(question)),
--- a/crates/sablebay-node/src/catalogue_answer.rs
+++ b/crates/sablebay-node/src/catalogue_answer.rs
@@ -6,7 +6,7 @@
 use sablebay_model::{InstanceKey, Micros};
 use sablebay_protocol::peer::AskerStanding;
 
-use crate::catalogue_store::LargeNews;
+use crate::catalogue_store::LargeUpdate;
 use crate::shared::Shared;
 
 /// The longest that a question is held.
@@ -14,7 +14,7 @@
 
 /// What a peer asks for.
 #[derive(Clone, Copy, Debug)]
-pub struct CatalogueQuestion {
+pub struct CatalogueRequest {
     /// The version of the configuration that it has, or is fetching; 0 when none.
     pub version: u64,
     /// The number of the revision up to which it knows the replicas; 0 when none.
@@ -27,7 +27,7 @@
     pub takes_documents: bool,
 }
 
-impl CatalogueQuestion {
+impl CatalogueRequest {
     /// Whether this node knows what the asker has yet to learn: it is answered at once.
     fn is_taught(&self, view: &CatalogueView, now: Micros) -> bool {
         self.standing.is_some_and(|standing| standing.learns_from.is_some()) && view.has_caught_up(now)
@@ -50,11 +50,11 @@
 pub async fn answer_catalogue(
     shared: &Shared,
     from: &InstanceKey,
-    question: CatalogueQuestion,
+    question: CatalogueRequest,
 ) -> CatalogueSnapshot {
-    let CatalogueQuestion { version, wait, takes_documents, .. } = question;
+    let CatalogueRequest { version, wait, takes_documents, .. } = question;
     let asked_at = shared.clock.now();
-    shared.catalogue.hear_of(version, asked_at);
+    shared.catalogue.note_version(version, asked_at);
     let (peer, is_taught) =
         shared.catalogue.read(|view| (question.position(view, asked_at), question.is_taught(view, asked_at)));
     if !is_taught {
@@ -66,12 +66,12 @@
     if !takes_documents {
         return shared.catalogue.snapshot(version, peer, held, now);
     }
-    let (answer, large) = shared.catalogue.news(version, peer, held, now);
+    let (answer, large) = shared.catalogue.snapshot_or_document(version, peer, held, now);
     CatalogueSnapshot { offer: large.map(|large| offer_to(shared, from, large)), ..answer }
 }
 
 /// Tells a peer where it gets a document: from here, or from a peer beside it that asked before.
-fn offer_to(shared: &Shared, from: &InstanceKey, large: LargeNews) -> DocumentOffer {
+fn offer_to(shared: &Shared, from: &InstanceKey, large: LargeUpdate) -> DocumentOffer {
     let asker = shared.fleet.lock().members().get(&from.node).map(|member| member.info.clone());
     let source = asker.and_then(|asker| {
         let is_own_zone = asker.zone == shared.info.zone;
--- a/crates/sablebay-node/src/catalogue_store.rs
+++ b/crates/sablebay-node/src/catalogue_store.rs
@@ -24,7 +24,7 @@
 
 /// What is too much for one answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LargeNews {
+pub struct LargeUpdate {
     /// The document that holds it.
     pub digest: DocumentDigest,
     /// The version of the configuration that it leads to.
@@ -38,7 +38,7 @@
 struct MadeDocument {
     /// The version that it leads on from.
     base: u64,
-    news: LargeNews,
+    news: LargeUpdate,
     made_at: Micros,
 }
 
@@ -100,7 +100,7 @@
     /// Notes that somebody said at `at` that there is nothing newer. Whoever reads the source goes by this, and so does
     /// a node that was suspended: an answer that was on its way for long is a sign of life all the same. It bounds
     /// nothing.
-    pub fn hear(&self, at: Micros) {
+    pub fn record_contact(&self, at: Micros) {
         self.last_contact.fetch_max(at.0, Ordering::AcqRel);
     }
 
@@ -131,12 +131,12 @@
     }
 
     /// Sets the number of nodes that peers are told of.
-    pub fn tell_nodes_met(&self, nodes: Option<usize>) {
+    pub fn set_nodes_met(&self, nodes: Option<usize>) {
         self.nodes_met.store(nodes.unwrap_or(0) as u64, Ordering::Relaxed);
     }
 
     /// Notes that a peer has a version of the configuration.
-    pub fn hear_of(&self, version: u64, now: Micros) {
+    pub fn note_version(&self, version: u64, now: Micros) {
         self.view.lock().note_version(version, now);
     }
 
@@ -162,13 +162,13 @@
 
     /// What a peer that has these revisions is missing, as far as it is little, and where there is more. It asked `held`
     /// before `now`.
-    pub fn news(
+    pub fn snapshot_or_document(
         &self,
         version: u64,
         peer: PeerPosition,
         held: Micros,
         now: Micros,
-    ) -> (CatalogueSnapshot, Option<LargeNews>) {
+    ) -> (CatalogueSnapshot, Option<LargeUpdate>) {
         let mut large = None;
         let answer = self.with_ages(held, now, || {
             let view = self.view.lock();
@@ -186,7 +186,7 @@
         version: u64,
         peer: PeerPosition,
         now: Micros,
-    ) -> (CatalogueSnapshot, Option<LargeNews>) {
+    ) -> (CatalogueSnapshot, Option<LargeUpdate>) {
         let lists_replicas = view.lists_all_replicas(peer) && view.known_replicas() >= LARGE_LISTING;
         match view.configuration_update(version) {
             ConfigurationUpdate::None if !lists_replicas => (view.replica_update(peer, now), None),
@@ -210,11 +210,13 @@
         news: ConfigurationUpdate,
         lists_replicas: bool,
         now: Micros,
-    ) -> Option<LargeNews> {
+    ) -> Option<LargeUpdate> {
         let serves = |made: &&MadeDocument| {
             let same = made.base == version && made.news.lists_replicas == lists_replicas;
             let fresh = !lists_replicas || now.since(made.made_at) < LISTING_LIFETIME;
-            same && fresh && made.news.version == view.version() && self.documents.is_whole(made.news.digest)
+            same && fresh
+                && made.news.version == view.version()
+                && self.documents.is_complete(made.news.digest)
         };
         let mut made = self.made.lock();
         if let Some(made) = made.iter().find(serves) {
@@ -233,8 +235,8 @@
                 CatalogueSnapshot { configuration, ..listing }
             }
         };
-        let digest = self.documents.hold(content.to_document()?, now);
-        let news = LargeNews { digest, version: view.version(), lists_replicas };
+        let digest = self.documents.insert(content.to_document()?, now);
+        let news = LargeUpdate { digest, version: view.version(), lists_replicas };
         made.push(MadeDocument { base: version, news, made_at: now });
         if made.len() > REMEMBERED_DOCUMENTS {
             made.remove(0);
--- a/crates/sablebay-node/src/document_store.rs
+++ b/crates/sablebay-node/src/document_store.rs
@@ -51,7 +51,7 @@
 
 impl DocumentStore {
     /// Keeps a whole document.
-    pub fn hold(&self, content: Vec<u8>, now: Micros) -> DocumentDigest {
+    pub fn insert(&self, content: Vec<u8>, now: Micros) -> DocumentDigest {
         let digest = DocumentDigest::of(&content);
         let content = Bytes::from(content);
         let slice = |from: usize| Some(content.slice(from..content.len().min(from + CHUNK_BYTES)));
@@ -67,7 +67,7 @@
     }
 
     /// Makes room for a document that is about to be fetched. What is here of it already stays.
-    pub fn begin(&self, digest: DocumentDigest, now: Micros) {
+    pub fn begin_fetch(&self, digest: DocumentDigest, now: Micros) {
         let mut documents = self.documents.lock();
         let empty = || Document::new(vec![None; digest.chunks()], now);
         documents.entry(digest).or_insert_with(empty).used_at = now;
@@ -83,7 +83,7 @@
     }
 
     /// Keeps a chunk that arrived. Returns whether it was missing.
-    pub fn put(&self, digest: DocumentDigest, number: usize, content: Vec<u8>) -> bool {
+    pub fn insert_chunk(&self, digest: DocumentDigest, number: usize, content: Vec<u8>) -> bool {
         let mut documents = self.documents.lock();
         let chunk = documents.get_mut(&digest).and_then(|document| document.chunks.get_mut(number));
         let Some(chunk) = chunk.filter(|chunk| chunk.is_none()) else {
@@ -96,7 +96,7 @@
     }
 
     /// Whether a document is here whole.
-    pub fn is_whole(&self, digest: DocumentDigest) -> bool {
+    pub fn is_complete(&self, digest: DocumentDigest) -> bool {
         let documents = self.documents.lock();
         documents.get(&digest).is_some_and(|document| document.chunks.iter().all(Option::is_some))
     }
@@ -114,7 +114,7 @@
     }
 
     /// Forgets a document.
-    pub fn forget(&self, digest: DocumentDigest) {
+    pub fn remove(&self, digest: DocumentDigest) {
         self.documents.lock().remove(&digest);
     }
 
--- a/crates/sablebay-node/src/node.rs
+++ b/crates/sablebay-node/src/node.rs
@@ -21,7 +21,7 @@
 use crate::admin_api::{admin_routes, start_draining};
 use crate::caller_api::caller_routes;
 use crate::caller_counts::CallerCounts;
-use crate::catalogue_answer::{CatalogueQuestion, answer_catalogue};
+use crate::catalogue_answer::{CatalogueRequest, answer_catalogue};
 use crate::catalogue_store::CatalogueStore;
 use crate::clock::Clock;
 use crate::cluster_view::ClusterView;
@@ -36,7 +36,8 @@
 use crate::metrics::Metrics;
 use crate::partial_search::partial_search;
 use crate::peers::{
-    PeerContext, PeerCounters, PeerTransport, ProgressSender, RequestHandler, large_answer_room, run_listener,
+    PeerContext, PeerCounters, PeerTransport, ProgressSender, RequestHandler, large_answer_permits,
+    run_listener,
 };
 use crate::platform::run_platform_reader;
 use crate::quarantine_store::QuarantineStore;
@@ -220,7 +221,7 @@
         incoming,
         counters: PeerCounters::default(),
         traffic: TrafficLedger::default(),
-        large_answers: large_answer_room(),
+        large_answers: large_answer_permits(),
     });
     let mut fleet_settings = FleetSettings::with_probe_period(Micros::from_millis(settings.probe_period_ms));
     fleet_settings.mechanisms = mechanisms.fleet;
@@ -252,7 +253,7 @@
         quarantine: QuarantineStore::default(),
         gatherer: OnceLock::new(),
         fleet_part: Mutex::new(None),
-        account_keeper: OnceLock::new(),
+        account_owner: OnceLock::new(),
         next_call: Arc::new(AtomicU64::new(1)),
         next_claim: AtomicU64::new(1),
         client_counters: Arc::default(),
@@ -299,7 +300,7 @@
                 PeerResponse::Claim(answer)
             }
             PeerRequest::Catalogue { version, replicas_at, wait_ms, takes_documents, standing } => {
-                let question = CatalogueQuestion {
+                let question = CatalogueRequest {
                     version,
                     number: replicas_at,
                     standing,
@@ -316,24 +317,29 @@
             }
             PeerRequest::Quarantine { notices, to_everyone, compare } => {
                 let now = shared.clock.now();
-                shared.quarantine.hear(from.node.as_str(), &notices, to_everyone, now);
+                shared.quarantine.merge_notices(from.node.as_str(), &notices, to_everyone, now);
                 let known = if compare { shared.quarantine.notices(now) } else { Vec::new() };
                 PeerResponse::Quarantine(known)
             }
             PeerRequest::QuarantineLease { notice, wanted } => {
                 let now = shared.clock.now();
                 let quarantine = &shared.quarantine;
-                quarantine.hear(from.node.as_str(), std::slice::from_ref(&notice), false, now);
+                quarantine.merge_notices(from.node.as_str(), std::slice::from_ref(&notice), false, now);
                 let granted = quarantine.grant(&notice.digest, wanted, now);
                 PeerResponse::QuarantineLease { granted, notice: quarantine.notice(&notice.digest, now) }
             }
             PeerRequest::QuarantineLeaseEnd { notice, run } => {
                 let now = shared.clock.now();
-                shared.quarantine.hear(from.node.as_str(), std::slice::from_ref(&notice), false, now);
-                shared.quarantine.over(&notice.digest, run);
+                shared.quarantine.merge_notices(
+                    from.node.as_str(),
+                    std::slice::from_ref(&notice),
+                    false,
+                    now,
+                );
+                shared.quarantine.release_lease(&notice.digest, run);
                 PeerResponse::Quarantine(Vec::new())
             }
-            PeerRequest::Quota(question) => match shared.account_keeper.get() {
+            PeerRequest::Quota(question) => match shared.account_owner.get() {
                 Some(keeper) => keeper.answer(&question),
                 None => PeerResponse::Refused(Refusal::not_run(
                     Reason::UnknownService,
--- a/crates/sablebay-node/src/peers.rs
+++ b/crates/sablebay-node/src/peers.rs
@@ -26,7 +26,7 @@
 
 use connection::{Connection, Outgoing, open_connection};
 
-pub use connection::{PeerNews, PendingAnswer};
+pub use connection::{PeerReply, PendingAnswer};
 
 pub use listener::run_listener;
 
@@ -122,7 +122,7 @@
 const LARGE_ANSWERS_AT_ONCE: usize = 4;
 
 /// The room for large answers of one node.
-pub fn large_answer_room() -> Arc<Semaphore> {
+pub fn large_answer_permits() -> Arc<Semaphore> {
     Arc::new(Semaphore::new(LARGE_ANSWERS_AT_ONCE))
 }
 
@@ -206,11 +206,11 @@
         let mut answer = self.open_request(address, lane, request, until).await?;
         loop {
             match tokio::time::timeout_at(until, answer.next()).await {
-                Ok(Some(PeerNews::Progress(_))) => {}
-                Ok(Some(PeerNews::Answer(PeerResponse::Refused(refusal)))) => {
+                Ok(Some(PeerReply::Progress(_))) => {}
+                Ok(Some(PeerReply::Answer(PeerResponse::Refused(refusal)))) => {
                     return Err(PeerFailure::Refused(refusal));
                 }
-                Ok(Some(PeerNews::Answer(response))) => return Ok(response),
+                Ok(Some(PeerReply::Answer(response))) => return Ok(response),
                 Ok(None) => return Err(PeerFailure::Broken),
                 Err(_) => return Err(PeerFailure::TimedOut),
             }
--- a/crates/sablebay-node/src/peers/connection.rs
+++ b/crates/sablebay-node/src/peers/connection.rs
@@ -40,14 +40,14 @@
 
 /// What a peer says to a request.
 #[derive(Debug)]
-pub enum PeerNews {
+pub enum PeerReply {
     /// A part of the answer; more will come.
     Progress(PeerResponse),
     /// The answer, or the last part of it.
     Answer(PeerResponse),
 }
 
-type Pending = Arc<Mutex<HashMap<u64, mpsc::UnboundedSender<PeerNews>>>>;
+type Pending = Arc<Mutex<HashMap<u64, mpsc::UnboundedSender<PeerReply>>>>;
 
 /// The sending side of a connection.
 pub struct Connection {
@@ -60,14 +60,14 @@
 /// The answer to a request; cancels the request when it is dropped before the answer came.
 pub struct PendingAnswer {
     number: u64,
-    receiver: mpsc::UnboundedReceiver<PeerNews>,
+    receiver: mpsc::UnboundedReceiver<PeerReply>,
     pending: Pending,
     queue: mpsc::Sender<Outgoing>,
 }
 
 impl PendingAnswer {
     /// What the peer says next; nothing after the answer, and when the connection broke.
-    pub async fn next(&mut self) -> Option<PeerNews> {
+    pub async fn next(&mut self) -> Option<PeerReply> {
         self.receiver.recv().await
     }
 }
@@ -206,12 +206,12 @@
             PeerMessage::Response { number, response } => {
                 if let Some(sender) = connection.pending.lock().remove(&number) {
                     // The asker may have given up between the two lines.
-                    let _ = sender.send(PeerNews::Answer(response));
+                    let _ = sender.send(PeerReply::Answer(response));
                 }
             }
             PeerMessage::Progress { number, response } => {
                 if let Some(sender) = connection.pending.lock().get(&number) {
-                    let _ = sender.send(PeerNews::Progress(response));
+                    let _ = sender.send(PeerReply::Progress(response));
                 }
             }
             PeerMessage::Fleet(message) => deliver(&context, &peer, message).await,
--- a/crates/sablebay-node/src/quarantine_store.rs
+++ b/crates/sablebay-node/src/quarantine_store.rs
@@ -84,7 +84,7 @@
     }
 
     /// What may be done with a request.
-    pub fn standing(&self, digest: &RequestDigest, now: Micros) -> QuarantineStatus {
+    pub fn status(&self, digest: &RequestDigest, now: Micros) -> QuarantineStatus {
         self.known.lock().status(digest, now)
     }
 
@@ -116,7 +116,7 @@
 
     /// Whether a run may ask for the lease of its request: one of this node at a time does, so that a
     /// search over many shards asks once and not for each.
-    pub fn may_ask(&self, digest: &RequestDigest, wanted: LeaseRequest, now: Micros) -> bool {
+    pub fn begin_lease_request(&self, digest: &RequestDigest, wanted: LeaseRequest, now: Micros) -> bool {
         let mut asking = self.asking.lock();
         let others = |asking: &AskingRun| asking.run != wanted.run && now < asking.until;
         if asking.get(digest).is_some_and(others) {
@@ -127,7 +127,7 @@
     }
 
     /// A run asks no longer for the lease of its request, nor has it.
-    pub fn stop_asking(&self, digest: &RequestDigest, run: RunId) {
+    pub fn end_lease_request(&self, digest: &RequestDigest, run: RunId) {
         let mut asking = self.asking.lock();
         if asking.get(digest).is_some_and(|asking| asking.run == run) {
             asking.remove(digest);
@@ -137,14 +137,14 @@
     }
 
     /// A run is over: others need no longer wait for it.
-    pub fn over(&self, digest: &RequestDigest, run: RunId) {
+    pub fn release_lease(&self, digest: &RequestDigest, run: RunId) {
         if self.known.lock().release_lease(digest, run) {
             self.note_change();
         }
     }
 
     /// A back end ended under a run of this node.
-    pub fn crashed(&self, digest: RequestDigest, route: &str, run: CrashedRun, now: Micros) {
+    pub fn record_crash(&self, digest: RequestDigest, route: &str, run: CrashedRun, now: Micros) {
         let mut known = self.known.lock();
         let before = known.record_crash(digest, route, run, now);
         note_standing(&known, &digest, before, "this node", now);
@@ -153,7 +153,13 @@
     }
 
     /// A run of this node ended well.
-    pub fn survived(&self, digest: &RequestDigest, service: &ServiceName, started_at: Micros, now: Micros) {
+    pub fn record_success(
+        &self,
+        digest: &RequestDigest,
+        service: &ServiceName,
+        started_at: Micros,
+        now: Micros,
+    ) {
         let mut known = self.known.lock();
         let before = known.status(digest, now);
         let news = known.record_success(digest, service, started_at);
@@ -165,7 +171,7 @@
     }
 
     /// Another node told what it knows; `to_everyone` says that it told every node.
-    pub fn hear(&self, from: &str, notices: &[QuarantineNotice], to_everyone: bool, now: Micros) {
+    pub fn merge_notices(&self, from: &str, notices: &[QuarantineNotice], to_everyone: bool, now: Micros) {
         let mut news = false;
         let mut known = self.known.lock();
         for notice in notices {
@@ -193,7 +199,7 @@
     }
 
     /// What is still to be told to other nodes. See [`Quarantine::take_updates`].
-    pub fn take_news(&self, now: Micros) -> Vec<(QuarantineNotice, Audience)> {
+    pub fn take_updates(&self, now: Micros) -> Vec<(QuarantineNotice, Audience)> {
         let mut known = self.known.lock();
         known.expire(now);
         known.take_updates(now)
@@ -220,7 +226,7 @@
     }
 
     /// How many requests are held back now.
-    pub fn held(&self, now: Micros) -> usize {
+    pub fn quarantined_count(&self, now: Micros) -> usize {
         let known = self.known.lock();
         let held = known
             .suspects(now)
--- a/crates/sablebay-node/src/shared.rs
+++ b/crates/sablebay-node/src/shared.rs
@@ -42,7 +42,7 @@
 }
 
 /// Keeps accounts of tenants' quotas.
-pub trait AccountKeeper: Send + Sync {
+pub trait AccountOwner: Send + Sync {
     /// Answers another node that asks for tokens.
     fn answer(&self, question: &QuotaRequest) -> PeerResponse;
 }
@@ -89,7 +89,7 @@
     /// The part of the fleet that this node sees; set by the gateway.
     pub fleet_part: Mutex<Option<FleetPart>>,
     /// Keeps accounts of tenants' quotas; set by the gateway.
-    pub account_keeper: OnceLock<Arc<dyn AccountKeeper>>,
+    pub account_owner: OnceLock<Arc<dyn AccountOwner>>,
     /// Where the node is in its life.
     pub lifecycle: Lifecycle,
     /// Requests that the node runs at once, over all services.
--- a/crates/sablebay-node/src/suspension.rs
+++ b/crates/sablebay-node/src/suspension.rs
@@ -24,7 +24,7 @@
 
 impl Suspension {
     /// Looks at the clock. Returns how long the machine was suspended, to whoever is first to see it.
-    pub fn look(&self, clock: &Clock) -> Option<Micros> {
+    pub fn detect(&self, clock: &Clock) -> Option<Micros> {
         let suspended = Micros::from(clock.suspended_for());
         let noticed = Micros(self.noticed.load(Ordering::Acquire));
         let slept = suspended.since(noticed);
@@ -38,7 +38,7 @@
     }
 
     /// Whether the machine was suspended after a moment: what was asked for before may have been answered before.
-    pub fn woke_since(&self, moment: Micros) -> bool {
+    pub fn resumed_since(&self, moment: Micros) -> bool {
         Micros(self.woke_at.load(Ordering::Acquire)) > moment
     }
 
--- a/crates/sablebay-node/src/traffic.rs
+++ b/crates/sablebay-node/src/traffic.rs
@@ -25,7 +25,7 @@
     /// Configurations of leaf services, from node to node.
     Configuration,
     /// Questions for what is new in the catalogue.
-    CatalogueQuestion,
+    CatalogueRequest,
     /// Answers to these.
     CatalogueAnswer,
     /// Chunks of answers that are too large to be given at once, and questions for them.
@@ -53,7 +53,7 @@
         Self::Rumour,
         Self::MemberList,
         Self::Configuration,
-        Self::CatalogueQuestion,
+        Self::CatalogueRequest,
         Self::CatalogueAnswer,
         Self::CatalogueChunk,
         Self::Quarantine,
@@ -72,7 +72,7 @@
             Self::Rumour => "rumour",
             Self::MemberList => "member_list",
             Self::Configuration => "configuration",
-            Self::CatalogueQuestion => "catalogue_question",
+            Self::CatalogueRequest => "catalogue_question",
             Self::CatalogueAnswer => "catalogue_answer",
             Self::CatalogueChunk => "catalogue_chunk",
             Self::Quarantine => "quarantine",
@@ -89,7 +89,7 @@
     pub fn is_control(self) -> bool {
         match self {
             Self::Greeting | Self::Probe | Self::Rumour | Self::MemberList | Self::Configuration => true,
-            Self::CatalogueQuestion | Self::CatalogueAnswer | Self::CatalogueChunk => true,
+            Self::CatalogueRequest | Self::CatalogueAnswer | Self::CatalogueChunk => true,
             Self::Quarantine | Self::GatherRequest | Self::MergedPart => false,
             Self::FirstCall | Self::ExtraCall | Self::Quota | Self::Other => false,
         }
@@ -125,7 +125,7 @@
 
     fn of_request(request: &PeerRequest) -> Self {
         match request {
-            PeerRequest::Catalogue { .. } => Self::CatalogueQuestion,
+            PeerRequest::Catalogue { .. } => Self::CatalogueRequest,
             PeerRequest::DocumentChunk { .. } => Self::CatalogueChunk,
             PeerRequest::PartialGather(_) => Self::GatherRequest,
             PeerRequest::Quarantine { .. }
--- a/crates/sablebay-node/tests/catalogue_store.rs
+++ b/crates/sablebay-node/tests/catalogue_store.rs
@@ -21,7 +21,7 @@
 #[test]
 fn a_sign_of_life_is_no_bound() {
     let store = CatalogueStore::default();
-    store.hear(seconds(50));
+    store.record_contact(seconds(50));
     assert_eq!(store.contact_ago(seconds(52)), Some(seconds(2)));
     assert_eq!(store.confirmed_at(), None);
     assert_eq!(
@@ -82,6 +82,6 @@
     let held = clock.now().since(asked_at);
     let told = store.snapshot(0, CataloguePosition::NOTHING, held, clock.now()).confirmation;
     assert_eq!(told, Some(PeerConfirmation { held: seconds(6), age: seconds(6) }));
-    suspension.look(&clock);
-    assert!(suspension.woke_since(asked_at), "an answer to what was asked before says nothing");
+    suspension.detect(&clock);
+    assert!(suspension.resumed_since(asked_at), "an answer to what was asked before says nothing");
 }
--- a/crates/sablebay-node/tests/clock.rs
+++ b/crates/sablebay-node/tests/clock.rs
@@ -48,18 +48,18 @@
     let suspension = Suspension::default();
     let asked_before = clock.now();
     let confirmed_at = Some(asked_before);
-    assert_eq!(suspension.look(&clock), None);
+    assert_eq!(suspension.detect(&clock), None);
     assert!(suspension.is_confirmed(confirmed_at, clock.now()));
     SUSPENDED.fetch_add(6_000, Ordering::Relaxed);
-    assert_eq!(suspension.look(&clock), Some(Micros::from_millis(6_000)));
-    assert_eq!(suspension.look(&clock), None, "it is told once");
+    assert_eq!(suspension.detect(&clock), Some(Micros::from_millis(6_000)));
+    assert_eq!(suspension.detect(&clock), None, "it is told once");
     assert!(!suspension.is_confirmed(confirmed_at, clock.now()));
     assert!(!suspension.is_confirmed(None, clock.now()));
-    assert!(suspension.woke_since(asked_before), "its answer may have come before");
-    assert!(!suspension.woke_since(clock.now()));
+    assert!(suspension.resumed_since(asked_before), "its answer may have come before");
+    assert!(!suspension.resumed_since(clock.now()));
     assert!(suspension.is_confirmed(Some(clock.now()), clock.now()));
     SUSPENDED.fetch_add(9_000, Ordering::Relaxed);
-    assert!(suspension.look(&clock).is_some(), "a second one");
+    assert!(suspension.detect(&clock).is_some(), "a second one");
     assert!(!suspension.is_confirmed(Some(clock.now().since(Micros::from_millis(1_000))), clock.now()));
 }
 
@@ -74,7 +74,7 @@
     let clock = Clock::start_from(source);
     let suspension = Suspension::default();
     SUSPENDED.fetch_add(6_000, Ordering::Relaxed);
-    suspension.look(&clock);
+    suspension.detect(&clock);
     assert!(!suspension.is_confirmed(None, clock.now()));
     CLOCKS.fetch_add(2_000, Ordering::Relaxed);
     assert!(!suspension.is_confirmed(None, clock.now()));
--- a/crates/sablebay-node/tests/document_store.rs
+++ b/crates/sablebay-node/tests/document_store.rs
@@ -20,16 +20,16 @@
 async fn a_document_comes_out_of_its_chunks() {
     let (first, second) = (DocumentStore::default(), DocumentStore::default());
     let document = content(1, 4);
-    let digest = first.hold(document.clone(), NOW);
-    second.begin(digest, NOW);
+    let digest = first.insert(document.clone(), NOW);
+    second.begin_fetch(digest, NOW);
     assert_eq!(second.missing(digest), [0, 1, 2, 3]);
     for number in [2, 0, 3, 1] {
         assert_eq!(second.content(digest), None);
         let chunk = chunk(&first, digest, number as u64).await.expect("it is here");
-        assert!(second.put(digest, number, chunk.clone()));
-        assert!(!second.put(digest, number, chunk), "it was missing once");
+        assert!(second.insert_chunk(digest, number, chunk.clone()));
+        assert!(!second.insert_chunk(digest, number, chunk), "it was missing once");
     }
-    assert!(second.is_whole(digest));
+    assert!(second.is_complete(digest));
     assert_eq!(second.content(digest), Some(document));
 }
 
@@ -44,8 +44,8 @@
         tokio::spawn(async move { chunk(&store, digest, 1).await })
     };
     tokio::task::yield_now().await;
-    store.begin(digest, NOW);
-    store.put(digest, 1, document[CHUNK_BYTES..].to_vec());
+    store.begin_fetch(digest, NOW);
+    store.insert_chunk(digest, 1, document[CHUNK_BYTES..].to_vec());
     assert_eq!(asking.await.expect("it ends"), Some(document[CHUNK_BYTES..].to_vec()));
     assert_eq!(chunk(&store, digest, 0).await, None, "it never came");
     assert_eq!(chunk(&store, digest, 9).await, None, "there is none");
@@ -56,32 +56,32 @@
     let store = DocumentStore::default();
     let document = content(3, 2);
     let digest = DocumentDigest::of(&document);
-    store.begin(digest, NOW);
-    store.put(digest, 0, document[..CHUNK_BYTES].to_vec());
-    store.put(digest, 1, content(4, 1));
-    assert!(store.is_whole(digest));
+    store.begin_fetch(digest, NOW);
+    store.insert_chunk(digest, 0, document[..CHUNK_BYTES].to_vec());
+    store.insert_chunk(digest, 1, content(4, 1));
+    assert!(store.is_complete(digest));
     assert_eq!(store.content(digest), None);
-    assert!(store.missing(digest).is_empty() && !store.is_whole(digest), "it is forgotten");
+    assert!(store.missing(digest).is_empty() && !store.is_complete(digest), "it is forgotten");
 }
 
 #[test]
 fn few_documents_are_kept_and_not_for_long() {
     let store = DocumentStore::default();
     let digests: Vec<DocumentDigest> = (0..12u64)
-        .map(|number| store.hold(content(number as usize, 1), NOW.plus(Micros::from_millis(number))))
+        .map(|number| store.insert(content(number as usize, 1), NOW.plus(Micros::from_millis(number))))
         .collect();
-    assert!(!store.is_whole(digests[0]), "the oldest makes room");
-    assert!(store.is_whole(digests[11]));
+    assert!(!store.is_complete(digests[0]), "the oldest makes room");
+    assert!(store.is_complete(digests[11]));
     store.expire(NOW.plus(Micros::from_secs(9)));
-    assert!(store.is_whole(digests[11]));
+    assert!(store.is_complete(digests[11]));
     store.expire(NOW.plus(Micros::from_secs(11)));
-    assert!(!store.is_whole(digests[11]));
+    assert!(!store.is_complete(digests[11]));
 }
 
 #[test]
 fn a_document_crosses_the_border_of_a_zone_once() {
     let store = DocumentStore::default();
-    let digest = store.hold(content(5, 2), NOW);
+    let digest = store.insert(content(5, 2), NOW);
     let address = |last: u8| SocketAddr::from(([10, 0, 0, last], 7_000));
     let (own, other) = (ZoneName::new("own"), ZoneName::new("other"));
     let from_here = |zone: &ZoneName, own_zone: bool, askers: std::ops::Range<u8>| {
