--- a/crates/sablebay-node/src/admin_api.rs
+++ b/crates/sablebay-node/src/admin_api.rs
@@ -31,9 +31,9 @@
 /// The longest candidate configuration.
 const MAXIMUM_CANDIDATE_BYTES: usize = 64 << 20;
 /// How long peers have to send their reports.
-const REPORT_PATIENCE: Duration = Duration::from_secs(2);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Peers asked for their report at once.
-const REPORTS_AT_ONCE: usize = 64;
+const MAXIMUM_CONCURRENT_REPORTS: usize = 64;
 
 /// The routes.
 pub fn admin_routes(shared: Arc<Shared>) -> Router {
@@ -93,15 +93,15 @@
 
 async fn fleet_status(shared: &Arc<Shared>) -> FleetStatus {
     let peers = shared.view.load().peers.clone();
-    let mut asking = tokio::task::JoinSet::new();
+    let mut requests = tokio::task::JoinSet::new();
     let mut answers = Vec::new();
     for peer in peers.iter().cloned() {
-        if asking.len() >= REPORTS_AT_ONCE {
-            answers.extend(asking.join_next().await.and_then(Result::ok));
+        if requests.len() >= MAXIMUM_CONCURRENT_REPORTS {
+            answers.extend(requests.join_next().await.and_then(Result::ok));
         }
         let shared = shared.clone();
-        asking.spawn(async move {
-            let until = tokio::time::Instant::now() + REPORT_PATIENCE;
+        requests.spawn(async move {
+            let until = tokio::time::Instant::now() + REPORT_TIMEOUT;
             let response =
                 shared.peers.request(peer.address, Lane::Control, PeerRequest::Report, until).await;
             let report = match response {
@@ -111,7 +111,7 @@
             (peer.node.to_string(), report)
         });
     }
-    answers.extend(asking.join_all().await);
+    answers.extend(requests.join_all().await);
     let mut nodes = vec![short_report(shared)];
     let mut silent = Vec::new();
     for (node, report) in answers {
--- a/crates/sablebay-node/src/catalogue_answer.rs
+++ b/crates/sablebay-node/src/catalogue_answer.rs
@@ -10,7 +10,7 @@
 use crate::shared::Shared;
 
 /// The longest that a question is held.
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
+const MAXIMUM_WAIT: Duration = Duration::from_secs(5);
 
 /// What a peer asks for.
 #[derive(Clone, Copy, Debug)]
@@ -29,7 +29,7 @@
 
 impl CatalogueRequest {
     /// Whether this node knows what the asker has yet to learn: it is answered at once.
-    fn is_taught(&self, view: &CatalogueView, now: Micros) -> bool {
+    fn is_catch_up_ready(&self, view: &CatalogueView, now: Micros) -> bool {
         self.standing.is_some_and(|standing| standing.learns_from.is_some()) && view.has_caught_up(now)
     }
 
@@ -50,15 +50,16 @@
 pub async fn answer_catalogue(
     shared: &Shared,
     from: &InstanceKey,
-    question: CatalogueRequest,
+    request: CatalogueRequest,
 ) -> CatalogueSnapshot {
-    let CatalogueRequest { version, wait, takes_documents, .. } = question;
+    let CatalogueRequest { version, wait, takes_documents, .. } = request;
     let asked_at = shared.clock.now();
     shared.catalogue.note_version(version, asked_at);
-    let (peer, is_taught) =
-        shared.catalogue.read(|view| (question.position(view, asked_at), question.is_taught(view, asked_at)));
-    if !is_taught {
-        shared.catalogue.wait_for_newer(version, peer.at, wait.min(LONGEST_WAIT)).await;
+    let (peer, is_catch_up_ready) = shared
+        .catalogue
+        .read(|view| (request.position(view, asked_at), request.is_catch_up_ready(view, asked_at)));
+    if !is_catch_up_ready {
+        shared.catalogue.wait_for_newer(version, peer.at, wait.min(MAXIMUM_WAIT)).await;
     }
     let now = shared.clock.now();
     shared.catalogue.documents.expire(now);
--- a/crates/sablebay-node/src/catalogue_store.rs
+++ b/crates/sablebay-node/src/catalogue_store.rs
@@ -20,7 +20,7 @@
 /// since is a small answer afterwards.
 const LISTING_LIFETIME: Micros = Micros::from_secs(1);
 /// Documents whose names are remembered at the most, for askers that need the same.
-const REMEMBERED_DOCUMENTS: usize = 8;
+const MAXIMUM_CACHED_DOCUMENTS: usize = 8;
 
 /// What is too much for one answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,11 +35,11 @@
 
 /// A document that was made for an asker.
 #[derive(Clone, Copy, Debug)]
-struct MadeDocument {
+struct CachedDocument {
     /// The version that it leads on from.
     base: u64,
-    news: LargeUpdate,
-    made_at: Micros,
+    update: LargeUpdate,
+    created_at: Micros,
 }
 
 /// The catalogue as this node knows it.
@@ -54,7 +54,7 @@
     nodes_met: AtomicU64,
     /// What is passed on in chunks.
     pub documents: DocumentStore,
-    made: Mutex<Vec<MadeDocument>>,
+    cached: Mutex<Vec<CachedDocument>>,
 }
 
 impl Default for CatalogueStore {
@@ -66,14 +66,14 @@
             confirmed_at: AtomicU64::new(0),
             nodes_met: AtomicU64::new(0),
             documents: DocumentStore::default(),
-            made: Mutex::default(),
+            cached: Mutex::default(),
         }
     }
 }
 
 /// A moment that is kept as a number.
-fn moment(kept: &AtomicU64) -> Option<Micros> {
-    let at = Micros(kept.load(Ordering::Acquire));
+fn load_time(stored: &AtomicU64) -> Option<Micros> {
+    let at = Micros(stored.load(Ordering::Acquire));
     (at.0 > 0).then_some(at)
 }
 
@@ -106,7 +106,7 @@
 
     /// When somebody last said that there is nothing newer; nothing when nobody did.
     pub fn last_contact(&self) -> Option<Micros> {
-        moment(&self.last_contact)
+        load_time(&self.last_contact)
     }
 
     /// How long ago that was.
@@ -122,7 +122,7 @@
 
     /// A moment up to which the configuration known here is the newest; nothing when none is known.
     pub fn confirmed_at(&self) -> Option<Micros> {
-        moment(&self.confirmed_at)
+        load_time(&self.confirmed_at)
     }
 
     /// How long ago that was.
@@ -157,7 +157,7 @@
         now: Micros,
     ) -> CatalogueSnapshot {
         let peer: PeerPosition = peer.into();
-        self.with_ages(held, now, || self.view.lock().snapshot(version, peer, now))
+        self.with_confirmation(held, now, || self.view.lock().snapshot(version, peer, now))
     }
 
     /// What a peer that has these revisions is missing, as far as it is little, and where there is more. It asked `held`
@@ -170,10 +170,10 @@
         now: Micros,
     ) -> (CatalogueSnapshot, Option<LargeUpdate>) {
         let mut large = None;
-        let answer = self.with_ages(held, now, || {
+        let answer = self.with_confirmation(held, now, || {
             let view = self.view.lock();
-            let (small, made) = self.split(&view, version, peer, now);
-            large = made;
+            let (small, cached) = self.split(&view, version, peer, now);
+            large = cached;
             small
         });
         (answer, large)
@@ -193,7 +193,7 @@
             ConfigurationUpdate::Steps(steps, bytes) if bytes <= INLINE_BYTES && !lists_replicas => {
                 (CatalogueSnapshot { steps, ..view.replica_update(peer, now) }, None)
             }
-            news => match self.document(view, version, news, lists_replicas, now) {
+            update => match self.document(view, version, update, lists_replicas, now) {
                 Some(large) if lists_replicas => (CatalogueSnapshot::default(), Some(large)),
                 Some(large) => (view.replica_update(peer, now), Some(large)),
                 // It cannot be encoded, and no other answer can.
@@ -207,27 +207,27 @@
         &self,
         view: &CatalogueView,
         version: u64,
-        news: ConfigurationUpdate,
+        update: ConfigurationUpdate,
         lists_replicas: bool,
         now: Micros,
     ) -> Option<LargeUpdate> {
-        let serves = |made: &&MadeDocument| {
-            let same = made.base == version && made.news.lists_replicas == lists_replicas;
-            let fresh = !lists_replicas || now.since(made.made_at) < LISTING_LIFETIME;
+        let is_reusable = |cached: &&CachedDocument| {
+            let same = cached.base == version && cached.update.lists_replicas == lists_replicas;
+            let fresh = !lists_replicas || now.since(cached.created_at) < LISTING_LIFETIME;
             same && fresh
-                && made.news.version == view.version()
-                && self.documents.is_complete(made.news.digest)
+                && cached.update.version == view.version()
+                && self.documents.is_complete(cached.update.digest)
         };
-        let mut made = self.made.lock();
-        if let Some(made) = made.iter().find(serves) {
-            return Some(made.news);
+        let mut cached = self.cached.lock();
+        if let Some(cached) = cached.iter().find(is_reusable) {
+            return Some(cached.update);
         }
         let listing = if lists_replicas {
             view.replica_update(PeerPosition::default(), now)
         } else {
             CatalogueSnapshot::default()
         };
-        let content = match news {
+        let content = match update {
             ConfigurationUpdate::None => listing,
             ConfigurationUpdate::Steps(steps, _) => CatalogueSnapshot { steps, ..listing },
             ConfigurationUpdate::Full => {
@@ -236,16 +236,16 @@
             }
         };
         let digest = self.documents.insert(content.to_document()?, now);
-        let news = LargeUpdate { digest, version: view.version(), lists_replicas };
-        made.push(MadeDocument { base: version, news, made_at: now });
-        if made.len() > REMEMBERED_DOCUMENTS {
-            made.remove(0);
+        let update = LargeUpdate { digest, version: view.version(), lists_replicas };
+        cached.push(CachedDocument { base: version, update, created_at: now });
+        if cached.len() > MAXIMUM_CACHED_DOCUMENTS {
+            cached.remove(0);
         }
-        Some(news)
+        Some(update)
     }
 
     /// What `read` gives, with how old it is.
-    fn with_ages(
+    fn with_confirmation(
         &self,
         held: Micros,
         now: Micros,
--- a/crates/sablebay-node/src/document_store.rs
+++ b/crates/sablebay-node/src/document_store.rs
@@ -15,11 +15,11 @@
 use sablebay_model::{Micros, ZoneName};
 
 /// How long a document is kept after somebody last asked for it: the askers of a zone come within a second or two.
-const KEPT_FOR: Micros = Micros::from_secs(10);
+const RETENTION: Micros = Micros::from_secs(10);
 /// Documents that are kept at the most. Each has some hundred kilobytes, and the smallest nodes 112 MB.
 const MAXIMUM_DOCUMENTS: usize = 8;
 /// How long a question for a chunk waits until it arrives here: less than who asks waits before it asks another node.
-const ARRIVAL_PATIENCE: Duration = Duration::from_millis(250);
+const ARRIVAL_TIMEOUT: Duration = Duration::from_millis(250);
 /// The largest document that is fetched, in bytes: four times the store's largest value.
 pub const MAXIMUM_DOCUMENT_BYTES: u64 = 4 << 20;
 
@@ -60,7 +60,7 @@
         let kept = documents.entry(digest).or_insert_with(|| Document::new(Vec::new(), now));
         kept.chunks = chunks;
         kept.used_at = now;
-        make_room(&mut documents, digest);
+        evict_oldest(&mut documents, digest);
         drop(documents);
         self.arrivals.send_modify(|count| *count += 1);
         digest
@@ -71,7 +71,7 @@
         let mut documents = self.documents.lock();
         let empty = || Document::new(vec![None; digest.chunks()], now);
         documents.entry(digest).or_insert_with(empty).used_at = now;
-        make_room(&mut documents, digest);
+        evict_oldest(&mut documents, digest);
     }
 
     /// The chunks that are missing.
@@ -122,13 +122,13 @@
     pub async fn chunk(&self, digest: DocumentDigest, number: u64, now: Micros) -> Option<Bytes> {
         let number = usize::try_from(number).ok()?;
         let mut arrivals = self.arrivals.subscribe();
-        let arrived = arrivals.wait_for(|_| self.here(digest, number, now).is_some());
+        let arrived = arrivals.wait_for(|_| self.available_chunk(digest, number, now).is_some());
         // What there is after the time is over is given all the same.
-        let _ = tokio::time::timeout(ARRIVAL_PATIENCE, arrived).await;
-        self.here(digest, number, now)
+        let _ = tokio::time::timeout(ARRIVAL_TIMEOUT, arrived).await;
+        self.available_chunk(digest, number, now)
     }
 
-    fn here(&self, digest: DocumentDigest, number: usize, now: Micros) -> Option<Bytes> {
+    fn available_chunk(&self, digest: DocumentDigest, number: usize, now: Micros) -> Option<Bytes> {
         let mut documents = self.documents.lock();
         let document = documents.get_mut(&digest)?;
         document.used_at = document.used_at.max(now);
@@ -153,12 +153,12 @@
 
     /// Forgets what nobody has asked for lately.
     pub fn expire(&self, now: Micros) {
-        self.documents.lock().retain(|_, document| now.since(document.used_at) < KEPT_FOR);
+        self.documents.lock().retain(|_, document| now.since(document.used_at) < RETENTION);
     }
 }
 
 /// Drops those that were asked for longest ago, but not `newest`.
-fn make_room(documents: &mut HashMap<DocumentDigest, Document>, newest: DocumentDigest) {
+fn evict_oldest(documents: &mut HashMap<DocumentDigest, Document>, newest: DocumentDigest) {
     while documents.len() > MAXIMUM_DOCUMENTS {
         let others = documents.iter().filter(|(digest, _)| **digest != newest);
         let Some(oldest) = others.min_by_key(|(_, document)| document.used_at).map(|(digest, _)| *digest)
--- a/crates/sablebay-node/src/logging/queued_appender.rs
+++ b/crates/sablebay-node/src/logging/queued_appender.rs
@@ -13,9 +13,9 @@
 use sablebay_config::LogTarget;
 
 /// Lines that wait at the most; more are left out and counted.
-const QUEUE: usize = 2_048;
+const QUEUE_LENGTH: usize = 2_048;
 /// How long a flush waits for the thread.
-const FLUSH_PATIENCE: Duration = Duration::from_millis(300);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// What the thread is handed.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
 impl QueuedAppender {
     /// Starts the thread.
     pub fn start(target: LogTarget, encoder: Box<dyn Encode>) -> Self {
-        let (lines, waiting) = sync_channel(QUEUE);
+        let (lines, waiting) = sync_channel(QUEUE_LENGTH);
         let lost = Arc::new(AtomicU64::new(0));
         let counted = lost.clone();
         let writer = std::thread::Builder::new().name("log".to_string());
@@ -61,7 +61,7 @@
         let (written, waiting) = sync_channel(1);
         if self.lines.try_send(Item::Flush(written)).is_ok() {
             // Whoever stops does not wait for a slow output.
-            let _ = waiting.recv_timeout(FLUSH_PATIENCE);
+            let _ = waiting.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
--- a/crates/sablebay-node/src/node.rs
+++ b/crates/sablebay-node/src/node.rs
@@ -67,9 +67,9 @@
 const LINGER: Duration = Duration::from_millis(300);
 /// How long connections that stay silent are kept after that: a caller that has not heard yet is
 /// answered on them, and told to take its next request elsewhere.
-const SILENT_PATIENCE: Duration = Duration::from_millis(500);
+const IDLE_GRACE: Duration = Duration::from_millis(500);
 /// How long open connections may take to end after that.
-const CLOSE_PATIENCE: Duration = Duration::from_secs(1);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A running node. Dropping it ends its tasks at once; [`Node::stop`] is the planned stop.
 pub struct Node {
@@ -181,11 +181,9 @@
             }
         };
         let mut closing = std::pin::pin!(closing);
-        for (phase, patience) in
-            [(ListenerPhase::Closed, SILENT_PATIENCE), (ListenerPhase::Ended, CLOSE_PATIENCE)]
-        {
+        for (phase, limit) in [(ListenerPhase::Closed, IDLE_GRACE), (ListenerPhase::Ended, CLOSE_TIMEOUT)] {
             self.listeners.send_replace(phase);
-            if tokio::time::timeout(patience, closing.as_mut()).await.is_ok() {
+            if tokio::time::timeout(limit, closing.as_mut()).await.is_ok() {
                 return;
             }
         }
@@ -284,8 +282,8 @@
                 )),
             },
             PeerRequest::Versions { service, partitions } => {
-                const PATIENCE: Micros = Micros::from_secs(1);
-                let deadline = shared.clock.now().plus(PATIENCE);
+                const TIMEOUT: Micros = Micros::from_secs(1);
+                let deadline = shared.clock.now().plus(TIMEOUT);
                 PeerResponse::Versions(local_versions(shared, &service, &partitions, deadline).await)
             }
             PeerRequest::Claim(request) => {
--- a/crates/sablebay-node/src/peers.rs
+++ b/crates/sablebay-node/src/peers.rs
@@ -119,11 +119,11 @@
 
 /// Large answers, of one chunk each, that are on their way to peers at one moment: 64 kB, which hold a link of 14 Mbit/s
 /// for 37 ms. What the node asks and is asked else waits no longer behind them.
-const LARGE_ANSWERS_AT_ONCE: usize = 4;
+const MAXIMUM_LARGE_ANSWERS: usize = 4;
 
 /// The room for large answers of one node.
 pub fn large_answer_permits() -> Arc<Semaphore> {
-    Arc::new(Semaphore::new(LARGE_ANSWERS_AT_ONCE))
+    Arc::new(Semaphore::new(MAXIMUM_LARGE_ANSWERS))
 }
 
 /// How long a connection attempt may take.
--- a/crates/sablebay-node/src/peers/connection.rs
+++ b/crates/sablebay-node/src/peers/connection.rs
@@ -21,7 +21,7 @@
 const QUEUE_LENGTH: usize = 8_192;
 
 /// How long a large answer may keep others waiting: a peer that takes nothing any more holds nobody up.
-const ROOM_PATIENCE: Duration = Duration::from_millis(300);
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// A message that waits to be written.
 #[derive(Debug)]
@@ -29,12 +29,12 @@
     /// The message.
     pub message: PeerMessage,
     /// Its part of what large answers may take of the link; given back once it is written.
-    pub room: Option<OwnedSemaphorePermit>,
+    pub permit: Option<OwnedSemaphorePermit>,
 }
 
 impl From<PeerMessage> for Outgoing {
     fn from(message: PeerMessage) -> Self {
-        Self { message, room: None }
+        Self { message, permit: None }
     }
 }
 
@@ -117,17 +117,17 @@
 }
 
 /// How long the first attempt to reach a machine may take. Each further one may take twice as long, for machines far away.
-pub(super) const FIRST_ATTEMPT: Duration = Duration::from_millis(100);
+pub(super) const FIRST_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Connects to a machine that may be starting. Where it is not there yet, nothing answers the opening packet, and the
 /// kernel sends it again only after a second: a fleet that gets its power back at once would meet that much later.
 pub(super) async fn connect(address: SocketAddr) -> Option<TcpStream> {
-    let mut patience = FIRST_ATTEMPT;
+    let mut timeout = FIRST_ATTEMPT_TIMEOUT;
     loop {
-        if let Ok(connected) = tokio::time::timeout(patience, TcpStream::connect(address)).await {
+        if let Ok(connected) = tokio::time::timeout(timeout, TcpStream::connect(address)).await {
             return connected.ok();
         }
-        patience *= 2;
+        timeout *= 2;
     }
 }
 
@@ -159,9 +159,9 @@
     let mut messages = Vec::new();
     while queue.recv_many(&mut messages, MESSAGES_PER_WRITE).await > 0 {
         let mut put = Vec::with_capacity(messages.len());
-        let mut rooms = Vec::new();
-        for Outgoing { message, room } in messages.drain(..) {
-            rooms.extend(room);
+        let mut permits = Vec::new();
+        for Outgoing { message, permit } in messages.drain(..) {
+            permits.extend(permit);
             match writer.put(&message) {
                 Ok(bytes) => put.push((TrafficKind::of(&message), bytes as u64)),
                 Err(error) => log::warn!("peer: a message was not sent: {error}."),
@@ -171,7 +171,7 @@
             context.traffic.sent(*kind, span, *bytes);
             context.traffic.queued(*kind, span, *bytes);
         }
-        let flushed = flush(&mut writer, rooms).await;
+        let flushed = flush(&mut writer, permits).await;
         for (kind, bytes) in &put {
             context.traffic.unqueued(*kind, span, *bytes);
         }
@@ -182,15 +182,15 @@
 }
 
 /// Sends what was put, and gives the room of large answers back when that is done or takes long.
-async fn flush(writer: &mut MessageWriter, rooms: Vec<OwnedSemaphorePermit>) -> std::io::Result<()> {
-    if rooms.is_empty() {
+async fn flush(writer: &mut MessageWriter, permits: Vec<OwnedSemaphorePermit>) -> std::io::Result<()> {
+    if permits.is_empty() {
         return writer.flush().await;
     }
     let mut flushing = std::pin::pin!(writer.flush());
-    if let Ok(flushed) = tokio::time::timeout(ROOM_PATIENCE, flushing.as_mut()).await {
+    if let Ok(flushed) = tokio::time::timeout(PERMIT_TIMEOUT, flushing.as_mut()).await {
         return flushed;
     }
-    drop(rooms);
+    drop(permits);
     flushing.await
 }
 
--- a/crates/sablebay-node/src/peers/connection_tests.rs
+++ b/crates/sablebay-node/src/peers/connection_tests.rs
@@ -3,7 +3,7 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 use super::CONNECT_TIMEOUT;
-use super::connection::{FIRST_ATTEMPT, connect};
+use super::connection::{FIRST_ATTEMPT_TIMEOUT, connect};
 
 /// A listener whose queue of new connections is full: opening packets are dropped, and nothing is said about it.
 async fn full_listener() -> (TcpListener, TcpStream) {
@@ -22,7 +22,7 @@
     let (listener, _first) = full_listener().await;
     let address = listener.local_addr().expect("its address");
     let attempt = tokio::spawn(tokio::time::timeout(CONNECT_TIMEOUT, connect(address)));
-    tokio::time::sleep(FIRST_ATTEMPT / 2).await;
+    tokio::time::sleep(FIRST_ATTEMPT_TIMEOUT / 2).await;
     listener.accept().await.expect("the first connection");
     let connected = attempt.await.expect("the attempt ends");
     assert!(connected.is_ok_and(|stream| stream.is_some()), "it was reached");
--- a/crates/sablebay-node/src/peers/handshake.rs
+++ b/crates/sablebay-node/src/peers/handshake.rs
@@ -24,11 +24,11 @@
 /// has a connection to nearly every other, so that what each keeps counts hundreds of times.
 const READ_BUFFER_BYTES: usize = 2 * 1024;
 /// A buffer that a large frame made grow beyond this is given back once it is empty.
-const KEPT_BUFFER_BYTES: usize = 16 * 1024;
+const MAXIMUM_IDLE_BUFFER_BYTES: usize = 16 * 1024;
 
 /// Gives back the room of a large frame.
 fn shrink(buffer: &mut BytesMut) {
-    if buffer.is_empty() && buffer.capacity() > KEPT_BUFFER_BYTES {
+    if buffer.is_empty() && buffer.capacity() > MAXIMUM_IDLE_BUFFER_BYTES {
         *buffer = BytesMut::with_capacity(READ_BUFFER_BYTES);
     }
 }
@@ -111,8 +111,8 @@
     context: &PeerContext,
     stream: TcpStream,
 ) -> Option<(MemberInfo, MessageReader, MessageWriter)> {
-    let shaking = handshake_within_limit(context, stream);
-    tokio::time::timeout(HANDSHAKE_TIMEOUT, shaking).await.ok()?
+    let exchange = handshake_within_limit(context, stream);
+    tokio::time::timeout(HANDSHAKE_TIMEOUT, exchange).await.ok()?
 }
 
 async fn handshake_within_limit(
@@ -120,16 +120,16 @@
     mut stream: TcpStream,
 ) -> Option<(MemberInfo, MessageReader, MessageWriter)> {
     prepare_socket(&stream);
-    let own: Nonce = rand::rng().random();
-    stream.write_all(&own).await.ok()?;
-    let mut other: Nonce = [0; 16];
-    stream.read_exact(&mut other).await.ok()?;
+    let own_nonce: Nonce = rand::rng().random();
+    stream.write_all(&own_nonce).await.ok()?;
+    let mut other_nonce: Nonce = [0; 16];
+    stream.read_exact(&mut other_nonce).await.ok()?;
     let (read_half, write_half) = stream.into_split();
-    let incoming = ChannelKey::new(&context.fleet, &context.secret, &other, &own);
-    let outgoing = ChannelKey::new(&context.fleet, &context.secret, &own, &other);
+    let incoming = ChannelKey::new(&context.fleet, &context.secret, &other_nonce, &own_nonce);
+    let outgoing = ChannelKey::new(&context.fleet, &context.secret, &own_nonce, &other_nonce);
     let mut writer = MessageWriter { half: write_half, key: outgoing, buffer: BytesMut::new() };
     let greeting = PeerMessage::Greeting(Greeting { info: context.info.clone() });
-    let sent_bytes = own.len() + writer.put(&greeting).ok()?;
+    let sent_bytes = own_nonce.len() + writer.put(&greeting).ok()?;
     writer.flush().await.ok()?;
     let mut reader = MessageReader {
         half: read_half,
--- a/crates/sablebay-node/src/peers/listener.rs
+++ b/crates/sablebay-node/src/peers/listener.rs
@@ -26,9 +26,9 @@
     listener: TcpListener,
     handler: Arc<H>,
 ) {
-    let places = Arc::new(Semaphore::new(MAXIMUM_ACCEPTED));
+    let permits = Arc::new(Semaphore::new(MAXIMUM_ACCEPTED));
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else {
+        let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
         };
         let stream = match listener.accept().await {
@@ -43,7 +43,7 @@
         let handler = handler.clone();
         tokio::spawn(async move {
             serve_peer(context, stream, handler).await;
-            drop(place);
+            drop(permit);
         });
     }
 }
@@ -104,10 +104,10 @@
     let response = handler.handle(from, request, progress).await;
     running.lock().remove(&number);
     // The semaphore is never closed.
-    let room = match &response {
+    let permit = match &response {
         PeerResponse::DocumentChunk { .. } => large_answers.acquire_owned().await.ok(),
         _ => None,
     };
     // A peer that is gone wants no answer.
-    let _ = answers.send(Outgoing { message: PeerMessage::Response { number, response }, room }).await;
+    let _ = answers.send(Outgoing { message: PeerMessage::Response { number, response }, permit }).await;
 }
--- a/crates/sablebay-node/src/platform.rs
+++ b/crates/sablebay-node/src/platform.rs
@@ -37,7 +37,7 @@
         return;
     };
     let mut reader =
-        PlatformReader { shared, pool: ConnectionPool::new(address, 1), known: None, failing: false };
+        PlatformReader { shared, pool: ConnectionPool::new(address, 1), etag: None, failing: false };
     loop {
         reader.read_machines().await;
         reader.read_configuration().await;
@@ -49,7 +49,7 @@
     shared: Arc<Shared>,
     pool: ConnectionPool,
     /// The tag of the last document that was dealt with.
-    known: Option<HeaderValue>,
+    etag: Option<HeaderValue>,
     failing: bool,
 }
 
@@ -82,8 +82,8 @@
             }
             Ok(Ok(Document::Changed { tag, text })) => {
                 self.note_reachable();
-                self.take(text).await;
-                self.known = tag;
+                self.apply_configuration(text).await;
+                self.etag = tag;
                 step_fleet(&self.shared, |fleet, _, _| fleet.platform_confirmed(asked_at));
             }
             _ if self.failing => {}
@@ -105,7 +105,7 @@
         let permit = self.pool.permit().await;
         let mut lease = self.pool.connect(permit).await.ok_or(ExchangeFailure::NotSent)?;
         let mut request = json_request(Method::GET, PLATFORM_CONFIGURATION_PATH, Bytes::new());
-        if let Some(tag) = &self.known {
+        if let Some(tag) = &self.etag {
             request.headers_mut().insert(header::IF_NONE_MATCH, tag.clone());
         }
         let response = self.pool.send(&mut lease, request).await?;
@@ -125,7 +125,7 @@
     }
 
     /// Validates a document off the runtime's threads, and offers it or reports its findings.
-    async fn take(&self, text: String) {
+    async fn apply_configuration(&self, text: String) {
         let rejected = Version { revision: revision_of(&text), digest: Digest(xxh3_64(text.as_bytes())) };
         let in_force = self.shared.configuration();
         let parse = move || match in_force {
@@ -158,11 +158,11 @@
             log::warn!("platform: the list of machines is malformed.");
             return;
         };
-        self.take_machines(list);
+        self.apply_machines(list);
     }
 
     /// The list is a hint that lags both ways: it names seeds, and leaves that are leaving.
-    fn take_machines(&self, list: MachineList) {
+    fn apply_machines(&self, list: MachineList) {
         let nodes = list.machines.iter().filter(|machine| machine.role == MachineRole::Node);
         let seeds: Vec<_> = nodes.filter(|node| !node.leaving).filter_map(|node| node.address).collect();
         step_fleet(&self.shared, |fleet, _, _| fleet.add_seeds(seeds));
--- a/crates/sablebay-node/src/quarantine_store.rs
+++ b/crates/sablebay-node/src/quarantine_store.rs
@@ -16,24 +16,24 @@
 use sablebay_model::{Micros, RequestDigest};
 
 /// How often a run that has to wait looks again by itself: the lease may be given out by another node.
-const RECHECK: Duration = Duration::from_millis(20);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The requests that back ends ended under, as this node knows them.
 pub struct QuarantineStore {
     known: Mutex<Quarantine>,
     /// The run of this node that asks for, or has, the lease of a request.
-    asking: Mutex<HashMap<RequestDigest, AskingRun>>,
+    requesting: Mutex<HashMap<RequestDigest, RequestingRun>>,
     changed: watch::Sender<u64>,
 }
 
 impl Default for QuarantineStore {
     fn default() -> Self {
-        Self { known: Mutex::default(), asking: Mutex::default(), changed: watch::channel(0).0 }
+        Self { known: Mutex::default(), requesting: Mutex::default(), changed: watch::channel(0).0 }
     }
 }
 
 /// A run that asks for, or has, the lease of its request.
-struct AskingRun {
+struct RequestingRun {
     run: RunId,
     /// Until when no other run of this node asks.
     until: Micros,
@@ -102,7 +102,7 @@
     pub async fn wait(&self) {
         let mut changes = self.changed.subscribe();
         // Whoever waits looks again in either case.
-        let _ = tokio::time::timeout(RECHECK, changes.changed()).await;
+        let _ = tokio::time::timeout(RECHECK_INTERVAL, changes.changed()).await;
     }
 
     /// Tells of changes.
@@ -117,21 +117,22 @@
     /// Whether a run may ask for the lease of its request: one of this node at a time does, so that a
     /// search over many shards asks once and not for each.
     pub fn begin_lease_request(&self, digest: &RequestDigest, wanted: LeaseRequest, now: Micros) -> bool {
-        let mut asking = self.asking.lock();
-        let others = |asking: &AskingRun| asking.run != wanted.run && now < asking.until;
-        if asking.get(digest).is_some_and(others) {
+        let mut requesting = self.requesting.lock();
+        let is_other_run =
+            |requesting: &RequestingRun| requesting.run != wanted.run && now < requesting.until;
+        if requesting.get(digest).is_some_and(is_other_run) {
             return false;
         }
-        asking.insert(*digest, AskingRun { run: wanted.run, until: now.plus(wanted.duration) });
+        requesting.insert(*digest, RequestingRun { run: wanted.run, until: now.plus(wanted.duration) });
         true
     }
 
     /// A run asks no longer for the lease of its request, nor has it.
     pub fn end_lease_request(&self, digest: &RequestDigest, run: RunId) {
-        let mut asking = self.asking.lock();
-        if asking.get(digest).is_some_and(|asking| asking.run == run) {
-            asking.remove(digest);
-            drop(asking);
+        let mut requesting = self.requesting.lock();
+        if requesting.get(digest).is_some_and(|requesting| requesting.run == run) {
+            requesting.remove(digest);
+            drop(requesting);
             self.note_change();
         }
     }
@@ -147,7 +148,7 @@
     pub fn record_crash(&self, digest: RequestDigest, route: &str, run: CrashedRun, now: Micros) {
         let mut known = self.known.lock();
         let before = known.record_crash(digest, route, run, now);
-        note_standing(&known, &digest, before, "this node", now);
+        log_status_change(&known, &digest, before, "this node", now);
         drop(known);
         self.note_change();
     }
@@ -162,25 +163,25 @@
     ) {
         let mut known = self.known.lock();
         let before = known.status(digest, now);
-        let news = known.record_success(digest, service, started_at);
-        note_standing(&known, digest, before, "this node", now);
+        let changed_state = known.record_success(digest, service, started_at);
+        log_status_change(&known, digest, before, "this node", now);
         drop(known);
-        if news {
+        if changed_state {
             self.note_change();
         }
     }
 
     /// Another node told what it knows; `to_everyone` says that it told every node.
     pub fn merge_notices(&self, from: &str, notices: &[QuarantineNotice], to_everyone: bool, now: Micros) {
-        let mut news = false;
+        let mut changed_state = false;
         let mut known = self.known.lock();
         for notice in notices {
             let before = known.status(&notice.digest, now);
-            news |= known.merge_notice(notice, to_everyone, now);
-            note_standing(&known, &notice.digest, before, from, now);
+            changed_state |= known.merge_notice(notice, to_everyone, now);
+            log_status_change(&known, &notice.digest, before, from, now);
         }
         drop(known);
-        if news {
+        if changed_state {
             self.note_change();
         }
     }
@@ -190,7 +191,7 @@
         let mut known = self.known.lock();
         let before = known.status(digest, now);
         let released = known.release(digest, now);
-        note_standing(&known, digest, before, "an operator", now);
+        log_status_change(&known, digest, before, "an operator", now);
         drop(known);
         if released {
             self.note_change();
@@ -237,7 +238,7 @@
 }
 
 /// Writes a line when a request is held back from now on, or no longer.
-fn note_standing(
+fn log_status_change(
     known: &Quarantine,
     digest: &RequestDigest,
     before: QuarantineStatus,
@@ -245,9 +246,9 @@
     now: Micros,
 ) {
     let after = known.status(digest, now);
-    let was_held = matches!(before, QuarantineStatus::Quarantined { .. });
+    let was_quarantined = matches!(before, QuarantineStatus::Quarantined { .. });
     match after {
-        QuarantineStatus::Quarantined { until } if !was_held => {
+        QuarantineStatus::Quarantined { until } if !was_quarantined => {
             let suspects = known.suspects(now);
             let Some(suspect) = suspects.iter().find(|suspect| suspect.digest == *digest) else {
                 return;
@@ -256,7 +257,7 @@
             log::warn!(digest = digest.to_string().as_str(), route = report.route.as_str(), strikes = report.strikes, ended = report.ended, back_ends = report.back_ends.join(" ").as_str(), last_ended_ms_ago = report.last_ended_ms_ago, held_for_ms = until.since(now).as_millis(), by = by; "quarantine: a request is held back, since back ends in a row ended under it.");
         }
         QuarantineStatus::Clear if before != QuarantineStatus::Clear => {
-            let held = u8::from(was_held);
+            let held = u8::from(was_quarantined);
             log::info!(digest = digest.to_string().as_str(), before = before.to_string().as_str(), was_held = held, by = by; "quarantine: nothing speaks against a request any more.");
         }
         _ => {}
--- a/crates/sablebay-node/src/traffic_log.rs
+++ b/crates/sablebay-node/src/traffic_log.rs
@@ -6,11 +6,11 @@
 use crate::shared::Shared;
 
 /// How often the counts are logged. They serve to compare nodes and releases, not to alert.
-const PERIOD: Duration = Duration::from_secs(60);
+const INTERVAL: Duration = Duration::from_secs(60);
 
 /// Logs until the node ends.
 pub async fn run_traffic_log(shared: Arc<Shared>) {
-    let mut interval = tokio::time::interval_at(tokio::time::Instant::now() + PERIOD, PERIOD);
+    let mut interval = tokio::time::interval_at(tokio::time::Instant::now() + INTERVAL, INTERVAL);
     loop {
         interval.tick().await;
         log_traffic(&shared);
