--- a/crates/sablebay-node/src/catalogue_answer.rs
+++ b/crates/sablebay-node/src/catalogue_answer.rs
@@ -1,4 +1,4 @@
-//! Answers to peers that ask what is new in the catalogue.
+//! Answers catalogue requests of peers.
 
 use std::time::Duration;
 
@@ -9,35 +9,34 @@
 use crate::catalogue_store::LargeUpdate;
 use crate::shared::Shared;
 
-/// The longest that a question is held.
+/// The longest time for which a request is held open.
 const MAXIMUM_WAIT: Duration = Duration::from_secs(5);
 
-/// What a peer asks for.
+/// A long-polling request of a peer for catalogue updates.
 #[derive(Clone, Copy, Debug)]
 pub struct CatalogueRequest {
-    /// The version of the configuration that it has, or is fetching; 0 when none.
+    /// Version of the configuration that the peer has or is fetching; 0 when none.
     pub version: u64,
-    /// The number of the revision up to which it knows the replicas; 0 when none.
+    /// Number of the revision up to which the peer knows the replicas; 0 when none.
     pub number: u64,
-    /// The rest of where it stands; nothing from a node of an earlier release, which knows numbers alone.
+    /// The rest of the peer's position; absent from older releases, which send revision numbers only.
     pub standing: Option<AskerStanding>,
-    /// How long it waits until there is something new.
+    /// How long the peer waits for an update.
     pub wait: Duration,
-    /// Whether it takes steps between configurations, and fetches large answers in chunks.
+    /// Whether the peer accepts configuration steps and fetches large updates in chunks.
     pub takes_documents: bool,
 }
 
 impl CatalogueRequest {
-    /// Whether this node knows what the asker has yet to learn: it is answered at once.
+    /// Whether the peer is catching up and this node has caught up: the peer is answered at once.
     fn is_catch_up_ready(&self, view: &CatalogueView, now: Micros) -> bool {
         self.standing.is_some_and(|standing| standing.learns_from.is_some()) && view.has_caught_up(now)
     }
 
-    /// From where on the asker is told.
+    /// The position from which the peer needs updates.
     fn position(&self, view: &CatalogueView, now: Micros) -> PeerPosition {
         let Some(standing) = self.standing else {
-            // Its number is taken for one of the era that this node knows: it would be told again and again for an era that it
-            // does not name.
+            // An older release names no era. Assuming the current one avoids sending the full listing each time.
             return view.replicas_at().stage().at(self.number).into();
         };
         let at = standing.stage.at(self.number);
@@ -46,7 +45,7 @@
     }
 }
 
-/// What a peer is missing, as soon as there is anything or its time is over.
+/// Answers with the updates for a peer once there are any, or when its wait is over.
 pub async fn answer_catalogue(
     shared: &Shared,
     from: &InstanceKey,
@@ -71,7 +70,7 @@
     CatalogueSnapshot { offer: large.map(|large| offer_to(shared, from, large)), ..answer }
 }
 
-/// Tells a peer where it gets a document: from here, or from a peer beside it that asked before.
+/// Offers a document, to be fetched from this node or from a peer in the requester's zone.
 fn offer_to(shared: &Shared, from: &InstanceKey, large: LargeUpdate) -> DocumentOffer {
     let asker = shared.fleet.lock().members().get(&from.node).map(|member| member.info.clone());
     let source = asker.and_then(|asker| {
--- a/crates/sablebay-node/src/catalogue_store.rs
+++ b/crates/sablebay-node/src/catalogue_store.rs
@@ -1,4 +1,4 @@
-//! The catalogue as this node knows it, shared by whoever reads it, serves by it, and answers peers.
+//! Shared, thread-safe catalogue of this node, with its freshness and the documents sent to peers.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -14,45 +14,43 @@
 
 use crate::document_store::DocumentStore;
 
-/// Replicas from which on a list of all of them is a document: a hundred entries of some 90 bytes are 9 kB.
+/// Number of replicas from which a full listing is sent as a document.
 const LARGE_LISTING: usize = 100;
-/// How long a list of all replicas is given to further askers: many nodes may start at one moment, and what changed
-/// since is a small answer afterwards.
+/// How long a full listing is reused for other peers, which fetch later changes separately.
 const LISTING_LIFETIME: Micros = Micros::from_secs(1);
-/// Documents whose names are remembered at the most, for askers that need the same.
+/// Maximum number of documents that are reused for peers with the same base version.
 const MAXIMUM_CACHED_DOCUMENTS: usize = 8;
 
-/// What is too much for one answer.
+/// An update that is too large for one answer and is sent as a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LargeUpdate {
-    /// The document that holds it.
+    /// Digest of the document.
     pub digest: DocumentDigest,
-    /// The version of the configuration that it leads to.
+    /// Version of the configuration after the update.
     pub version: u64,
-    /// Whether it also lists all replicas.
+    /// Whether the document also lists all replicas.
     pub lists_replicas: bool,
 }
 
-/// A document that was made for an asker.
+/// A document that can be reused for other peers.
 #[derive(Clone, Copy, Debug)]
 struct CachedDocument {
-    /// The version that it leads on from.
+    /// Configuration version that the document updates from.
     base: u64,
     update: LargeUpdate,
     created_at: Micros,
 }
 
-/// The catalogue as this node knows it.
 pub struct CatalogueStore {
     view: Mutex<CatalogueView>,
     changed: watch::Sender<u64>,
-    /// In microseconds of the node's clock; 0 when it never did.
+    /// In microseconds of the node's clock; 0 before the first contact.
     last_contact: AtomicU64,
-    /// In microseconds of the node's clock; 0 when it never was.
+    /// In microseconds of the node's clock; 0 before the first confirmation.
     confirmed_at: AtomicU64,
-    /// The number of nodes met, once it can be told to others; 0 before.
+    /// Number of discovered nodes reported to peers; 0 while unknown.
     nodes_met: AtomicU64,
-    /// What is passed on in chunks.
+    /// Documents served to peers in chunks.
     pub documents: DocumentStore,
     cached: Mutex<Vec<CachedDocument>>,
 }
@@ -71,19 +69,19 @@
     }
 }
 
-/// A moment that is kept as a number.
+/// Reads a time stored in microseconds; `None` for 0.
 fn load_time(stored: &AtomicU64) -> Option<Micros> {
     let at = Micros(stored.load(Ordering::Acquire));
     (at.0 > 0).then_some(at)
 }
 
 impl CatalogueStore {
-    /// Reads something out of the view.
+    /// Calls `read` with the locked view.
     pub fn read<T>(&self, read: impl FnOnce(&CatalogueView) -> T) -> T {
         read(&self.view.lock())
     }
 
-    /// Changes the view; `change` says whether it did. Whoever waits for changes is told.
+    /// Calls `change` with the locked view and notifies subscribers when it returns true.
     pub fn update(&self, change: impl FnOnce(&mut CatalogueView) -> bool) -> bool {
         let changed = change(&mut self.view.lock());
         if changed {
@@ -92,63 +90,60 @@
         changed
     }
 
-    /// Tells of changes.
+    /// A receiver that is notified of changes.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Notes that somebody said at `at` that there is nothing newer. Whoever reads the source goes by this, and so does
-    /// a node that was suspended: an answer that was on its way for long is a sign of life all the same. It bounds
-    /// nothing.
+    /// Records an answer of the source or a peer at `at`. An answer may have been delayed, so a contact does not bound
+    /// the age of the configuration; see [`Self::confirm`].
     pub fn record_contact(&self, at: Micros) {
         self.last_contact.fetch_max(at.0, Ordering::AcqRel);
     }
 
-    /// When somebody last said that there is nothing newer; nothing when nobody did.
+    /// Time of the last recorded contact.
     pub fn last_contact(&self) -> Option<Micros> {
         load_time(&self.last_contact)
     }
 
-    /// How long ago that was.
     pub fn contact_ago(&self, now: Micros) -> Option<Micros> {
         self.last_contact().map(|at| now.since(at))
     }
 
-    /// Notes that the configuration known here is the newest up to `at` at the least. Called after what the answer
-    /// holds was taken into the view: who reads the bound before the view finds a configuration that is as new.
+    /// Records that the known configuration was the newest at `at`. Must be called after the answer was merged into
+    /// the view, so that a reader of the bound and then of the view finds a configuration at least as new.
     pub fn confirm(&self, at: Micros) {
         self.confirmed_at.fetch_max(at.0, Ordering::AcqRel);
     }
 
-    /// A moment up to which the configuration known here is the newest; nothing when none is known.
+    /// Latest time at which the known configuration was confirmed to be the newest.
     pub fn confirmed_at(&self) -> Option<Micros> {
         load_time(&self.confirmed_at)
     }
 
-    /// How long ago that was.
     pub fn confirmed_ago(&self, now: Micros) -> Option<Micros> {
         self.confirmed_at().map(|at| now.since(at))
     }
 
-    /// Sets the number of nodes that peers are told of.
+    /// Sets the number of discovered nodes that is reported to peers.
     pub fn set_nodes_met(&self, nodes: Option<usize>) {
         self.nodes_met.store(nodes.unwrap_or(0) as u64, Ordering::Relaxed);
     }
 
-    /// Notes that a peer has a version of the configuration.
+    /// Records that a peer has a version of the configuration.
     pub fn note_version(&self, version: u64, now: Micros) {
         self.view.lock().note_version(version, now);
     }
 
-    /// Waits until there is something that a peer with these revisions is missing.
+    /// Waits until the view is newer than these revisions, at most for `wait`.
     pub async fn wait_for_newer(&self, version: u64, replicas_at: CataloguePosition, wait: Duration) {
         let mut changes = self.subscribe();
         let newer = changes.wait_for(|_| self.read(|view| view.is_newer_than(version, replicas_at)));
-        // What there is after the time is over is told all the same.
+        // The caller answers with the current state in either case.
         let _ = tokio::time::timeout(wait, newer).await;
     }
 
-    /// What a peer that has these revisions is missing, in one answer however large. It asked `held` before `now`.
+    /// The update for a peer with these revisions, in one answer of any size. The request arrived `held` before `now`.
     pub fn snapshot(
         &self,
         version: u64,
@@ -160,8 +155,8 @@
         self.with_confirmation(held, now, || self.view.lock().snapshot(version, peer, now))
     }
 
-    /// What a peer that has these revisions is missing, as far as it is little, and where there is more. It asked `held`
-    /// before `now`.
+    /// The update for a peer with these revisions: the part that fits into one answer, and a document for the rest.
+    /// The request arrived `held` before `now`.
     pub fn snapshot_or_document(
         &self,
         version: u64,
@@ -179,7 +174,7 @@
         (answer, large)
     }
 
-    /// Splits what a peer is missing into what one answer holds and a document.
+    /// Splits an update into an inline answer and a document.
     fn split(
         &self,
         view: &CatalogueView,
@@ -196,13 +191,13 @@
             update => match self.document(view, version, update, lists_replicas, now) {
                 Some(large) if lists_replicas => (CatalogueSnapshot::default(), Some(large)),
                 Some(large) => (view.replica_update(peer, now), Some(large)),
-                // It cannot be encoded, and no other answer can.
+                // The document cannot be encoded.
                 None => (CatalogueSnapshot::default(), None),
             },
         }
     }
 
-    /// The document of what a peer that has `version` is missing.
+    /// The document that updates a peer from `version`; reuses a cached document where possible.
     fn document(
         &self,
         view: &CatalogueView,
@@ -244,14 +239,14 @@
         Some(update)
     }
 
-    /// What `read` gives, with how old it is.
+    /// Adds the freshness of this node to the snapshot that `read` returns.
     fn with_confirmation(
         &self,
         held: Micros,
         now: Micros,
         read: impl FnOnce() -> CatalogueSnapshot,
     ) -> CatalogueSnapshot {
-        // Before the view is looked at: what is told is as new as the bound, or newer.
+        // Read before the view, so that the snapshot is at least as new as the bound.
         let confirmation = self.confirmed_ago(now).map(|age| PeerConfirmation { held, age });
         let snapshot = read();
         let nodes_met = self.nodes_met.load(Ordering::Relaxed);
--- a/crates/sablebay-node/src/clock.rs
+++ b/crates/sablebay-node/src/clock.rs
@@ -1,4 +1,4 @@
-//! The node's clocks. The only place where the shell reads them.
+//! The node's monotonic and wall clocks.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -6,12 +6,12 @@
 
 use sablebay_model::{Micros, WallMillis};
 
-/// What a clock is read from. The two differ by the time that the machine was suspended.
+/// The source of a clock. The two readings differ by the time for which the machine was suspended.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockSource {
-    /// Time since the machine was started, without what it was suspended for: tokio's timers go by this.
+    /// Time since boot without suspension, as used by tokio's timers.
     pub running: fn() -> Duration,
-    /// The same with it.
+    /// Time since boot, including suspension.
     pub elapsed: fn() -> Duration,
 }
 
@@ -21,11 +21,11 @@
 }
 
 impl ClockSource {
-    /// The machine's.
+    /// The clocks of the operating system.
     const SYSTEM: Self = Self { running: || read(ClockId::Monotonic), elapsed: || read(ClockId::Boottime) };
 }
 
-/// A monotonic clock, and a wall clock that never steps back within a life of the node.
+/// A monotonic clock, and a wall clock that never goes back within one incarnation of the node.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     source: ClockSource,
@@ -34,16 +34,15 @@
     started_wall_ms: u64,
 }
 
-/// Offset of the monotonic clock's start, so that "long before the start" can be expressed.
+/// Reading of the monotonic clock at its start; nonzero so that earlier times can be expressed.
 const START: Micros = Micros::from_secs(3_600);
 
 impl Clock {
-    /// A clock that starts now.
     pub fn start() -> Self {
         Self::start_from(ClockSource::SYSTEM)
     }
 
-    /// A clock that starts now and goes by another source; for tests.
+    /// A clock that starts now and reads `source`; for tests.
     pub fn start_from(source: ClockSource) -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self {
@@ -59,25 +58,24 @@
         START.plus(Micros::from(self.running_for()))
     }
 
-    /// How long the clock has run: since the start of the node. The time that the machine was suspended counts:
-    /// callers waited meanwhile, replicas left, and leases ran out.
+    /// Time since the start of the clock, including suspension, since deadlines and leases expire meanwhile.
     pub fn running_for(&self) -> Duration {
         (self.source.elapsed)().saturating_sub(self.started)
     }
 
-    /// How long the machine was suspended since the start of the node.
+    /// Total time for which the machine was suspended since the start of the clock.
     pub fn suspended_for(&self) -> Duration {
         self.running_for().saturating_sub((self.source.running)().saturating_sub(self.started_running))
     }
 
-    /// Now, on the wall clock: its reading at the start, plus what the monotonic clock went on.
+    /// Now, on the wall clock: its reading at the start plus the elapsed monotonic time.
     ///
-    /// Holders of claims rely on this not stepping back when somebody sets the clock.
+    /// Claim holders rely on this not going back when the system clock is set.
     pub fn wall(&self) -> WallMillis {
         WallMillis(self.started_wall_ms + self.running_for().as_millis() as u64)
     }
 
-    /// The instant for tokio's timers at a point of the monotonic clock.
+    /// Converts a time of the monotonic clock to an instant for tokio's timers.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
         let left = at.since(self.now()).0.min(u64::from(u32::MAX) * 1_000);
         tokio::time::Instant::now() + Micros(left).as_duration()
--- a/crates/sablebay-node/src/cluster_view.rs
+++ b/crates/sablebay-node/src/cluster_view.rs
@@ -1,4 +1,4 @@
-//! The configuration in force and the members present: what plans are made from.
+//! Immutable view of the configuration in force and the present members, the input of plans.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,35 +10,31 @@
 /// One present member.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// The node.
     pub node: NodeId,
-    /// Its zone.
     pub zone: ZoneName,
-    /// Where peers connect.
+    /// Address of the peer listener.
     pub address: SocketAddr,
 }
 
-/// An immutable view; replaced whole when anything changes.
+/// An immutable view; replaced as a whole on every change.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterView {
-    /// Rises with every change.
+    /// Incremented with every change.
     pub epoch: u64,
-    /// What is in force.
+    /// The configuration in force.
     pub configuration: Option<Arc<Configuration>>,
-    /// The members that take work, without this node.
+    /// Members that accept work, without this node.
     pub peers: Arc<Vec<Peer>>,
 }
 
-/// The share of a leaf's connections that the fleet uses; the rest is for changes of plan.
+/// The share of a leaf's connections that the fleet uses; the rest is headroom for plan changes.
 const CONNECTION_SHARE: f64 = 0.9;
 
 impl ClusterView {
-    /// The view with another configuration.
     pub fn with_configuration(&self, configuration: Arc<Configuration>) -> ClusterView {
         ClusterView { epoch: self.epoch + 1, configuration: Some(configuration), peers: self.peers.clone() }
     }
 
-    /// The view with other members.
     pub fn with_members(&self, members: &MemberTable) -> ClusterView {
         let mut peers: Vec<Peer> = members
             .present()
@@ -56,20 +52,19 @@
         }
     }
 
-    /// The nodes that hold the connections to a service's leaves, this node perhaps among them.
+    /// The nodes that connect to a service's leaves; may include this node.
     pub fn aggregators(&self, service: &ServiceId, own: &NodeSettings) -> Vec<NodeId> {
         let peers = self.peers.iter().map(|peer| (&peer.node, &peer.zone));
         let nodes = peers.chain(std::iter::once((&own.node, &own.zone)));
         aggregators_of(service, nodes, own.aggregators_per_service as usize)
     }
 
-    /// Where a peer listens.
     pub fn peer(&self, node: &NodeId) -> Option<&Peer> {
         let position = self.peers.binary_search_by(|peer| peer.node.cmp(node)).ok()?;
         self.peers.get(position)
     }
 
-    /// Connections that this node may open to a leaf: its share of what the leaf takes.
+    /// This node's share of the connections that a leaf accepts; at least one.
     pub fn connections_for(&self, leaf: &LeafSettings, own: &NodeSettings) -> usize {
         let sharing = (self.peers.len() + 1).min(own.aggregators_per_service as usize);
         let whole = f64::from(leaf.connections) * CONNECTION_SHARE;
--- a/crates/sablebay-node/src/document_store.rs
+++ b/crates/sablebay-node/src/document_store.rs
@@ -1,7 +1,6 @@
-//! The documents that this node passes on in chunks, whole ones and those that it is still fetching itself.
+//! Documents that this node serves to peers in chunks.
 //!
-//! A chunk is passed on as soon as it is here: a document is on its way to the last node of a zone before the first
-//! one has all of it.
+//! Chunks are served as soon as they arrive, before the document is complete.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,19 +13,18 @@
 use sablebay_catalogue::{CHUNK_BYTES, Distribution, DocumentDigest, FAN_OUT};
 use sablebay_model::{Micros, ZoneName};
 
-/// How long a document is kept after somebody last asked for it: the askers of a zone come within a second or two.
+/// How long a document is kept after its last use.
 const RETENTION: Micros = Micros::from_secs(10);
-/// Documents that are kept at the most. Each has some hundred kilobytes, and the smallest nodes 112 MB.
 const MAXIMUM_DOCUMENTS: usize = 8;
-/// How long a question for a chunk waits until it arrives here: less than who asks waits before it asks another node.
+/// How long a request for a missing chunk waits; shorter than the requester's timeout for switching to another node.
 const ARRIVAL_TIMEOUT: Duration = Duration::from_millis(250);
-/// The largest document that is fetched, in bytes: four times the store's largest value.
+/// The largest document that is fetched, in bytes.
 pub const MAXIMUM_DOCUMENT_BYTES: u64 = 4 << 20;
 
 struct Document {
     chunks: Vec<Option<Bytes>>,
     used_at: Micros,
-    /// Who fetches it from whom, by zone.
+    /// Assignment of requesters to sources, by zone.
     distribution: HashMap<ZoneName, Distribution>,
 }
 
@@ -36,7 +34,6 @@
     }
 }
 
-/// The documents of one node.
 pub struct DocumentStore {
     documents: Mutex<HashMap<DocumentDigest, Document>>,
     /// Counts chunks that arrived.
@@ -50,7 +47,7 @@
 }
 
 impl DocumentStore {
-    /// Keeps a whole document.
+    /// Stores a complete document.
     pub fn insert(&self, content: Vec<u8>, now: Micros) -> DocumentDigest {
         let digest = DocumentDigest::of(&content);
         let content = Bytes::from(content);
@@ -66,7 +63,7 @@
         digest
     }
 
-    /// Makes room for a document that is about to be fetched. What is here of it already stays.
+    /// Prepares an entry for a document that is about to be fetched; chunks that already arrived are kept.
     pub fn begin_fetch(&self, digest: DocumentDigest, now: Micros) {
         let mut documents = self.documents.lock();
         let empty = || Document::new(vec![None; digest.chunks()], now);
@@ -74,7 +71,7 @@
         evict_oldest(&mut documents, digest);
     }
 
-    /// The chunks that are missing.
+    /// Numbers of the missing chunks.
     pub fn missing(&self, digest: DocumentDigest) -> Vec<usize> {
         let documents = self.documents.lock();
         let chunks = documents.get(&digest).map(|document| document.chunks.as_slice()).unwrap_or_default();
@@ -82,7 +79,7 @@
         missing.map(|(number, _)| number).collect()
     }
 
-    /// Keeps a chunk that arrived. Returns whether it was missing.
+    /// Stores a chunk. Returns whether it was missing.
     pub fn insert_chunk(&self, digest: DocumentDigest, number: usize, content: Vec<u8>) -> bool {
         let mut documents = self.documents.lock();
         let chunk = documents.get_mut(&digest).and_then(|document| document.chunks.get_mut(number));
@@ -95,13 +92,13 @@
         true
     }
 
-    /// Whether a document is here whole.
+    /// Whether all chunks of a document are present; their content is not verified.
     pub fn is_complete(&self, digest: DocumentDigest) -> bool {
         let documents = self.documents.lock();
         documents.get(&digest).is_some_and(|document| document.chunks.iter().all(Option::is_some))
     }
 
-    /// A document, once all of it is here and is what it is called. One that is not is forgotten.
+    /// The content of a complete document. A document that does not match its digest is removed.
     pub fn content(&self, digest: DocumentDigest) -> Option<Vec<u8>> {
         let mut documents = self.documents.lock();
         let chunks: Option<Vec<Bytes>> = documents.get(&digest)?.chunks.iter().cloned().collect();
@@ -113,17 +110,16 @@
         Some(content)
     }
 
-    /// Forgets a document.
     pub fn remove(&self, digest: DocumentDigest) {
         self.documents.lock().remove(&digest);
     }
 
-    /// A chunk that a peer asks for; waited for while it is on its way here. Nothing when it did not arrive.
+    /// Returns a chunk, waiting up to `ARRIVAL_TIMEOUT` for it to arrive.
     pub async fn chunk(&self, digest: DocumentDigest, number: u64, now: Micros) -> Option<Bytes> {
         let number = usize::try_from(number).ok()?;
         let mut arrivals = self.arrivals.subscribe();
         let arrived = arrivals.wait_for(|_| self.available_chunk(digest, number, now).is_some());
-        // What there is after the time is over is given all the same.
+        // The chunk is looked up again after a timeout.
         let _ = tokio::time::timeout(ARRIVAL_TIMEOUT, arrived).await;
         self.available_chunk(digest, number, now)
     }
@@ -135,7 +131,7 @@
         document.chunks.get(number).cloned().flatten()
     }
 
-    /// From whom a peer is to fetch a document; nothing: from this node.
+    /// The peer from which `asker` should fetch a document; `None` means this node.
     pub fn source_for(
         &self,
         digest: DocumentDigest,
@@ -143,7 +139,7 @@
         zone: &ZoneName,
         is_own_zone: bool,
     ) -> Option<SocketAddr> {
-        // A document crosses a zone's border once, and is passed on behind it.
+        // A document is sent into another zone once and distributed within that zone.
         let roots = if is_own_zone { FAN_OUT } else { 1 };
         let mut documents = self.documents.lock();
         let document = documents.get_mut(&digest)?;
@@ -151,13 +147,13 @@
         distribution.or_insert_with(|| Distribution::new(roots)).source_for(asker)
     }
 
-    /// Forgets what nobody has asked for lately.
+    /// Removes documents that were not used within `RETENTION`.
     pub fn expire(&self, now: Micros) {
         self.documents.lock().retain(|_, document| now.since(document.used_at) < RETENTION);
     }
 }
 
-/// Drops those that were asked for longest ago, but not `newest`.
+/// Evicts the least recently used documents, except `newest`.
 fn evict_oldest(documents: &mut HashMap<DocumentDigest, Document>, newest: DocumentDigest) {
     while documents.len() > MAXIMUM_DOCUMENTS {
         let others = documents.iter().filter(|(digest, _)| **digest != newest);
--- a/crates/sablebay-node/src/fleet_task.rs
+++ b/crates/sablebay-node/src/fleet_task.rs
@@ -1,4 +1,4 @@
-//! Drives the fleet's machine: time and messages in, messages and changes out.
+//! Drives the fleet state machine with time and messages and applies its outputs.
 
 use std::sync::Arc;
 
@@ -11,10 +11,9 @@
 use crate::peers::Incoming;
 use crate::shared::Shared;
 
-/// Ticks in a probe period.
 const TICKS_PER_PERIOD: u64 = 10;
 
-/// Runs until the node ends.
+/// Runs until the channel of incoming messages is closed.
 pub async fn run_fleet(shared: Arc<Shared>, mut incoming: mpsc::Receiver<Incoming>) {
     let period = Micros::from_millis(shared.settings.probe_period_ms);
     let mut interval = tokio::time::interval(Micros(period.0 / TICKS_PER_PERIOD).as_duration());
@@ -36,7 +35,7 @@
     }
 }
 
-/// One step of the fleet's machine, and all that follows from it.
+/// Runs one step of the fleet state machine and applies its outputs.
 pub fn step_fleet<T>(
     shared: &Arc<Shared>,
     step: impl FnOnce(&mut FleetNode, Micros, &mut Vec<FleetOutput>) -> T,
@@ -87,7 +86,7 @@
     }
 }
 
-/// Tells the fleet that a leaf is leaving or has come back, unless it is known.
+/// Announces to the fleet that a leaf is leaving or is back, unless this is known already.
 pub fn note_leaf(shared: &Arc<Shared>, leaf: &sablebay_model::LeafId, leaving: bool) {
     if shared.fleet.lock().leaving_leaves().is_leaving(leaf) == leaving {
         return;
--- a/crates/sablebay-node/src/freshness.rs
+++ b/crates/sablebay-node/src/freshness.rs
@@ -1,4 +1,4 @@
-//! Whether the configuration is confirmed, as the query path sees it without taking a lock.
+//! Lock-free copy of the configuration's freshness for the query path.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
@@ -9,7 +9,7 @@
 
 const NEVER: u64 = u64::MAX;
 
-/// A copy of the freshness lease, published after each step of the fleet's machine.
+/// A copy of the freshness lease, published after each step of the fleet state machine.
 #[derive(Default)]
 pub struct Freshness {
     confirmed_at: AtomicU64,
@@ -19,7 +19,6 @@
 }
 
 impl Freshness {
-    /// Publishes the state of the fleet's machine.
     pub fn publish(&self, fleet: &FleetNode, now: Micros) {
         let confirmed_at = fleet.confirmed_ago(now).map_or(NEVER, |ago| now.since(ago).0);
         let fresh_until =
@@ -30,17 +29,17 @@
         self.changed.notify_waiters();
     }
 
-    /// Whether the node may serve.
+    /// Whether the node may serve requests.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Acquire)
     }
 
-    /// Whether the configuration is confirmed at `now`. A process that slept finds it is not.
+    /// Whether the freshness lease is valid at `now`.
     pub fn is_fresh(&self, now: Micros) -> bool {
         now.0 <= self.fresh_until.load(Ordering::Acquire)
     }
 
-    /// How long ago it was confirmed, in milliseconds.
+    /// Milliseconds since the configuration was last confirmed.
     pub fn confirmed_ms_ago(&self, now: Micros) -> Option<u64> {
         let at = self.confirmed_at.load(Ordering::Acquire);
         (at != NEVER).then(|| now.since(Micros(at)).as_millis())
--- a/crates/sablebay-node/src/quarantine_store.rs
+++ b/crates/sablebay-node/src/quarantine_store.rs
@@ -1,5 +1,4 @@
-//! The requests that back ends ended under, as this node knows them: shared by whoever sends them on, answers
-//! peers, and shows them to operators.
+//! Shared, thread-safe state of requests that crashed back ends, with change notification and log lines.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,13 +14,13 @@
 };
 use sablebay_model::{Micros, RequestDigest};
 
-/// How often a run that has to wait looks again by itself: the lease may be given out by another node.
+/// How often a waiting run checks again without a local change: another node may own the lease.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The requests that back ends ended under, as this node knows them.
+/// Requests that crashed back ends, as known to this node.
 pub struct QuarantineStore {
     known: Mutex<Quarantine>,
-    /// The run of this node that asks for, or has, the lease of a request.
+    /// The run of this node that requests or holds the lease of a request.
     requesting: Mutex<HashMap<RequestDigest, RequestingRun>>,
     changed: watch::Sender<u64>,
 }
@@ -32,31 +31,30 @@
     }
 }
 
-/// A run that asks for, or has, the lease of its request.
+/// A run that requests or holds the lease of its request.
 struct RequestingRun {
     run: RunId,
-    /// Until when no other run of this node asks.
+    /// Until when other runs of this node may not request the lease.
     until: Micros,
 }
 
-/// A request that something speaks against, as operators see it.
+/// A request with recorded crashes, as reported to operators.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SuspectReport {
-    /// The request, by what it asks for.
+    /// Digest of the request's content.
     pub digest: RequestDigest,
-    /// Its route.
     pub route: String,
-    /// What may be done with it.
+    /// Quarantine status.
     pub standing: String,
-    /// Back ends that ended under it one after the other.
+    /// Consecutive crashes.
     pub strikes: u32,
-    /// Back ends that ended under it in all, as far as the node knows.
+    /// All crashes known to this node.
     pub ended: u32,
-    /// The last of these, by their ids.
+    /// Ids of the replicas that crashed most recently.
     pub back_ends: Vec<String>,
-    /// Milliseconds since the last of these ended.
+    /// Milliseconds since the last crash.
     pub last_ended_ms_ago: u64,
-    /// Milliseconds until its quarantine is over; absent when it is not held back.
+    /// Milliseconds until the quarantine ends; absent when the request is not quarantined.
     pub held_for_ms: Option<u64>,
 }
 
@@ -78,34 +76,33 @@
 }
 
 impl QuarantineStore {
-    /// Whether nothing is known of any request, so that none needs to be looked up.
+    /// Whether no request is recorded, so that lookups can be skipped.
     pub fn is_empty(&self) -> bool {
         self.known.lock().is_empty()
     }
 
-    /// What may be done with a request.
     pub fn status(&self, digest: &RequestDigest, now: Micros) -> QuarantineStatus {
         self.known.lock().status(digest, now)
     }
 
-    /// Whether a run may begin. See [`Quarantine::permit`].
+    /// Whether a run may start. See [`Quarantine::permit`].
     pub fn permit(&self, digest: &RequestDigest, service: &ServiceName, now: Micros) -> RunPermit {
         self.known.lock().permit(digest, service, now)
     }
 
-    /// Gives a run the lease of its request. See [`Quarantine::grant`].
+    /// Grants the lease of a request to a run. See [`Quarantine::grant`].
     pub fn grant(&self, digest: &RequestDigest, wanted: LeaseRequest, now: Micros) -> bool {
         self.known.lock().grant(digest, wanted, now)
     }
 
-    /// Waits until what is known has changed, or for a moment.
+    /// Waits for the next change, at most for `RECHECK_INTERVAL`.
     pub async fn wait(&self) {
         let mut changes = self.changed.subscribe();
-        // Whoever waits looks again in either case.
+        // The caller checks again in either case.
         let _ = tokio::time::timeout(RECHECK_INTERVAL, changes.changed()).await;
     }
 
-    /// Tells of changes.
+    /// A receiver that is notified of changes.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
@@ -114,8 +111,8 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Whether a run may ask for the lease of its request: one of this node at a time does, so that a
-    /// search over many shards asks once and not for each.
+    /// Registers a run as the requester of the lease; false while another run of this node is registered.
+    /// A search over many shards thus requests the lease once.
     pub fn begin_lease_request(&self, digest: &RequestDigest, wanted: LeaseRequest, now: Micros) -> bool {
         let mut requesting = self.requesting.lock();
         let is_other_run =
@@ -127,7 +124,7 @@
         true
     }
 
-    /// A run asks no longer for the lease of its request, nor has it.
+    /// Removes the registration of a run that neither requests nor holds the lease any more.
     pub fn end_lease_request(&self, digest: &RequestDigest, run: RunId) {
         let mut requesting = self.requesting.lock();
         if requesting.get(digest).is_some_and(|requesting| requesting.run == run) {
@@ -137,14 +134,14 @@
         }
     }
 
-    /// A run is over: others need no longer wait for it.
+    /// Releases the lease of a finished run.
     pub fn release_lease(&self, digest: &RequestDigest, run: RunId) {
         if self.known.lock().release_lease(digest, run) {
             self.note_change();
         }
     }
 
-    /// A back end ended under a run of this node.
+    /// Records that a back end crashed during a run of this node.
     pub fn record_crash(&self, digest: RequestDigest, route: &str, run: CrashedRun, now: Micros) {
         let mut known = self.known.lock();
         let before = known.record_crash(digest, route, run, now);
@@ -153,7 +150,7 @@
         self.note_change();
     }
 
-    /// A run of this node ended well.
+    /// Records a successful run of this node.
     pub fn record_success(
         &self,
         digest: &RequestDigest,
@@ -171,7 +168,7 @@
         }
     }
 
-    /// Another node told what it knows; `to_everyone` says that it told every node.
+    /// Merges notices of another node; `to_everyone` means that it sent them to all nodes.
     pub fn merge_notices(&self, from: &str, notices: &[QuarantineNotice], to_everyone: bool, now: Micros) {
         let mut changed_state = false;
         let mut known = self.known.lock();
@@ -186,7 +183,7 @@
         }
     }
 
-    /// An operator releases a request. Returns whether it is known here.
+    /// Releases a request on behalf of an operator. Returns whether the request is known here.
     pub fn release(&self, digest: &RequestDigest, now: Micros) -> bool {
         let mut known = self.known.lock();
         let before = known.status(digest, now);
@@ -199,34 +196,32 @@
         released
     }
 
-    /// What is still to be told to other nodes. See [`Quarantine::take_updates`].
+    /// Takes the notices that have to be sent to other nodes. See [`Quarantine::take_updates`].
     pub fn take_updates(&self, now: Micros) -> Vec<(QuarantineNotice, Audience)> {
         let mut known = self.known.lock();
         known.expire(now);
         known.take_updates(now)
     }
 
-    /// Back ends that ended under requests, as far as they are kept, and when.
+    /// Replicas that crashed under recorded requests, with the time of the crash.
     pub fn ended_replicas(&self) -> Vec<(ReplicaId, Micros)> {
         self.known.lock().ended_replicas()
     }
 
-    /// What is known of one request.
     pub fn notice(&self, digest: &RequestDigest, now: Micros) -> Option<QuarantineNotice> {
         self.known.lock().notice(digest, now)
     }
 
-    /// What is known, for another node to compare with.
+    /// All notices, for another node to compare with its own.
     pub fn notices(&self, now: Micros) -> Vec<QuarantineNotice> {
         self.known.lock().notices(now)
     }
 
-    /// What speaks against which request, for operators.
+    /// All recorded requests, for operators.
     pub fn report(&self, now: Micros) -> Vec<SuspectReport> {
         self.known.lock().suspects(now).iter().map(|suspect| report(suspect, now)).collect()
     }
 
-    /// How many requests are held back now.
     pub fn quarantined_count(&self, now: Micros) -> usize {
         let known = self.known.lock();
         let held = known
@@ -237,7 +232,7 @@
     }
 }
 
-/// Writes a line when a request is held back from now on, or no longer.
+/// Logs the start of a quarantine and the return of a request to [`QuarantineStatus::Clear`].
 fn log_status_change(
     known: &Quarantine,
     digest: &RequestDigest,
@@ -258,7 +253,7 @@
         }
         QuarantineStatus::Clear if before != QuarantineStatus::Clear => {
             let held = u8::from(was_quarantined);
-            log::info!(digest = digest.to_string().as_str(), before = before.to_string().as_str(), was_held = held, by = by; "quarantine: nothing speaks against a request any more.");
+            log::info!(digest = digest.to_string().as_str(), before = before.to_string().as_str(), was_held = held, by = by; "quarantine: a request is clear again.");
         }
         _ => {}
     }
