--- a/crates/sablebay-node/src/admin_api.rs
+++ b/crates/sablebay-node/src/admin_api.rs
@@ -28,14 +28,12 @@
 use crate::service_counts::ServiceReport;
 use crate::shared::Shared;
 
-/// The longest candidate configuration.
+/// The longest candidate configuration that is accepted.
 const MAXIMUM_CANDIDATE_BYTES: usize = 64 << 20;
-/// How long peers have to send their reports.
+/// How long a peer may take to send its report.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Peers asked for their report at once.
 const MAXIMUM_CONCURRENT_REPORTS: usize = 64;
 
-/// The routes.
 pub fn admin_routes(shared: Arc<Shared>) -> Router {
     let routes = Router::new()
         .route("/v1/status", get(status))
@@ -50,14 +48,14 @@
     with_common_routes(routes).layer(DefaultBodyLimit::max(MAXIMUM_CANDIDATE_BYTES)).with_state(shared)
 }
 
-/// State-changing calls need the operator's token; without one configured they are taken from
-/// this machine alone.
+/// Checks the operator's token of a state-changing call. Without a configured token, only calls from loopback
+/// addresses are allowed.
 fn authorize(shared: &Shared, from: SocketAddr, headers: &HeaderMap) -> Result<(), Refusal> {
     let Some(token) = &shared.settings.operator_token else {
         if from.ip().is_loopback() {
             return Ok(());
         }
-        let message = "no operator_token is set, so that this call is taken from this machine alone";
+        let message = "no operator_token is set; this call is accepted from loopback addresses only";
         return Err(Refusal::not_run(Reason::Unauthorized, message));
     };
     let given = headers.get(TOKEN_HEADER).map_or(&[][..], |value| value.as_bytes());
@@ -73,14 +71,13 @@
     fleet: bool,
 }
 
-/// What every node of the fleet says, or why it did not.
+/// Reports of all nodes of the fleet.
 #[derive(Serialize)]
 struct FleetStatus {
-    /// How many nodes run each version.
+    /// Number of nodes by configuration version.
     versions: BTreeMap<String, usize>,
-    /// Nodes that gave no report.
+    /// Nodes that did not report in time.
     silent: Vec<String>,
-    /// The reports.
     nodes: Vec<NodeReport>,
 }
 
@@ -162,7 +159,7 @@
     Json(answer).into_response()
 }
 
-/// What a candidate configuration would change.
+/// The effect of adopting a candidate configuration.
 #[derive(Serialize)]
 struct CandidateAnswer {
     valid: bool,
@@ -270,7 +267,7 @@
     Json(node_report(&shared)).into_response()
 }
 
-/// Refuses new work, and tells the fleet.
+/// Starts refusing new work and announces the leave to the fleet. Does nothing while draining.
 pub fn start_draining(shared: &Arc<Shared>) {
     if shared.lifecycle.is_draining() {
         return;
@@ -310,7 +307,7 @@
         Err(error) => return refusal_response(Refusal::not_run(Reason::BadRequest, format!("{error}"))),
     };
     if !shared.quarantine.release(&digest, shared.clock.now()) {
-        let message = format!("nothing is known of a request {digest}");
+        let message = format!("request {digest} is not known to this node");
         return refusal_response(Refusal::not_run(Reason::BadRequest, message));
     }
     StatusCode::NO_CONTENT.into_response()
@@ -335,7 +332,7 @@
         return refusal_response(Refusal::not_run(Reason::BadRequest, message));
     };
     let Some(control) = &shared.log_control else {
-        let message = "this process has no log of its own";
+        let message = "the log level of this process cannot be changed";
         return refusal_response(Refusal::not_run(Reason::BadRequest, message));
     };
     match control.set_level(body.level) {
--- a/crates/sablebay-node/src/logging.rs
+++ b/crates/sablebay-node/src/logging.rs
@@ -1,4 +1,4 @@
-//! Structured logs, by log4rs.
+//! Structured logging with log4rs.
 
 mod line_encoder;
 mod queued_appender;
@@ -15,12 +15,12 @@
 use line_encoder::LineEncoder;
 use queued_appender::QueuedAppender;
 
-/// One line of text: time, level, message, and the fields that records carry most.
+/// One line of text: time, level, message, and the most common fields.
 const TEXT_PATTERN: &str =
     "{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l:5} {m} {K(service)} {K(request)} {K(reason)}{n}";
 const APPENDER: &str = "process_output";
 
-/// Changes the level while the process runs.
+/// Changes the log level at runtime.
 #[derive(Clone)]
 pub struct LogControl {
     handle: log4rs::Handle,
@@ -40,10 +40,10 @@
         .map_err(|error| NodeError::Log { message: error.to_string() })
 }
 
-/// Starts the log of the process.
+/// Starts logging for the process.
 ///
 /// # Errors
-/// When the log was started before.
+/// When logging was already started or the configuration is invalid.
 pub fn start_logging(
     level: LevelFilter,
     format: LogFormat,
@@ -55,10 +55,8 @@
 }
 
 impl LogControl {
-    /// Changes the level.
-    ///
     /// # Errors
-    /// When the new configuration is not accepted.
+    /// When the new configuration is invalid.
     pub fn set_level(&self, level: LevelFilter) -> Result<(), NodeError> {
         self.handle.set_config(configuration(level, self.format, self.target)?);
         Ok(())
--- a/crates/sablebay-node/src/logging/line_encoder.rs
+++ b/crates/sablebay-node/src/logging/line_encoder.rs
@@ -1,4 +1,4 @@
-//! One JSON object a record: time, level, message, and the record's own fields.
+//! Encodes each log record as one JSON object: time, level, message, and the record's fields.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 use log::kv::{Error, Key, Value, VisitSource};
 use log4rs::encode::{Encode, Write};
 
-/// Writes a record as one JSON object with few fixed fields: each byte is paid for.
+/// Writes a record as one JSON object on a line, with few fixed fields to keep logs small.
 #[derive(Debug)]
 pub struct LineEncoder;
 
@@ -20,7 +20,7 @@
         line.push('"');
         push_field(&mut line, "message", &record.args());
         let mut fields = Fields { line: &mut line };
-        // Collecting into a text does not fail.
+        // Writing to a `String` does not fail.
         let _ = record.key_values().visit(&mut fields);
         line.push_str("}\n");
         writer.write_all(line.as_bytes())?;
@@ -44,11 +44,11 @@
 
 fn push_raw(line: &mut String, key: &str, value: &dyn fmt::Display) {
     use fmt::Write;
-    // Writing to a text does not fail.
+    // Writing to a `String` does not fail.
     let _ = write!(line, ",\"{key}\":{value}");
 }
 
-/// A field as a JSON text.
+/// Appends a field as a JSON string.
 fn push_field(line: &mut String, key: &str, value: &dyn fmt::Display) {
     let quoted = serde_json::to_string(&value.to_string()).unwrap_or_default();
     push_raw(line, key, &quoted);
--- a/crates/sablebay-node/src/logging/queued_appender.rs
+++ b/crates/sablebay-node/src/logging/queued_appender.rs
@@ -1,4 +1,4 @@
-//! Writes log lines from a thread of its own: whoever logs never waits for the output.
+//! Writes log lines from a dedicated thread, so that logging never blocks on the output.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -12,21 +12,21 @@
 
 use sablebay_config::LogTarget;
 
-/// Lines that wait at the most; more are left out and counted.
+/// Maximum number of queued lines; further lines are dropped and counted.
 const QUEUE_LENGTH: usize = 2_048;
-/// How long a flush waits for the thread.
+/// How long a flush waits for the writer thread.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What the thread is handed.
+/// An item of the writer thread's queue.
 #[derive(Debug)]
 enum Item {
-    /// A line to be written.
+    /// An encoded log line.
     Line(Vec<u8>),
-    /// Say so when everything before this was written.
+    /// Requests a signal once all earlier items are written.
     Flush(SyncSender<()>),
 }
 
-/// Hands lines to a thread that writes them.
+/// An appender that queues lines for a writer thread.
 #[derive(Debug)]
 pub struct QueuedAppender {
     encoder: Box<dyn Encode>,
@@ -35,13 +35,13 @@
 }
 
 impl QueuedAppender {
-    /// Starts the thread.
+    /// Starts the writer thread.
     pub fn start(target: LogTarget, encoder: Box<dyn Encode>) -> Self {
         let (lines, waiting) = sync_channel(QUEUE_LENGTH);
         let lost = Arc::new(AtomicU64::new(0));
         let counted = lost.clone();
         let writer = std::thread::Builder::new().name("log".to_string());
-        // Without the thread the channel is closed, and every line counts as lost.
+        // If the thread cannot be started, the channel is closed and all lines count as lost.
         let _ = writer.spawn(move || write_lines(target, &waiting, &counted));
         Self { encoder, lines, lost }
     }
@@ -60,7 +60,7 @@
     fn flush(&self) {
         let (written, waiting) = sync_channel(1);
         if self.lines.try_send(Item::Flush(written)).is_ok() {
-            // Whoever stops does not wait for a slow output.
+            // A slow output must not delay the caller beyond the timeout.
             let _ = waiting.recv_timeout(FLUSH_TIMEOUT);
         }
     }
@@ -70,7 +70,7 @@
     while let Ok(first) = items.recv() {
         let mut text = Vec::new();
         let mut flushed = Vec::new();
-        // Whatever waits already is written with it.
+        // All items already queued are written together.
         for item in std::iter::once(first).chain(items.try_iter()) {
             match item {
                 Item::Line(line) => text.extend_from_slice(&line),
@@ -90,7 +90,7 @@
             lost.fetch_add(1, Ordering::Relaxed);
         }
         for waiting in flushed {
-            // Whoever asked may have given up.
+            // The caller's flush may have timed out.
             let _ = waiting.try_send(());
         }
     }
--- a/crates/sablebay-node/src/mechanisms.rs
+++ b/crates/sablebay-node/src/mechanisms.rs
@@ -1,22 +1,22 @@
-//! Mechanisms of a node that can be turned off, so that an experiment can show that its checker notices.
+//! Mechanisms of a node that fault-injection experiments can turn off.
 
 use sablebay_fleet::FleetMechanisms;
 use sablebay_query::Mechanisms;
 
-/// Mechanisms that an experiment can turn off, to show that its checker notices.
+/// Mechanisms that an experiment can turn off to verify that its checker detects the resulting fault.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeMechanisms {
-    /// Those of the query path.
+    /// Mechanisms of the query path.
     pub routing: Mechanisms,
-    /// Those of the fleet.
+    /// Mechanisms of the fleet.
     pub fleet: FleetMechanisms,
     /// Write-once claims.
     pub claims: bool,
-    /// Waiting for requests in flight at a planned stop.
+    /// Waiting for requests in flight during a graceful stop.
     pub wait_at_stop: bool,
-    /// Holding a leaf's answer against the call that it names. Off: it is taken for the oldest one.
+    /// Matching a leaf's answer to the call that it names. Off: the answer is matched to the oldest call.
     pub correlation: bool,
-    /// Calling an operation's outcome unknown when its back end gave no word. Off: `not_run`.
+    /// Reporting an operation's outcome as unknown when its back end did not answer. Off: `not_run`.
     pub unknown_outcomes: bool,
 }
 
--- a/crates/sablebay-node/src/node.rs
+++ b/crates/sablebay-node/src/node.rs
@@ -1,4 +1,4 @@
-//! A node: opens its listeners, starts its tasks, and stops as planned.
+//! A node: opens its listeners, starts its tasks, and stops gracefully.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU64;
@@ -47,35 +47,28 @@
 use crate::traffic::TrafficLedger;
 use crate::traffic_log::{log_traffic, run_traffic_log};
 
-/// The addresses that a node's listeners got.
+/// The bound addresses of a node's listeners.
 #[derive(Clone, Debug, Serialize)]
 pub struct BoundAddresses {
-    /// The node's name.
     pub node: String,
-    /// For callers.
     pub caller_address: SocketAddr,
-    /// For operators.
     pub admin_address: SocketAddr,
-    /// For peers.
     pub peer_address: SocketAddr,
 }
 
-/// Incoming fleet messages that wait at the most.
+/// Maximum number of queued incoming fleet messages.
 const FLEET_QUEUE: usize = 65_536;
-/// How long the listeners stay open after the last request, for callers that have not yet heard
-/// that the node is stopping.
+/// How long the listeners stay open after the last request, for callers that do not yet know that the node stops.
 const LINGER: Duration = Duration::from_millis(300);
-/// How long connections that stay silent are kept after that: a caller that has not heard yet is
-/// answered on them, and told to take its next request elsewhere.
+/// How long idle connections are kept after that, so that further requests on them are answered with a notice to
+/// use another node.
 const IDLE_GRACE: Duration = Duration::from_millis(500);
-/// How long open connections may take to end after that.
+/// How long the remaining connections may take to close after that.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A running node. Dropping it ends its tasks at once; [`Node::stop`] is the planned stop.
+/// A running node. Dropping it aborts its tasks; [`Node::stop`] stops gracefully.
 pub struct Node {
-    /// The addresses of its listeners.
     pub addresses: BoundAddresses,
-    /// What its parts share.
     pub shared: Arc<Shared>,
     tasks: Vec<JoinHandle<()>>,
     servers: Vec<JoinHandle<()>>,
@@ -95,7 +88,6 @@
     listener.map_err(|source| NodeError::Listen { address, purpose, source })
 }
 
-/// Where a listener can be reached; it was just bound, so that it has an address.
 fn bound(listener: &TcpListener) -> SocketAddr {
     listener.local_addr().expect("a bound listener has an address")
 }
@@ -104,7 +96,7 @@
     /// Starts a node.
     ///
     /// # Errors
-    /// When a listener cannot be opened, or peers off this machine would go without a key.
+    /// When a listener cannot be opened, or the peer address is not loopback and no fleet key is set.
     pub async fn start(
         settings: NodeSettings,
         mechanisms: NodeMechanisms,
@@ -146,8 +138,8 @@
         Ok(Node { addresses, shared, tasks, servers, listeners })
     }
 
-    /// The planned stop: refuses new work, tells the fleet and the callers, finishes what is in
-    /// flight, and ends in bounded time. Returns whether nothing was cut.
+    /// Stops gracefully within a bounded time: refuses new work, announces the leave, and finishes requests in
+    /// flight. Returns whether all of them finished.
     pub async fn stop(mut self) -> bool {
         start_draining(&self.shared);
         let limit = Duration::from_millis(self.shared.settings.stop_timeout_ms);
@@ -172,7 +164,7 @@
         finished
     }
 
-    /// Closes the listeners, then their connections; see [`ListenerPhase`].
+    /// Closes the listeners, then their connections. See [`ListenerPhase`].
     async fn close_listeners(&self, servers: Vec<JoinHandle<()>>) {
         let closing = async {
             for server in servers {
@@ -261,7 +253,6 @@
     (shared, peer_context)
 }
 
-/// Answers requests of peers.
 struct Handler(Arc<Shared>);
 
 impl RequestHandler for Handler {
--- a/crates/sablebay-node/src/peers.rs
+++ b/crates/sablebay-node/src/peers.rs
@@ -1,7 +1,7 @@
 //! Connections between nodes.
 //!
-//! One connection carries one-way fleet messages and numbered requests, both ways. Control and
-//! data have connections of their own, so that a large result never delays a probe.
+//! A connection carries one-way fleet messages and numbered requests in both directions. Control and
+//! data use separate connections, so that a large result never delays a probe.
 
 mod connection;
 #[cfg(test)]
@@ -30,7 +30,7 @@
 
 pub use listener::run_listener;
 
-/// Whether a connection is for the fleet's own needs or for queries.
+/// Whether a connection carries control traffic or queries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Lane {
     /// Membership, configuration, claims.
@@ -39,47 +39,46 @@
     Data,
 }
 
-/// A fleet message that came in.
+/// A received fleet message.
 #[derive(Debug)]
 pub struct Incoming {
-    /// Who sent it.
+    /// The sender.
     pub from: InstanceKey,
-    /// Where that node listens.
+    /// The sender's peer listener.
     pub address: SocketAddr,
-    /// The message.
     pub message: FleetMessage,
 }
 
-/// Why a request to a peer has no answer.
+/// Why a request to a peer failed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerFailure {
-    /// No byte can have reached it.
+    /// No part of the request can have reached the peer.
     NotSent,
     /// The connection failed after the request was sent.
     Broken,
-    /// No answer came in time.
+    /// The deadline passed without an answer.
     TimedOut,
-    /// The peer refused it without running it.
+    /// The peer refused the request without running it.
     Refused(Refusal),
 }
 
-/// Tells a peer how far its request is, before the answer.
+/// Sends partial results of a request to the peer before the answer.
 pub struct ProgressSender {
     number: u64,
     answers: mpsc::Sender<Outgoing>,
 }
 
 impl ProgressSender {
-    /// Sends a part of the answer. It waits for room in the peer's queue.
+    /// Sends a part of the answer, waiting for space in the connection's queue.
     pub async fn send(&self, response: PeerResponse) {
-        // A peer that is gone wants no answer.
+        // Fails only when the connection is closed.
         let _ = self.answers.send(PeerMessage::Progress { number: self.number, response }.into()).await;
     }
 }
 
 /// Answers requests of peers.
 pub trait RequestHandler: Send + Sync + 'static {
-    /// Answers one request. Dropped when the peer cancels it.
+    /// Answers one request. The future is dropped when the peer cancels the request.
     fn handle(
         self: Arc<Self>,
         from: InstanceKey,
@@ -88,54 +87,50 @@
     ) -> impl Future<Output = PeerResponse> + Send;
 }
 
-/// Frames that were turned away, by cause.
+/// Rejected frames and dropped messages, by cause.
 #[derive(Debug, Default)]
 pub struct PeerCounters {
-    /// Wrong proof of the fleet's key.
+    /// Frames whose proof of the fleet's key is wrong.
     pub wrong_proof: AtomicU64,
-    /// Malformed or oversized.
+    /// Malformed or oversized frames.
     pub malformed: AtomicU64,
     /// Messages dropped because a peer's queue was full or its connection was closed.
     pub dropped: AtomicU64,
 }
 
-/// What every connection of this node needs.
+/// State shared by all connections of this node.
 pub struct PeerContext {
-    /// The fleet.
     pub fleet: FleetName,
     /// The fleet's shared key.
     pub secret: String,
-    /// This node.
     pub info: MemberInfo,
-    /// Where fleet messages go.
+    /// Queue of received fleet messages.
     pub incoming: mpsc::Sender<Incoming>,
-    /// Counts.
     pub counters: PeerCounters,
-    /// The bytes of all connections, by kind.
+    /// Bytes of all connections, by kind.
     pub traffic: TrafficLedger,
-    /// How many large answers may be on their way to peers at one moment; the others wait.
+    /// Limits the large answers being written at the same time.
     pub large_answers: Arc<Semaphore>,
 }
 
-/// Large answers, of one chunk each, that are on their way to peers at one moment: 64 kB, which hold a link of 14 Mbit/s
-/// for 37 ms. What the node asks and is asked else waits no longer behind them.
+/// Maximum number of large answers, of one chunk each, being written at the same time; bounds the delay of other
+/// messages on a slow link.
 const MAXIMUM_LARGE_ANSWERS: usize = 4;
 
-/// The room for large answers of one node.
 pub fn large_answer_permits() -> Arc<Semaphore> {
     Arc::new(Semaphore::new(MAXIMUM_LARGE_ANSWERS))
 }
 
 /// How long a connection attempt may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Connections kept open at the most; the least recently used are closed first.
+/// Number of connections from which idle ones are closed.
 const MAXIMUM_CONNECTIONS: usize = 512;
-/// How long a connection without traffic is kept.
+/// How long a connection without traffic counts as active.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 type Slot = Arc<tokio::sync::Mutex<Option<Arc<Connection>>>>;
 
-/// Sends messages and requests to peers by their address.
+/// Sends messages and requests to peers by address.
 pub struct PeerTransport {
     context: Arc<PeerContext>,
     slots: Mutex<HashMap<(SocketAddr, Lane), Slot>>,
@@ -143,17 +138,14 @@
 }
 
 impl PeerTransport {
-    /// A transport without connections.
     pub fn new(context: Arc<PeerContext>) -> Self {
         Self { context, slots: Mutex::default(), next_request: AtomicU64::new(1) }
     }
 
-    /// The counts of turned-away frames and sent bytes.
     pub fn counters(&self) -> &PeerCounters {
         &self.context.counters
     }
 
-    /// The bytes of this node's connections, by kind.
     pub fn traffic(&self) -> &TrafficLedger {
         &self.context.traffic
     }
@@ -180,7 +172,7 @@
         Some(connection)
     }
 
-    /// Sends a fleet message. It may be lost; the protocols above allow for that.
+    /// Sends a fleet message without delivery guarantee.
     pub fn send(self: &Arc<Self>, address: SocketAddr, message: FleetMessage) {
         let transport = self.clone();
         tokio::spawn(async move {
@@ -195,7 +187,7 @@
     /// Sends a request and waits for its answer.
     ///
     /// # Errors
-    /// [`PeerFailure`], which tells whether the peer can have run it.
+    /// [`PeerFailure`], which tells whether the peer may have run the request.
     pub async fn request(
         &self,
         address: SocketAddr,
@@ -217,10 +209,10 @@
         }
     }
 
-    /// Sends a request whose answer comes in parts.
+    /// Sends a request whose answer may arrive in parts.
     ///
     /// # Errors
-    /// [`PeerFailure::NotSent`].
+    /// [`PeerFailure::NotSent`] when the request could not be queued on a connection in time.
     pub async fn open_request(
         &self,
         address: SocketAddr,
--- a/crates/sablebay-node/src/peers/connection.rs
+++ b/crates/sablebay-node/src/peers/connection.rs
@@ -1,4 +1,4 @@
-//! One connection that this node opened, or accepted.
+//! Connections to peers: the sending side, and the reader and writer tasks.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,18 +17,17 @@
 use super::{Incoming, PeerContext};
 use crate::traffic::{TrafficKind, TrafficSpan};
 
-/// Messages that wait to be written at the most; more are dropped.
+/// Maximum number of queued messages; further messages are dropped.
 const QUEUE_LENGTH: usize = 8_192;
 
-/// How long a large answer may keep others waiting: a peer that takes nothing any more holds nobody up.
+/// How long a large answer may hold its permit, so that a stalled peer does not block answers to others.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A message that waits to be written.
+/// A queued message.
 #[derive(Debug)]
 pub struct Outgoing {
-    /// The message.
     pub message: PeerMessage,
-    /// Its part of what large answers may take of the link; given back once it is written.
+    /// The permit of a large answer; released once the answer is written.
     pub permit: Option<OwnedSemaphorePermit>,
 }
 
@@ -38,12 +37,12 @@
     }
 }
 
-/// What a peer says to a request.
+/// A reply to a request.
 #[derive(Debug)]
 pub enum PeerReply {
-    /// A part of the answer; more will come.
+    /// A part of the answer; more parts follow.
     Progress(PeerResponse),
-    /// The answer, or the last part of it.
+    /// The answer, or its last part.
     Answer(PeerResponse),
 }
 
@@ -57,7 +56,7 @@
     last_used: Mutex<Instant>,
 }
 
-/// The answer to a request; cancels the request when it is dropped before the answer came.
+/// The pending answer to a request. Dropping it before the answer arrives cancels the request.
 pub struct PendingAnswer {
     number: u64,
     receiver: mpsc::UnboundedReceiver<PeerReply>,
@@ -66,7 +65,7 @@
 }
 
 impl PendingAnswer {
-    /// What the peer says next; nothing after the answer, and when the connection broke.
+    /// The next reply; `None` after the answer or when the connection failed.
     pub async fn next(&mut self) -> Option<PeerReply> {
         self.receiver.recv().await
     }
@@ -76,7 +75,7 @@
     fn drop(&mut self) {
         // An answered request is no longer pending.
         if self.pending.lock().remove(&self.number).is_some() {
-            // A full queue loses the cancellation: the peer then works in vain, and no more.
+            // If the queue is full, the cancellation is lost and the peer finishes the request.
             let _ = self.queue.try_send(PeerMessage::Cancel { number: self.number }.into());
         }
     }
@@ -88,7 +87,7 @@
         self.open.load(Ordering::Acquire)
     }
 
-    /// Whether nothing was sent for `limit`, and nothing is waited for.
+    /// Whether nothing was sent for `limit` and no request is pending.
     pub fn is_idle(&self, limit: Duration) -> bool {
         self.pending.lock().is_empty() && self.last_used.lock().elapsed() >= limit
     }
@@ -98,12 +97,12 @@
         self.queue.try_send(message.into()).is_ok()
     }
 
-    /// Sends a fleet message; false when it was dropped.
+    /// Queues a fleet message; false when it was dropped.
     pub fn send_fleet(&self, message: FleetMessage) -> bool {
         self.put(PeerMessage::Fleet(message))
     }
 
-    /// Sends a request; nothing when it was not sent.
+    /// Queues a request; `None` when it was not sent.
     pub fn request(&self, number: u64, request: PeerRequest) -> Option<PendingAnswer> {
         let (sender, receiver) = mpsc::unbounded_channel();
         self.pending.lock().insert(number, sender);
@@ -116,11 +115,11 @@
     }
 }
 
-/// How long the first attempt to reach a machine may take. Each further one may take twice as long, for machines far away.
+/// Timeout of the first connection attempt; doubled for each further attempt.
 pub(super) const FIRST_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Connects to a machine that may be starting. Where it is not there yet, nothing answers the opening packet, and the
-/// kernel sends it again only after a second: a fleet that gets its power back at once would meet that much later.
+/// Connects to a machine that may still be starting. Retries early, since the kernel retransmits an unanswered SYN
+/// only after a second.
 pub(super) async fn connect(address: SocketAddr) -> Option<TcpStream> {
     let mut timeout = FIRST_ATTEMPT_TIMEOUT;
     loop {
@@ -131,7 +130,7 @@
     }
 }
 
-/// Opens a connection and starts its tasks. Goes on trying until it is dropped where nothing answers.
+/// Opens a connection and starts its tasks. Retries without limit while the peer does not answer.
 pub async fn open_connection(context: &Arc<PeerContext>, address: SocketAddr) -> Option<Arc<Connection>> {
     let stream = connect(address).await?;
     let (info, reader, writer) = handshake(context, stream).await?;
@@ -148,7 +147,7 @@
     Some(connection)
 }
 
-/// Writes what is queued, as many messages at a time as there are.
+/// Writes queued messages in batches until the queue or the connection is closed.
 pub async fn run_writer(
     context: Arc<PeerContext>,
     mut writer: MessageWriter,
@@ -181,7 +180,7 @@
     }
 }
 
-/// Sends what was put, and gives the room of large answers back when that is done or takes long.
+/// Flushes the writer; releases the permits of large answers when done or after `PERMIT_TIMEOUT`.
 async fn flush(writer: &mut MessageWriter, permits: Vec<OwnedSemaphorePermit>) -> std::io::Result<()> {
     if permits.is_empty() {
         return writer.flush().await;
@@ -205,7 +204,7 @@
         match message {
             PeerMessage::Response { number, response } => {
                 if let Some(sender) = connection.pending.lock().remove(&number) {
-                    // The asker may have given up between the two lines.
+                    // The requester may have dropped the receiver meanwhile.
                     let _ = sender.send(PeerReply::Answer(response));
                 }
             }
@@ -222,9 +221,9 @@
     connection.pending.lock().clear();
 }
 
-/// Hands a fleet message on.
+/// Passes a fleet message to the node's queue.
 pub async fn deliver(context: &PeerContext, peer: &MemberInfo, message: FleetMessage) {
     let incoming = Incoming { from: peer.key.clone(), address: peer.peer_address, message };
-    // The receiver ends with the node; what comes later is for nobody.
+    // Fails only when the node has stopped.
     let _ = context.incoming.send(incoming).await;
 }
--- a/crates/sablebay-node/src/peers/connection_tests.rs
+++ b/crates/sablebay-node/src/peers/connection_tests.rs
@@ -1,11 +1,11 @@
-//! Connecting to machines that are just starting.
+//! Connecting to machines that are starting.
 
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 use super::CONNECT_TIMEOUT;
 use super::connection::{FIRST_ATTEMPT_TIMEOUT, connect};
 
-/// A listener whose queue of new connections is full: opening packets are dropped, and nothing is said about it.
+/// A listener with a full backlog, so that the kernel silently drops SYN packets.
 async fn full_listener() -> (TcpListener, TcpStream) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a free port");
@@ -14,9 +14,7 @@
     (listener, first.expect("room for one"))
 }
 
-/// All machines get their power back within some tenths of a second. A node that called a seed a moment too early heard
-/// nothing, and the kernel called again after a second, in which the node knew nobody: "quota: a seed does not answer:
-/// NotSent" on all nodes until 1.0 s after their start, "fleet: … is alive" from then on.
+/// Guards against waiting a second for the kernel to retransmit a dropped SYN when nodes start at the same time.
 #[tokio::test]
 async fn a_machine_that_missed_the_first_call_is_reached_before_the_attempt_is_given_up() {
     let (listener, _first) = full_listener().await;
--- a/crates/sablebay-node/src/peers/handshake.rs
+++ b/crates/sablebay-node/src/peers/handshake.rs
@@ -1,4 +1,4 @@
-//! The start of a connection: nonces, then greetings under the fleet's key.
+//! The handshake of a connection: nonces, then greetings authenticated with the fleet's key.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -17,33 +17,31 @@
 use crate::socket::prepare_socket;
 use crate::traffic::{TrafficKind, TrafficSpan};
 
-/// How long the other side has for its nonce and greeting.
+/// How long the whole handshake may take.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Room for what comes in at first. Most frames are probes and signs of life of some hundred bytes; a node
-/// has a connection to nearly every other, so that what each keeps counts hundreds of times.
+/// Initial capacity of a read buffer. Most frames are small, and a node has connections to most other nodes.
 const READ_BUFFER_BYTES: usize = 2 * 1024;
-/// A buffer that a large frame made grow beyond this is given back once it is empty.
+/// An empty buffer with a larger capacity is released.
 const MAXIMUM_IDLE_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Gives back the room of a large frame.
+/// Releases the memory that a large frame required.
 fn shrink(buffer: &mut BytesMut) {
     if buffer.is_empty() && buffer.capacity() > MAXIMUM_IDLE_BUFFER_BYTES {
         *buffer = BytesMut::with_capacity(READ_BUFFER_BYTES);
     }
 }
 
-/// Reads messages of one connection.
 pub struct MessageReader {
     half: OwnedReadHalf,
     buffer: BytesMut,
     frames: FrameReader,
-    /// Where the other side is; nothing before it has said who it is.
+    /// Whether the peer is in this node's zone; `None` before its greeting.
     span: Option<TrafficSpan>,
 }
 
 impl MessageReader {
-    /// The next message; nothing when the connection ended or turned bad.
+    /// The next message; `None` when the connection was closed, failed, or sent an invalid frame.
     pub async fn next(&mut self, context: &PeerContext) -> Option<PeerMessage> {
         loop {
             let held = self.buffer.len();
@@ -81,7 +79,6 @@
     log::warn!("peer: closed a connection: {error}.");
 }
 
-/// Writes messages of one connection.
 pub struct MessageWriter {
     half: OwnedWriteHalf,
     key: ChannelKey,
@@ -89,14 +86,13 @@
 }
 
 impl MessageWriter {
-    /// Puts a message into the buffer; returns the bytes of its frame.
+    /// Encodes a message into the buffer; returns the length of its frame in bytes.
     pub fn put(&mut self, message: &PeerMessage) -> Result<usize, ProtocolError> {
         let before = self.buffer.len();
         encode_frame(message, &mut self.key, &mut self.buffer)?;
         Ok(self.buffer.len() - before)
     }
 
-    /// Sends what is in the buffer.
     pub async fn flush(&mut self) -> std::io::Result<()> {
         self.half.write_all(&self.buffer).await?;
         self.buffer.clear();
@@ -105,8 +101,8 @@
     }
 }
 
-/// Exchanges nonces and greetings. Nothing when the other side is a stranger, another fleet's
-/// node, or too slow.
+/// Exchanges nonces and greetings. `None` when the peer is not authenticated, belongs to another fleet, or does not
+/// answer within `HANDSHAKE_TIMEOUT`.
 pub async fn handshake(
     context: &PeerContext,
     stream: TcpStream,
@@ -140,7 +136,7 @@
     match reader.next(context).await? {
         PeerMessage::Greeting(greeting) => {
             let span = TrafficSpan::between(&context.info.zone, &greeting.info.zone);
-            // Both sides send the same but for the lengths of their names.
+            // Both greetings have about the same length, so the sent bytes approximate the received ones.
             context.traffic.sent(TrafficKind::Greeting, span, sent_bytes as u64);
             context.traffic.received(TrafficKind::Greeting, span, sent_bytes as u64);
             reader.span = Some(span);
--- a/crates/sablebay-node/src/peers/listener.rs
+++ b/crates/sablebay-node/src/peers/listener.rs
@@ -1,4 +1,4 @@
-//! Connections that peers open to this node.
+//! Accepts connections of peers and answers their requests.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,12 +15,12 @@
 use super::{PeerContext, ProgressSender, RequestHandler};
 use crate::traffic::TrafficSpan;
 
-/// Connections accepted at the most.
+/// Maximum number of open accepted connections.
 const MAXIMUM_ACCEPTED: usize = 8_192;
-/// Answers that wait to be written at the most.
+/// Maximum number of queued answers per connection.
 const QUEUE_LENGTH: usize = 8_192;
 
-/// Accepts peers' connections until the task is dropped.
+/// Accepts connections until the task is dropped.
 pub async fn run_listener<H: RequestHandler>(
     context: Arc<PeerContext>,
     listener: TcpListener,
@@ -85,7 +85,7 @@
             PeerMessage::Greeting(_) | PeerMessage::Response { .. } | PeerMessage::Progress { .. } => {}
         }
     }
-    // The peer is gone: nobody wants the searches that it asked for.
+    // The connection is closed: cancel the peer's searches.
     for (_, task) in running.lock().drain() {
         task.abort();
     }
@@ -108,6 +108,6 @@
         PeerResponse::DocumentChunk { .. } => large_answers.acquire_owned().await.ok(),
         _ => None,
     };
-    // A peer that is gone wants no answer.
+    // Fails only when the connection is closed.
     let _ = answers.send(Outgoing { message: PeerMessage::Response { number, response }, permit }).await;
 }
--- a/crates/sablebay-node/src/platform.rs
+++ b/crates/sablebay-node/src/platform.rs
@@ -1,7 +1,6 @@
-//! Reads the platform's service: the configuration by conditional requests, the list of machines.
+//! Polls the platform service for the configuration, by conditional requests, and for the list of machines.
 //!
-//! Reads are spread over the nodes and over time, so that the platform sees about the same number
-//! of them whatever the size of the fleet.
+//! The interval of a node grows with the fleet, so that the total request rate stays about the same.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,16 +21,15 @@
 use crate::fleet_task::{note_leaf, step_fleet};
 use crate::shared::Shared;
 
-/// The longest document.
+/// The longest configuration document that is accepted.
 const MAXIMUM_DOCUMENT_BYTES: usize = 128 << 20;
 /// How long one read may take.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// The shortest time between reads of one node.
 const MINIMUM_INTERVAL_MS: u64 = 200;
-/// Time between reads of a node that has no configuration yet.
+/// Interval while the node has no configuration.
 const FIRST_INTERVAL_MS: u64 = 300;
 
-/// Reads the platform until the node ends.
+/// Polls the platform until the task is dropped; returns at once without a platform address.
 pub async fn run_platform_reader(shared: Arc<Shared>) {
     let Some(address) = shared.settings.platform_address else {
         return;
@@ -48,7 +46,7 @@
 struct PlatformReader {
     shared: Arc<Shared>,
     pool: ConnectionPool,
-    /// The tag of the last document that was dealt with.
+    /// The ETag of the last processed document.
     etag: Option<HeaderValue>,
     failing: bool,
 }
@@ -59,7 +57,7 @@
 }
 
 impl PlatformReader {
-    /// Full jitter around the time that makes the whole fleet read at its rate.
+    /// Jittered interval at which the whole fleet reads at the configured rate.
     fn interval(&self) -> Duration {
         if self.shared.configuration().is_none() {
             return Duration::from_millis(FIRST_INTERVAL_MS);
@@ -89,14 +87,14 @@
             _ if self.failing => {}
             _ => {
                 self.failing = true;
-                log::warn!("platform: it cannot be read; what is in force stays.");
+                log::warn!("platform: the configuration cannot be read; the version in force stays.");
             }
         }
     }
 
     fn note_reachable(&mut self) {
         if self.failing {
-            log::info!("platform: it can be read again.");
+            log::info!("platform: the configuration can be read again.");
         }
         self.failing = false;
     }
@@ -124,7 +122,7 @@
         }
     }
 
-    /// Validates a document off the runtime's threads, and offers it or reports its findings.
+    /// Validates a document on a blocking thread, then offers it to the fleet or reports its findings.
     async fn apply_configuration(&self, text: String) {
         let rejected = Version { revision: revision_of(&text), digest: Digest(xxh3_64(text.as_bytes())) };
         let in_force = self.shared.configuration();
@@ -145,7 +143,7 @@
             Ok(Err(ConfigurationError::Invalid { findings })) => {
                 step_fleet(&self.shared, |fleet, _, outputs| fleet.reject(rejected, findings, outputs));
             }
-            Ok(Err(error)) => log::warn!("platform: a document was not taken: {error}."),
+            Ok(Err(error)) => log::warn!("platform: a document was not accepted: {error}."),
             Err(error) => log::error!("platform: a document could not be validated: {error}."),
         }
     }
@@ -161,7 +159,7 @@
         self.apply_machines(list);
     }
 
-    /// The list is a hint that lags both ways: it names seeds, and leaves that are leaving.
+    /// Takes seeds and leaving leaves from the list, which may be out of date.
     fn apply_machines(&self, list: MachineList) {
         let nodes = list.machines.iter().filter(|machine| machine.role == MachineRole::Node);
         let seeds: Vec<_> = nodes.filter(|node| !node.leaving).filter_map(|node| node.address).collect();
@@ -180,7 +178,7 @@
     }
 }
 
-/// The revision that a document claims, also when it is not valid as a whole.
+/// The revision stated in a document, even if the document is invalid; 0 when there is none.
 fn revision_of(text: &str) -> Revision {
     let line = text.lines().find_map(|line| line.trim().strip_prefix("revision"));
     let number = line.and_then(|rest| rest.trim().strip_prefix('='));
--- a/crates/sablebay-node/src/quarantine_store.rs
+++ b/crates/sablebay-node/src/quarantine_store.rs
@@ -249,7 +249,7 @@
                 return;
             };
             let report = report(suspect, now);
-            log::warn!(digest = digest.to_string().as_str(), route = report.route.as_str(), strikes = report.strikes, ended = report.ended, back_ends = report.back_ends.join(" ").as_str(), last_ended_ms_ago = report.last_ended_ms_ago, held_for_ms = until.since(now).as_millis(), by = by; "quarantine: a request is held back, since back ends in a row ended under it.");
+            log::warn!(digest = digest.to_string().as_str(), route = report.route.as_str(), strikes = report.strikes, ended = report.ended, back_ends = report.back_ends.join(" ").as_str(), last_ended_ms_ago = report.last_ended_ms_ago, held_for_ms = until.since(now).as_millis(), by = by; "quarantine: a request is quarantined after consecutive back-end crashes.");
         }
         QuarantineStatus::Clear if before != QuarantineStatus::Clear => {
             let held = u8::from(was_quarantined);
--- a/crates/sablebay-node/src/report.rs
+++ b/crates/sablebay-node/src/report.rs
@@ -1,4 +1,4 @@
-//! What a node reports to operators, and how the reports of many nodes are merged.
+//! Status reports of a node for operators.
 
 use std::collections::BTreeMap;
 
@@ -12,79 +12,75 @@
 use crate::service_counts::ServiceReport;
 use crate::shared::Shared;
 
-/// One member as a node sees it.
+/// One member as seen by the reporting node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberReport {
-    /// The node's name.
     pub node: String,
-    /// Its life.
+    /// Incarnation of the node.
     pub incarnation: Incarnation,
-    /// Its zone.
     pub zone: String,
-    /// What is believed of it.
     pub status: MemberStatus,
-    /// The configuration that it last told.
+    /// Configuration version that the member last announced.
     pub version: Version,
-    /// Milliseconds since it was heard directly; absent when it never was.
+    /// Milliseconds since the last direct contact; absent before the first.
     pub heard_ms_ago: Option<u64>,
-    /// Where operators reach it.
     pub admin_address: String,
 }
 
-/// What a node with a gateway knows of tenants. It names none of their keys.
+/// Tenants known to a node with a gateway; contains none of their keys.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TenantsReport {
-    /// Their number.
+    /// Number of tenants.
     pub tenants: usize,
-    /// Keys that stand for one of them.
+    /// Number of keys that identify exactly one tenant.
     pub keys: usize,
-    /// Keys that stand for nobody, since several tenants have them.
+    /// Number of keys that several tenants list and that therefore identify none.
     pub disputed_keys: usize,
-    /// Requests refused since the start because their caller could not be authenticated, by reason.
+    /// Requests refused since the start because of failed authentication, by reason.
     pub refused: BTreeMap<String, u64>,
 }
 
-/// What a node with a gateway knows of routes and replicas.
+/// Routes and replicas known to a node with a gateway.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CatalogueReport {
-    /// The version of the routing configuration in force; 0 when none is.
+    /// Version of the routing configuration in force; 0 when there is none.
     pub version: u64,
-    /// A newer version that it has heard of; absent when there is none.
+    /// Newer version that was announced but not received yet.
     #[serde(default)]
     pub heard_version: Option<u64>,
-    /// For how long, in milliseconds.
+    /// Milliseconds since that version was announced.
     #[serde(default)]
     pub behind_ms: Option<u64>,
-    /// The number of the revision up to which it knows the replicas.
+    /// Number of the revision up to which the replicas are known.
     pub replicas_at: u64,
-    /// The era of the catalogue's source that this number is of: it rises when the source comes back from an older copy.
+    /// Era of that revision; incremented when the catalogue's source is restored from an older copy.
     #[serde(default)]
     pub era: u64,
-    /// Whether writers have had the time to write again what was lost with the source's last return.
+    /// Whether the settle period after the last restore is over, so that writers had time to repeat lost writes.
     #[serde(default)]
     pub settled: bool,
-    /// Replicas and evacuated zones that it keeps until then, though the source does not have them.
+    /// Replicas and evacuated zones retained until then although the source lacks them.
     #[serde(default)]
     pub kept: usize,
-    /// Replicas that may get new work.
+    /// Number of replicas that may receive new work.
     pub replicas: usize,
-    /// Zones whose replicas get none.
+    /// Zones whose replicas receive no new work.
     #[serde(default)]
     pub evacuated_zones: Vec<String>,
-    /// Age in milliseconds of the moment up to which the configuration is the newest for certain; absent when there is
-    /// none. Rises while a configuration is known of that cannot be read.
+    /// Milliseconds since the latest time at which the configuration was confirmed to be the newest; absent before the
+    /// first confirmation. Grows while an announced configuration cannot be read.
     pub confirmed_ms_ago: Option<u64>,
-    /// Tenants; absent where callers need no key.
+    /// Absent where callers need no key.
     #[serde(default)]
     pub tenants: Option<TenantsReport>,
 }
 
-/// The part of the fleet that a node sees.
+/// The part of the fleet that a node can reach.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FleetPartReport {
-    /// What the nodes that it sees may use together of what is bounded for the fleet, from 0 to 1.
+    /// Share of the fleet's limits that the reachable nodes may use together, from 0 to 1.
     pub share: f64,
-    /// What that is known by.
+    /// How the share was determined.
     pub basis: String,
 }
 
@@ -94,43 +90,37 @@
     }
 }
 
-/// What one node says of itself and of the fleet.
+/// Report of one node on itself and on the fleet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct NodeReport {
-    /// The node's name.
     pub node: String,
-    /// Its life.
+    /// Incarnation of the node.
     pub incarnation: Incarnation,
-    /// Its zone.
     pub zone: String,
-    /// Its region.
     pub region: String,
-    /// What is in force; zero when nothing is.
+    /// Configuration version in force; zero when there is none.
     pub version: Version,
-    /// The highest accepted version heard of.
+    /// The highest accepted version that is known.
     pub floor: Version,
-    /// Milliseconds since a peer confirmed that.
+    /// Milliseconds since the configuration was confirmed.
     pub confirmed_ms_ago: Option<u64>,
-    /// Whether it serves.
+    /// Whether the node serves requests.
     pub ready: bool,
-    /// Whether it refuses new work.
+    /// Whether the node refuses new work.
     pub draining: bool,
-    /// Requests in flight.
     pub in_flight: i64,
-    /// Claims held.
     pub claims_held: usize,
-    /// How many other members it knows.
+    /// Number of other members.
     pub members_known: usize,
-    /// The other members; left out of what nodes send each other, where each would name them all.
+    /// The other members; omitted from reports between nodes to keep them small.
     #[serde(default)]
     pub members: Vec<MemberReport>,
-    /// Leaves that are leaving.
     pub leaving_leaves: Vec<String>,
-    /// Revisions that were rejected.
+    /// Rejected revisions.
     pub rejections: Vec<Rejection>,
-    /// Revisions with two contents.
+    /// Revisions that were seen with different contents.
     pub conflicts: Vec<Conflict>,
-    /// Services that were asked for here.
+    /// Services that were requested at this node.
     pub services: BTreeMap<String, ServiceReport>,
     /// Zones that the configuration in force evacuates.
     #[serde(default)]
@@ -138,15 +128,15 @@
     /// Routes and replicas; absent without a gateway.
     #[serde(default)]
     pub catalogue: Option<CatalogueReport>,
-    /// Requests that back ends ended under.
+    /// Requests that crashed back ends.
     #[serde(default)]
     pub quarantine: Vec<SuspectReport>,
-    /// The part of the fleet that it sees; absent without a gateway.
+    /// The reachable part of the fleet; absent without a gateway.
     #[serde(default)]
     pub fleet_part: Option<FleetPartReport>,
 }
 
-/// The report of this node without its members, as another node asks for it.
+/// The report of this node without its members, for other nodes.
 pub fn short_report(shared: &Shared) -> NodeReport {
     NodeReport { members: Vec::new(), ..node_report(shared) }
 }
@@ -175,13 +165,11 @@
     }))
 }
 
-/// The zones that the configuration in force evacuates.
 fn evacuated_zones(floor: &ConfigurationFloor) -> Vec<String> {
     let zones = floor.in_force().into_iter().flat_map(|known| &known.evacuated_zones);
     zones.map(ToString::to_string).collect()
 }
 
-/// The report of this node.
 pub fn node_report(shared: &Shared) -> NodeReport {
     let now = shared.clock.now();
     let fleet = shared.fleet.lock();
--- a/crates/sablebay-node/src/shared.rs
+++ b/crates/sablebay-node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all parts of a node share.
+//! State shared by all parts of a node.
 
 use std::collections::{HashMap, HashSet};
 use std::pin::Pin;
@@ -30,9 +30,9 @@
 use crate::service_state::{PlanNeed, ServiceState};
 use crate::suspension::Suspension;
 
-/// Gathers shards for other nodes.
+/// Gathers results of shards on behalf of other nodes.
 pub trait PartialGatherer: Send + Sync {
-    /// Gathers; dropped when the asker no longer wants it.
+    /// Gathers shards for `from`. The future is dropped when the request is cancelled.
     fn gather(
         &self,
         from: InstanceKey,
@@ -41,81 +41,77 @@
     ) -> Pin<Box<dyn Future<Output = PeerResponse> + Send>>;
 }
 
-/// Keeps accounts of tenants' quotas.
+/// Owns quota accounts of tenants.
 pub trait AccountOwner: Send + Sync {
-    /// Answers another node that asks for tokens.
+    /// Answers a token request of another node.
     fn answer(&self, question: &QuotaRequest) -> PeerResponse;
 }
 
-/// What all parts of a node share.
+/// State shared by all parts of a node.
 pub struct Shared {
-    /// The settings.
     pub settings: NodeSettings,
-    /// This node as others know it.
+    /// This node as announced to the fleet.
     pub info: MemberInfo,
-    /// The clocks.
     pub clock: Clock,
-    /// Whether the machine was suspended.
+    /// Detects suspensions of the machine.
     pub suspension: Suspension,
     /// Membership and configuration.
     pub fleet: Mutex<FleetNode>,
-    /// Whether the configuration is confirmed; kept beside the lock for the query path.
+    /// Freshness of the configuration; outside the fleet lock for the query path.
     pub freshness: Freshness,
-    /// The configuration and members that plans are made from.
+    /// Configuration and members, the input of plans.
     pub view: ArcSwap<ClusterView>,
-    /// Connections to peers.
     pub peers: Arc<PeerTransport>,
-    /// State of each service that was asked for.
+    /// State of each requested service.
     pub services: Mutex<HashMap<ServiceId, Arc<ServiceState>>>,
-    /// Clients of each leaf that was called.
+    /// Clients of the leaves called so far.
     pub leaves: Mutex<HashMap<LeafId, Arc<LeafClient>>>,
     /// Claims that this node holds.
     pub claims: Mutex<ClaimHolder>,
     /// Leaves that the platform's list names as leaving.
     pub listed_leaving: Mutex<HashSet<LeafId>>,
-    /// Leaves that this node itself saw leaving, by their own word or by the list: only of these can it say
-    /// that they are back. The lists of other nodes may be newer than its own.
+    /// Leaves whose leaving this node saw itself, from the leaf or the platform's list. Only for these may it announce
+    /// a return, since other nodes may have newer lists.
     pub seen_leaving: Mutex<HashSet<LeafId>>,
-    /// Metrics.
     pub metrics: Metrics,
     /// The catalogue of routes and replicas, for a node with a gateway.
     pub catalogue: CatalogueStore,
     /// Counts of requests by their callers, for a node with a gateway.
     pub callers: CallerCounts,
-    /// Requests that back ends ended under, for a node with a gateway.
+    /// Requests that crashed back ends, for a node with a gateway.
     pub quarantine: QuarantineStore,
-    /// Gathers shards for other nodes; set by the gateway.
+    /// Set by the gateway.
     pub gatherer: OnceLock<Arc<dyn PartialGatherer>>,
-    /// The part of the fleet that this node sees; set by the gateway.
+    /// The reachable part of the fleet; set by the gateway.
     pub fleet_part: Mutex<Option<FleetPart>>,
-    /// Keeps accounts of tenants' quotas; set by the gateway.
+    /// Owner of quota accounts; set by the gateway.
     pub account_owner: OnceLock<Arc<dyn AccountOwner>>,
-    /// Where the node is in its life.
+    /// Draining state and requests in flight.
     pub lifecycle: Lifecycle,
-    /// Requests that the node runs at once, over all services.
+    /// Limits concurrent requests over all services.
     pub slots: Semaphore,
-    /// Numbers calls to leaves.
+    /// Next number of a leaf call.
     pub next_call: Arc<AtomicU64>,
-    /// Numbers claims.
+    /// Next number of a claim.
     pub next_claim: AtomicU64,
-    /// What leaf clients discarded.
+    /// Counts of answers that leaf clients discarded.
     pub client_counters: Arc<ClientCounters>,
-    /// Changes the log level, when the process has a log of its own.
+    /// Changes the log level; absent when this process did not start logging.
     pub log_control: Option<LogControl>,
-    /// Mechanisms that are on.
+    /// Enabled mechanisms.
     pub mechanisms: NodeMechanisms,
 }
 
 impl Shared {
-    /// Name and life of this node.
+    /// Name and incarnation of this node.
     pub fn key(&self) -> &InstanceKey {
         &self.info.key
     }
 
-    /// A place among the requests that the node runs at once; there is no queue for these.
+    /// Takes one of the node's concurrent request slots without waiting.
     ///
     /// # Errors
-    /// A refusal that says when to come back.
+    /// A refusal with a retry delay when no slot is free.
     pub fn take_slot(&self) -> Result<SemaphorePermit<'_>, Refusal> {
         const RETRY_MS: u64 = 100;
         self.slots.try_acquire().map_err(|_| {
@@ -123,12 +119,12 @@
         })
     }
 
-    /// What is in force.
+    /// The configuration in force.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         self.view.load().configuration.clone()
     }
 
-    /// The client of a leaf; made at its first use, and made anew when the leaf's settings changed.
+    /// The client of a leaf; created on first use and replaced when the leaf's settings change.
     pub fn leaf_client(&self, settings: &Arc<LeafSettings>) -> Arc<LeafClient> {
         let connections = self.view.load().connections_for(settings, &self.settings);
         let mut leaves = self.leaves.lock();
@@ -148,17 +144,17 @@
         client
     }
 
-    /// The client of a leaf that a plan of this node names.
+    /// The client of a leaf, if it was created before.
     pub fn known_leaf_client(&self, leaf: &LeafId) -> Option<Arc<LeafClient>> {
         self.leaves.lock().get(leaf).cloned()
     }
 
-    /// The state of a service in force; made at its first use.
+    /// The state of a configured service; created on first use.
     pub fn service(&self, service: &ServiceId) -> Option<Arc<ServiceState>> {
         self.service_with(service, PlanNeed::Callers)
     }
 
-    /// The state of a service in force, with a plan over its leaves.
+    /// The state of a configured service, with a plan over its leaves.
     pub fn service_with_leaves(&self, service: &ServiceId) -> Option<Arc<ServiceState>> {
         self.service_with(service, PlanNeed::Leaves)
     }
@@ -172,19 +168,18 @@
                 let fresh = || Arc::new(ServiceState::new(&settings, &self.mechanisms, self.clock.now()));
                 services.entry(service.clone()).or_insert_with(fresh).clone()
             };
-            // A view that was replaced meanwhile is loaded again.
+            // Retry if the view was replaced meanwhile.
             if state.refresh(self, &view, &settings, need) {
                 return Some(state);
             }
         }
     }
 
-    /// Every service state there is.
     pub fn service_states(&self) -> Vec<Arc<ServiceState>> {
         self.services.lock().values().cloned().collect()
     }
 
-    /// Takes a new configuration or member list into use.
+    /// Replaces the view and drops the state of removed services and leaves.
     pub fn update_view(&self, update: impl Fn(&ClusterView) -> ClusterView) {
         self.view.rcu(|view| Arc::new(update(view)));
         let view = self.view.load();
--- a/crates/sablebay-node/src/socket.rs
+++ b/crates/sablebay-node/src/socket.rs
@@ -1,13 +1,14 @@
-//! Options of sockets: a link may fall silent without a reset.
+//! Socket options that bound latency and the detection of dead links.
 
 use std::time::Duration;
 
 use tokio::net::TcpStream;
 
-/// How long sent bytes may stay unacknowledged before a connection is given up.
+/// How long sent bytes may stay unacknowledged before the kernel closes the connection.
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(3_000);
 
-/// Sets what every connection needs. A failure costs latency, or time until a dead link is seen.
+/// Sets the options of a connection. Failures are ignored: they only increase latency or delay the detection of a
+/// dead link.
 pub fn prepare_socket(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let limit = UNACKNOWLEDGED_LIMIT.as_millis() as u32;
--- a/crates/sablebay-node/src/suspension.rs
+++ b/crates/sablebay-node/src/suspension.rs
@@ -1,4 +1,4 @@
-//! What a node believes after its machine was suspended: nothing, until it has been confirmed since.
+//! Detection of machine suspension. State known before must be confirmed again before it is used.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -6,24 +6,23 @@
 
 use crate::clock::Clock;
 
-/// The shortest suspension that counts. The two clocks are read one after the other, and a busy machine takes
-/// its time between; what is known is confirmed each second, so that less changes nothing.
+/// The shortest suspension that is detected; shorter differences may come from reading the two clocks in sequence.
 const MINIMUM_SUSPENSION: Micros = Micros::from_millis(250);
-/// How long after it has woken a node waits for its catalogue to be confirmed. A node that reaches neither its
-/// source nor a peer for so long goes on with what it knows, as one does that is cut off.
+/// How long a node waits after a resume for its catalogue to be confirmed. After that, it uses the catalogue that it
+/// has, like a partitioned node.
 const CONFIRMATION_TIMEOUT: Micros = Micros::from_secs(3);
 
-/// Notices that the machine was suspended.
+/// Detects suspensions of the machine.
 #[derive(Debug, Default)]
 pub struct Suspension {
-    /// How long it was in all, as far as was noticed, in microseconds.
+    /// Total detected suspension in microseconds.
     detected: AtomicU64,
-    /// When the last was noticed, in microseconds of the node's clock; 0 when none was.
+    /// Time of the last detection in microseconds of the node's clock; 0 before the first.
     resumed_at: AtomicU64,
 }
 
 impl Suspension {
-    /// Looks at the clock. Returns how long the machine was suspended, to whoever is first to see it.
+    /// Checks for a new suspension. Returns its duration to the first caller that detects it.
     pub fn detect(&self, clock: &Clock) -> Option<Micros> {
         let suspended = Micros::from(clock.suspended_for());
         let detected = Micros(self.detected.load(Ordering::Acquire));
@@ -37,12 +36,12 @@
         first.is_ok().then_some(duration)
     }
 
-    /// Whether the machine was suspended after a moment: what was asked for before may have been answered before.
+    /// Whether a suspension was detected after `moment`: a request sent before may have been answered before it.
     pub fn resumed_since(&self, moment: Micros) -> bool {
         Micros(self.resumed_at.load(Ordering::Acquire)) > moment
     }
 
-    /// Whether what was confirmed last at `confirmed_at` may be acted on.
+    /// Whether state last confirmed at `confirmed_at` may be used.
     pub fn is_confirmed(&self, confirmed_at: Option<Micros>, now: Micros) -> bool {
         let resumed_at = Micros(self.resumed_at.load(Ordering::Acquire));
         let since = confirmed_at.is_some_and(|at| at >= resumed_at);
--- a/crates/sablebay-node/src/traffic.rs
+++ b/crates/sablebay-node/src/traffic.rs
@@ -1,5 +1,4 @@
-//! Counts the bytes between this node and others, by what they are for and by whether they stay in
-//! its zone: bytes that cross between zones are paid for.
+//! Counts bytes exchanged with other machines, by purpose and by whether they cross zones, which may be billed.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -11,36 +10,36 @@
 use sablebay_model::ZoneName;
 use sablebay_protocol::peer::{PeerMessage, PeerRequest, PeerResponse};
 
-/// What bytes are for.
+/// The purpose of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TrafficKind {
     /// Nonces and greetings of new connections.
     Greeting,
-    /// Probes and their answers that carry no rumour.
+    /// Probes and acknowledgements without rumours.
     Probe,
-    /// Rumours, and the probes that carry them.
+    /// Rumours, and probes that carry them.
     Rumour,
-    /// Member lists and questions for them.
+    /// Member lists and requests for them.
     MemberList,
-    /// Configurations of leaf services, from node to node.
+    /// Configurations of leaf services.
     Configuration,
-    /// Questions for what is new in the catalogue.
+    /// Requests for catalogue updates.
     CatalogueRequest,
-    /// Answers to these.
+    /// Catalogue updates.
     CatalogueAnswer,
-    /// Chunks of answers that are too large to be given at once, and questions for them.
+    /// Chunks of large catalogue updates and requests for them.
     CatalogueChunk,
-    /// What is known of requests that back ends ended under, and the leases of these requests.
+    /// Quarantine notices and leases.
     Quarantine,
     /// Requests to gather shards, and their cancellation.
     GatherRequest,
-    /// Merged parts and signs of life of those who gather.
+    /// Merged results and heartbeats of gatherers.
     MergedPart,
-    /// The first call of a shard at a replica.
+    /// First calls to replicas of a shard.
     FirstCall,
-    /// A further call of a shard: hedges and retries.
+    /// Hedges and retries.
     ExtraCall,
-    /// Questions to the accounts of tenants, and their answers.
+    /// Requests to quota accounts and their answers.
     Quota,
     /// Everything else: searches, claims and reports.
     Other,
@@ -85,7 +84,7 @@
         }
     }
 
-    /// Whether the bytes keep the fleet together, and serve no request.
+    /// Whether messages of this kind are control traffic, independent of any request.
     pub fn is_control(self) -> bool {
         match self {
             Self::Greeting | Self::Probe | Self::Rumour | Self::MemberList | Self::Configuration => true,
@@ -95,7 +94,7 @@
         }
     }
 
-    /// What a message between nodes is for.
+    /// The kind of a message between nodes.
     pub fn of(message: &PeerMessage) -> Self {
         match message {
             PeerMessage::Greeting(_) => Self::Greeting,
@@ -148,12 +147,10 @@
     }
 }
 
-/// Whether the other end is in this node's zone.
+/// Whether the remote end is in this node's zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TrafficSpan {
-    /// It is.
     OwnZone,
-    /// It is in another.
     OtherZone,
 }
 
@@ -167,7 +164,6 @@
         }
     }
 
-    /// Of a node in zone `own` and an end in zone `other`.
     pub fn between(own: &ZoneName, other: &ZoneName) -> Self {
         if own == other { Self::OwnZone } else { Self::OtherZone }
     }
@@ -183,7 +179,7 @@
     TrafficLabels { kind: kind.label(), zone: span.label() }
 }
 
-/// Bytes sent and received since the start, and those that wait to be sent, without the headers of TCP and IP.
+/// Bytes sent and received since the start and bytes queued for sending, without TCP and IP headers.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficLedger {
     sent: Family<TrafficLabels, Counter>,
@@ -192,37 +188,35 @@
 }
 
 impl TrafficLedger {
-    /// Counts bytes that were sent.
     pub fn sent(&self, kind: TrafficKind, span: TrafficSpan, bytes: u64) {
         self.sent.get_or_create(&labels(kind, span)).inc_by(bytes);
     }
 
-    /// Counts bytes that came in.
     pub fn received(&self, kind: TrafficKind, span: TrafficSpan, bytes: u64) {
         self.received.get_or_create(&labels(kind, span)).inc_by(bytes);
     }
 
-    /// Notes bytes that wait until a link has room for them.
+    /// Adds bytes that are queued for sending.
     pub fn queued(&self, kind: TrafficKind, span: TrafficSpan, bytes: u64) {
         self.queued.get_or_create(&labels(kind, span)).inc_by(bytes as i64);
     }
 
-    /// Notes that they wait no more.
+    /// Removes bytes that are no longer queued.
     pub fn unqueued(&self, kind: TrafficKind, span: TrafficSpan, bytes: u64) {
         self.queued.get_or_create(&labels(kind, span)).dec_by(bytes as i64);
     }
 
-    /// Bytes sent of a kind, to all zones.
     pub fn total_sent(&self, kind: TrafficKind) -> u64 {
         TrafficSpan::ALL.iter().map(|span| self.sent.get_or_create(&labels(kind, *span)).get()).sum()
     }
 
-    /// Bytes sent that keep the fleet together, to all zones.
+    /// Bytes of control traffic sent to all zones.
     pub fn control_sent(&self) -> u64 {
         TrafficKind::ALL.into_iter().filter(|kind| kind.is_control()).map(|kind| self.total_sent(kind)).sum()
     }
 
-    /// One line for the log: of each kind with any, the bytes sent and received inside the zone and to others.
+    /// A log line with the bytes sent and received of each kind, within the zone and across zones. Kinds without traffic
+    /// are omitted.
     pub fn summary(&self) -> String {
         let rows = TrafficKind::ALL.iter().filter_map(|kind| {
             let cell = |span| {
@@ -236,7 +230,6 @@
         rows.collect::<Vec<String>>().join(", ")
     }
 
-    /// Adds the counts to a registry.
     pub fn register(&self, registry: &mut Registry) {
         registry.register("traffic_sent_bytes", "Bytes sent, by kind and zone", self.sent.clone());
         registry.register(
--- a/crates/sablebay-node/src/traffic_log.rs
+++ b/crates/sablebay-node/src/traffic_log.rs
@@ -1,14 +1,13 @@
-//! Logs the byte counts now and then, for those who read a node's log without its metrics.
+//! Logs the byte counts periodically, for operators without access to the metrics.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::shared::Shared;
 
-/// How often the counts are logged. They serve to compare nodes and releases, not to alert.
 const INTERVAL: Duration = Duration::from_secs(60);
 
-/// Logs until the node ends.
+/// Logs the counts periodically until the task is dropped.
 pub async fn run_traffic_log(shared: Arc<Shared>) {
     let mut interval = tokio::time::interval_at(tokio::time::Instant::now() + INTERVAL, INTERVAL);
     loop {
@@ -17,7 +16,6 @@
     }
 }
 
-/// Logs the counts once.
 pub fn log_traffic(shared: &Shared) {
     let summary = shared.peers.traffic().summary();
     log::info!("traffic: bytes sent/received so far, in the own zone and with others: {summary}.");
--- a/crates/sablebay-node/tests/catalogue_store.rs
+++ b/crates/sablebay-node/tests/catalogue_store.rs
@@ -1,4 +1,4 @@
-//! What a node tells peers of the age of its configuration, and what it believes after its machine was suspended.
+//! The configuration age that a node reports to peers, also after a suspension of its machine.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use sablebay_model::Micros;
 use sablebay_node::{CatalogueStore, Clock, ClockSource, Suspension};
 
-/// A revision of a source that names no era.
+/// A revision of a source without eras.
 fn at(number: u64) -> CatalogueRevision {
     CatalogueRevision::new(Era::UNNAMED, number)
 }
@@ -27,7 +27,7 @@
     assert_eq!(
         store.snapshot(0, CataloguePosition::NOTHING, seconds(0), seconds(52)).confirmation,
         None,
-        "peers are told of no bound"
+        "a contact must not be reported as a confirmation"
     );
 }
 
@@ -58,14 +58,13 @@
     });
     let told = store.snapshot(0, EraStage::UNNAMED.at(3), seconds(0), seconds(52));
     peer.update(|view| view.merge(told, seconds(52)));
-    // It goes on from there, and never sees the item.
+    // The peer continues from revision 12, after the unreadable item.
     assert!(
         peer.read(|view| view.replicas_at() == EraStage::UNNAMED.at(12) && !view.has_newest_configuration())
     );
 }
 
-/// The clock goes on while the machine is suspended: what was confirmed before is as old as that when it wakes, and
-/// so is what it says to peers.
+/// Guards against a confirmation that does not age during a suspension, locally or in answers to peers.
 #[test]
 fn a_bound_ages_while_the_machine_is_suspended() {
     static SUSPENDED: AtomicU64 = AtomicU64::new(0);
@@ -83,5 +82,8 @@
     let told = store.snapshot(0, CataloguePosition::NOTHING, held, clock.now()).confirmation;
     assert_eq!(told, Some(PeerConfirmation { held: seconds(6), age: seconds(6) }));
     suspension.detect(&clock);
-    assert!(suspension.resumed_since(asked_at), "an answer to what was asked before says nothing");
+    assert!(
+        suspension.resumed_since(asked_at),
+        "an answer to a request from before the suspension must not count"
+    );
 }
--- a/crates/sablebay-node/tests/clock.rs
+++ b/crates/sablebay-node/tests/clock.rs
@@ -1,5 +1,5 @@
-//! A machine that is suspended for seconds: the steady clock stands still meanwhile, as tokio's timers do, and
-//! every age that a decision depends on must not.
+//! Clocks of a suspended machine. Guards against ages and deadlines that omit the time of the suspension, as the
+//! system's monotonic clock and tokio's timers do.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -52,14 +52,14 @@
     assert!(suspension.is_confirmed(confirmed_at, clock.now()));
     SUSPENDED.fetch_add(6_000, Ordering::Relaxed);
     assert_eq!(suspension.detect(&clock), Some(Micros::from_millis(6_000)));
-    assert_eq!(suspension.detect(&clock), None, "it is told once");
+    assert_eq!(suspension.detect(&clock), None, "a suspension is reported once");
     assert!(!suspension.is_confirmed(confirmed_at, clock.now()));
     assert!(!suspension.is_confirmed(None, clock.now()));
-    assert!(suspension.resumed_since(asked_before), "its answer may have come before");
+    assert!(suspension.resumed_since(asked_before), "the answer may predate the suspension");
     assert!(!suspension.resumed_since(clock.now()));
     assert!(suspension.is_confirmed(Some(clock.now()), clock.now()));
     SUSPENDED.fetch_add(9_000, Ordering::Relaxed);
-    assert!(suspension.detect(&clock).is_some(), "a second one");
+    assert!(suspension.detect(&clock).is_some(), "the second suspension is detected");
     assert!(!suspension.is_confirmed(Some(clock.now().since(Micros::from_millis(1_000))), clock.now()));
 }
 
--- a/crates/sablebay-node/tests/document_store.rs
+++ b/crates/sablebay-node/tests/document_store.rs
@@ -1,4 +1,4 @@
-//! Documents in chunks: passed on while they arrive, never mixed, bounded.
+//! Documents in chunks: served while they arrive, verified by digest, and evicted.
 
 use std::net::SocketAddr;
 
@@ -25,9 +25,9 @@
     assert_eq!(second.missing(digest), [0, 1, 2, 3]);
     for number in [2, 0, 3, 1] {
         assert_eq!(second.content(digest), None);
-        let chunk = chunk(&first, digest, number as u64).await.expect("it is here");
+        let chunk = chunk(&first, digest, number as u64).await.expect("the chunk is present");
         assert!(second.insert_chunk(digest, number, chunk.clone()));
-        assert!(!second.insert_chunk(digest, number, chunk), "it was missing once");
+        assert!(!second.insert_chunk(digest, number, chunk), "a chunk is stored once");
     }
     assert!(second.is_complete(digest));
     assert_eq!(second.content(digest), Some(document));
@@ -40,15 +40,15 @@
     let digest = DocumentDigest::of(&document);
     let asking = {
         let store = store.clone();
-        // Asked for before the fetch of it has begun.
+        // Requested before the fetch has begun.
         tokio::spawn(async move { chunk(&store, digest, 1).await })
     };
     tokio::task::yield_now().await;
     store.begin_fetch(digest, NOW);
     store.insert_chunk(digest, 1, document[CHUNK_BYTES..].to_vec());
-    assert_eq!(asking.await.expect("it ends"), Some(document[CHUNK_BYTES..].to_vec()));
-    assert_eq!(chunk(&store, digest, 0).await, None, "it never came");
-    assert_eq!(chunk(&store, digest, 9).await, None, "there is none");
+    assert_eq!(asking.await.expect("the request ends"), Some(document[CHUNK_BYTES..].to_vec()));
+    assert_eq!(chunk(&store, digest, 0).await, None, "the chunk did not arrive");
+    assert_eq!(chunk(&store, digest, 9).await, None, "the chunk number is out of range");
 }
 
 #[tokio::test]
@@ -61,7 +61,7 @@
     store.insert_chunk(digest, 1, content(4, 1));
     assert!(store.is_complete(digest));
     assert_eq!(store.content(digest), None);
-    assert!(store.missing(digest).is_empty() && !store.is_complete(digest), "it is forgotten");
+    assert!(store.missing(digest).is_empty() && !store.is_complete(digest), "the document is removed");
 }
 
 #[test]
@@ -70,7 +70,7 @@
     let digests: Vec<DocumentDigest> = (0..12u64)
         .map(|number| store.insert(content(number as usize, 1), NOW.plus(Micros::from_millis(number))))
         .collect();
-    assert!(!store.is_complete(digests[0]), "the oldest makes room");
+    assert!(!store.is_complete(digests[0]), "the oldest document is evicted");
     assert!(store.is_complete(digests[11]));
     store.expire(NOW.plus(Micros::from_secs(9)));
     assert!(store.is_complete(digests[11]));
