--- a/crates/sablebay-node/src/admin_api.rs
+++ b/crates/sablebay-node/src/admin_api.rs
@@ -76,7 +76,7 @@
 struct FleetStatus {
     /// Number of nodes by configuration version.
     versions: BTreeMap<String, usize>,
-    /// Nodes that did not report in time.
+    /// Nodes that sent no valid report in time.
     silent: Vec<String>,
     nodes: Vec<NodeReport>,
 }
--- a/crates/sablebay-node/src/catalogue_answer.rs
+++ b/crates/sablebay-node/src/catalogue_answer.rs
@@ -72,11 +72,11 @@
 
 /// Offers a document, to be fetched from this node or from a peer in the requester's zone.
 fn offer_to(shared: &Shared, from: &InstanceKey, large: LargeUpdate) -> DocumentOffer {
-    let asker = shared.fleet.lock().members().get(&from.node).map(|member| member.info.clone());
-    let source = asker.and_then(|asker| {
-        let is_own_zone = asker.zone == shared.info.zone;
+    let requester = shared.fleet.lock().members().get(&from.node).map(|member| member.info.clone());
+    let source = requester.and_then(|requester| {
+        let is_own_zone = requester.zone == shared.info.zone;
         let documents = &shared.catalogue.documents;
-        documents.source_for(large.digest, asker.peer_address, &asker.zone, is_own_zone)
+        documents.source_for(large.digest, requester.peer_address, &requester.zone, is_own_zone)
     });
     DocumentOffer {
         digest: large.digest,
--- a/crates/sablebay-node/src/catalogue_store.rs
+++ b/crates/sablebay-node/src/catalogue_store.rs
@@ -95,8 +95,8 @@
         self.changed.subscribe()
     }
 
-    /// Records an answer of the source or a peer at `at`. An answer may have been delayed, so a contact does not bound
-    /// the age of the configuration; see [`Self::confirm`].
+    /// Records that the source or a peer reported at `at` that nothing newer exists. The report may have been delayed, so
+    /// a contact does not bound the age of the configuration; see [`Self::confirm`].
     pub fn record_contact(&self, at: Micros) {
         self.last_contact.fetch_max(at.0, Ordering::AcqRel);
     }
--- a/crates/sablebay-node/src/document_store.rs
+++ b/crates/sablebay-node/src/document_store.rs
@@ -131,11 +131,11 @@
         document.chunks.get(number).cloned().flatten()
     }
 
-    /// The peer from which `asker` should fetch a document; `None` means this node.
+    /// The peer from which `requester` should fetch a document; `None` means this node.
     pub fn source_for(
         &self,
         digest: DocumentDigest,
-        asker: SocketAddr,
+        requester: SocketAddr,
         zone: &ZoneName,
         is_own_zone: bool,
     ) -> Option<SocketAddr> {
@@ -144,7 +144,7 @@
         let mut documents = self.documents.lock();
         let document = documents.get_mut(&digest)?;
         let distribution = document.distribution.entry(zone.clone());
-        distribution.or_insert_with(|| Distribution::new(roots)).source_for(asker)
+        distribution.or_insert_with(|| Distribution::new(roots)).source_for(requester)
     }
 
     /// Removes documents that were not used within `RETENTION`.
--- a/crates/sablebay-node/src/node.rs
+++ b/crates/sablebay-node/src/node.rs
@@ -289,14 +289,14 @@
                 PeerResponse::Claim(answer)
             }
             PeerRequest::Catalogue { version, replicas_at, wait_ms, takes_documents, standing } => {
-                let question = CatalogueRequest {
+                let catalogue_request = CatalogueRequest {
                     version,
                     number: replicas_at,
                     standing,
                     wait: Duration::from_millis(wait_ms),
                     takes_documents,
                 };
-                PeerResponse::Catalogue(Box::new(answer_catalogue(shared, &from, question).await))
+                PeerResponse::Catalogue(Box::new(answer_catalogue(shared, &from, catalogue_request).await))
             }
             PeerRequest::DocumentChunk { digest, number } => {
                 match shared.catalogue.documents.chunk(digest, number, shared.clock.now()).await {
@@ -328,8 +328,8 @@
                 shared.quarantine.release_lease(&notice.digest, run);
                 PeerResponse::Quarantine(Vec::new())
             }
-            PeerRequest::Quota(question) => match shared.account_owner.get() {
-                Some(keeper) => keeper.answer(&question),
+            PeerRequest::Quota(quota_request) => match shared.account_owner.get() {
+                Some(owner) => owner.answer(&quota_request),
                 None => PeerResponse::Refused(Refusal::not_run(
                     Reason::UnknownService,
                     "no gateway runs on this node",
--- a/crates/sablebay-node/src/shared.rs
+++ b/crates/sablebay-node/src/shared.rs
@@ -44,7 +44,7 @@
 /// Owns quota accounts of tenants.
 pub trait AccountOwner: Send + Sync {
     /// Answers a token request of another node.
-    fn answer(&self, question: &QuotaRequest) -> PeerResponse;
+    fn answer(&self, request: &QuotaRequest) -> PeerResponse;
 }
 
 /// State shared by all parts of a node.
--- a/crates/sablebay-node/tests/document_store.rs
+++ b/crates/sablebay-node/tests/document_store.rs
@@ -38,7 +38,7 @@
     let store = std::sync::Arc::new(DocumentStore::default());
     let document = content(2, 2);
     let digest = DocumentDigest::of(&document);
-    let asking = {
+    let request = {
         let store = store.clone();
         // Requested before the fetch has begun.
         tokio::spawn(async move { chunk(&store, digest, 1).await })
@@ -46,7 +46,7 @@
     tokio::task::yield_now().await;
     store.begin_fetch(digest, NOW);
     store.insert_chunk(digest, 1, document[CHUNK_BYTES..].to_vec());
-    assert_eq!(asking.await.expect("the request ends"), Some(document[CHUNK_BYTES..].to_vec()));
+    assert_eq!(request.await.expect("the request ends"), Some(document[CHUNK_BYTES..].to_vec()));
     assert_eq!(chunk(&store, digest, 0).await, None, "the chunk did not arrive");
     assert_eq!(chunk(&store, digest, 9).await, None, "the chunk number is out of range");
 }
