--- a/crates/sablebay-gateway/src/confirmation.rs
+++ b/crates/sablebay-gateway/src/confirmation.rs
@@ -64,7 +64,7 @@
     /// Detects that the machine was suspended. Idle connections are closed: their remote ends have dropped them, or the
     /// addresses now belong to other processes.
     pub fn check_suspension(&self) {
-        let Some(slept) = self.node.suspension.look(&self.clock()) else {
+        let Some(slept) = self.node.suspension.detect(&self.clock()) else {
             return;
         };
         log::warn!(suspended_ms = slept.as_millis(), catalogue_age_ms = self.catalogue_age().as_millis(); "node: the machine was suspended; nothing is sent until the catalogue is confirmed.");
@@ -83,8 +83,8 @@
     /// machine was suspended in between, since the answer may have been waiting locally.
     pub fn record_contact(&self, asked_at: Micros, at: Micros) {
         self.check_suspension();
-        if !self.node.suspension.woke_since(asked_at) {
-            self.node.catalogue.hear(at);
+        if !self.node.suspension.resumed_since(asked_at) {
+            self.node.catalogue.record_contact(at);
         }
     }
 
@@ -101,7 +101,7 @@
     pub fn confirm_configuration(&self, asked_at: Micros, bound: Micros) {
         self.check_suspension();
         let newest = self.node.catalogue.read(CatalogueView::has_newest_configuration);
-        if newest && !self.node.suspension.woke_since(asked_at) {
+        if newest && !self.node.suspension.resumed_since(asked_at) {
             self.node.catalogue.confirm(bound);
         }
     }
--- a/crates/sablebay-gateway/src/delegated.rs
+++ b/crates/sablebay-gateway/src/delegated.rs
@@ -9,7 +9,7 @@
 use sablebay_catalogue::{Gather, ReplicaId, ServiceName, ZoneNotice};
 use sablebay_dispatch::{CallFailure, CallKey, CallNumber, DelegatedShards, GatheredShards, RECORD_BYTES};
 use sablebay_model::Micros;
-use sablebay_node::{Lane, PeerFailure, PeerNews, PendingAnswer};
+use sablebay_node::{Lane, PeerFailure, PeerReply, PendingAnswer};
 use sablebay_protocol::peer::{GatheredPart, PartialGather, PeerRequest, PeerResponse};
 
 use crate::call::{CallEvent, CallUpdate, ForwardedRequest};
@@ -66,15 +66,7 @@
 ) {
     let (_keep, never) = oneshot::channel();
     let mut abandoned = std::mem::replace(&mut delegation.abandoned, never);
-    let ended = tokio::select! {
-        ended = receive_parts(&context, &delegation) => ended,
-        _ = &mut abandoned => {
-            let now = context.clock().now();
-            context.dispatch.lock().gatherers.abandoned(&delegation.delegated.gatherer, delegation.key, now);
-            context.metrics.delegated("given_up");
-            return;
-        }
-    };
+    let ended = tokio::select! { ended = receive_parts(&context, &delegation) => ended, _ = &mut abandoned => { let now = context.clock().now(); context.dispatch.lock().gatherers.abandoned(&delegation.delegated.gatherer, delegation.key, now); context.metrics.delegated("given_up"); return; } };
     let Err(failure) = ended else {
         context.metrics.delegated("answered");
         return;
@@ -98,8 +90,8 @@
         let until = context.clock().instant(delegation.times.deadline);
         let received = tokio::time::timeout_at(until, answer.next()).await;
         let (response, last) = match received {
-            Ok(Some(PeerNews::Progress(response))) => (response, false),
-            Ok(Some(PeerNews::Answer(response))) => (response, true),
+            Ok(Some(PeerReply::Progress(response))) => (response, false),
+            Ok(Some(PeerReply::Answer(response))) => (response, true),
             Ok(None) => return Err(CallFailure::Broken),
             Err(_) => return Err(CallFailure::TimedOut),
         };
@@ -111,7 +103,7 @@
         record_report(context, delegation, &part);
         if let Some(notice) = &part.quarantine {
             let gatherer = delegation.delegated.gatherer.as_str();
-            context.node.quarantine.hear(
+            context.node.quarantine.merge_notices(
                 gatherer,
                 std::slice::from_ref(notice),
                 false,
--- a/crates/sablebay-gateway/src/gateway.rs
+++ b/crates/sablebay-gateway/src/gateway.rs
@@ -103,7 +103,7 @@
         if node.shared.gatherer.set(gatherer).is_err() {
             log::warn!("gateway: another gateway of this node is already registered as gatherer for peers.");
         }
-        if node.shared.account_keeper.set(Arc::new(GatewayAccounts::new(&context))).is_err() {
+        if node.shared.account_owner.set(Arc::new(GatewayAccounts::new(&context))).is_err() {
             log::warn!("gateway: another gateway of this node already owns quota accounts.");
         }
         let traffic = node.shared.peers.traffic();
--- a/crates/sablebay-gateway/src/ingress.rs
+++ b/crates/sablebay-gateway/src/ingress.rs
@@ -153,7 +153,7 @@
         tenant: record.tenant.as_ref(),
         rank: routes.rank(&route, identity.tenant().map(Arc::as_ref)),
         crowding: record.crowding,
-        timeout: timeout,
+        timeout,
     };
     let (admission, priority) = context.admission(&admission_request);
     record.priority = priority;
--- a/crates/sablebay-gateway/src/peer_catalogue.rs
+++ b/crates/sablebay-gateway/src/peer_catalogue.rs
@@ -147,7 +147,7 @@
     let (size, position) = fleet.size(Micros::from(context.clock().running_for()));
     drop(fleet);
     if size.running_for >= SETTLING_TIME {
-        context.node.catalogue.tell_nodes_met(size_to_report);
+        context.node.catalogue.set_nodes_met(size_to_report);
     }
     record_fleet_part(context, part);
     let shared = size.sharing(context.settings.load().assumed_nodes as usize);
--- a/crates/sablebay-gateway/src/quarantine.rs
+++ b/crates/sablebay-gateway/src/quarantine.rs
@@ -54,7 +54,7 @@
             return None;
         }
         let now = self.clock().now();
-        match self.node.quarantine.standing(&self.digest_of(request), now) {
+        match self.node.quarantine.status(&self.digest_of(request), now) {
             QuarantineStatus::Quarantined { until } => Some(until.since(now)),
             _ => None,
         }
@@ -73,7 +73,7 @@
         let quarantine = &self.node.quarantine;
         self.mechanisms.quarantine
             && !quarantine.is_empty()
-            && quarantine.standing(&self.digest_of(request), self.clock().now()) != QuarantineStatus::Clear
+            && quarantine.status(&self.digest_of(request), self.clock().now()) != QuarantineStatus::Clear
     }
 
     /// Whether a run of a request may begin at a service. Checked for every first call, hedge, retry and gathered part,
@@ -92,40 +92,14 @@
     let mut compare_at = Instant::now();
     let mut round = 0;
     loop {
-        tokio::select! {
-            changed = changes.changed() => {
-                if changed.is_err() {
-                    return;
-                }
-                let ended = context.node.quarantine.ended_replicas();
-                context.dispatch.lock().table.note_ended(ended, context.clock().now());
-                tokio::time::sleep(BATCH_DELAY).await;
-                send_updates(&context);
-            }
-            () = tokio::time::sleep_until(compare_at) => {
-                compare_at = Instant::now() + COMPARE_PERIOD;
-                let now = context.clock().now();
-                context.dispatch.lock().table.expire_ended(now);
-                context.metrics.held_back.set(context.node.quarantine.held(now) as i64);
-                send_updates(&context);
-                let peer = {
-                    let mut fleet = context.fleet.lock();
-                    fleet.refresh(&context.node);
-                    fleet.quarantine_peer(round)
-                };
-                round += 1;
-                match peer {
-                    Some(address) => drop(tokio::spawn(compare(context.clone(), address))),
-                    // A node that has just started compares as soon as it has a peer.
-                    None => compare_at = Instant::now() + NO_PEERS_PAUSE,
-                }
-            }
-        }
+        tokio::select! { changed = changes.changed() => { if changed.is_err() { return; } let ended = context.node.quarantine.ended_replicas(); context.dispatch.lock().table.note_ended(ended, context.clock().now()); tokio::time::sleep(BATCH_DELAY).await; send_updates(&context); } () = tokio::time::sleep_until(compare_at) => { compare_at = Instant::now() + COMPARE_PERIOD; let now = context.clock().now(); context.dispatch.lock().table.expire_ended(now); context.metrics.held_back.set(context.node.quarantine.quarantined_count(now) as i64); send_updates(&context); let peer = { let mut fleet = context.fleet.lock(); fleet.refresh(&context.node); fleet.quarantine_peer(round) }; round += 1; match peer { Some(address) => drop(tokio::spawn(compare(context.clone(), address))),
+        // A node that has just started compares as soon as it has a peer.
+        None => compare_at = Instant::now() + NO_PEERS_PAUSE, } } }
     }
 }
 
 fn send_updates<C: CallerProtocol, B: BackendProtocol>(context: &Arc<Context<C, B>>) {
-    let updates = context.node.quarantine.take_news(context.clock().now());
+    let updates = context.node.quarantine.take_updates(context.clock().now());
     if updates.is_empty() {
         return;
     }
@@ -175,7 +149,7 @@
     let until = Instant::now() + REQUEST_TIMEOUT;
     let answer = context.node.peers.request(address, Lane::Control, request, until).await;
     if let Ok(PeerResponse::Quarantine(notices)) = answer {
-        context.node.quarantine.hear("a peer", &notices, false, context.clock().now());
+        context.node.quarantine.merge_notices("a peer", &notices, false, context.clock().now());
     }
 }
 
@@ -188,7 +162,7 @@
 
 impl<C: CallerProtocol, B: BackendProtocol> Drop for LeaseAttempt<C, B> {
     fn drop(&mut self) {
-        self.context.node.quarantine.stop_asking(&self.digest, self.run);
+        self.context.node.quarantine.end_lease_request(&self.digest, self.run);
     }
 }
 
@@ -204,7 +178,7 @@
         let LeaseAttempt { context, digest, run } = &self.attempt;
         let quarantine = &context.node.quarantine;
         let Some(address) = self.owner else {
-            quarantine.over(digest, *run);
+            quarantine.release_lease(digest, *run);
             return;
         };
         let Some(notice) = quarantine.notice(digest, context.clock().now()) else {
@@ -236,7 +210,7 @@
     digest: RequestDigest,
     wanted: LeaseRequest,
 ) -> LeaseAnswer<C, B> {
-    if !context.node.quarantine.may_ask(&digest, wanted, context.clock().now()) {
+    if !context.node.quarantine.begin_lease_request(&digest, wanted, context.clock().now()) {
         return LeaseAnswer::Taken;
     }
     let attempt = LeaseAttempt { context: context.clone(), digest, run: wanted.run };
@@ -259,7 +233,7 @@
         let answer = context.node.peers.request(address, Lane::Control, request, until).await;
         if let Ok(PeerResponse::QuarantineLease { granted, notice }) = answer {
             let known: Vec<QuarantineNotice> = notice.into_iter().collect();
-            context.node.quarantine.hear("a keeper", &known, false, context.clock().now());
+            context.node.quarantine.merge_notices("a keeper", &known, false, context.clock().now());
             if granted {
                 return LeaseAnswer::Granted(RunLease { attempt, owner });
             }
--- a/crates/sablebay-node/src/catalogue_store.rs
+++ b/crates/sablebay-node/src/catalogue_store.rs
@@ -1,4 +1,4 @@
-//! The catalogue as this node knows it, shared by whoever reads it, serves by it, and answers peers.
+//! Shared, thread-safe catalogue of this node, with its freshness and the documents sent to peers.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -14,47 +14,45 @@
 
 use crate::document_store::DocumentStore;
 
-/// Replicas from which on a list of all of them is a document: a hundred entries of some 90 bytes are 9 kB.
+/// Number of replicas from which a full listing is sent as a document.
 const LARGE_LISTING: usize = 100;
-/// How long a list of all replicas is given to further askers: many nodes may start at one moment, and what changed
-/// since is a small answer afterwards.
+/// How long a full listing is reused for other peers, which fetch later changes separately.
 const LISTING_LIFETIME: Micros = Micros::from_secs(1);
-/// Documents whose names are remembered at the most, for askers that need the same.
-const REMEMBERED_DOCUMENTS: usize = 8;
+/// Maximum number of documents that are reused for peers with the same base version.
+const MAXIMUM_CACHED_DOCUMENTS: usize = 8;
 
-/// What is too much for one answer.
+/// An update that is too large for one answer and is sent as a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LargeNews {
-    /// The document that holds it.
+pub struct LargeUpdate {
+    /// Digest of the document.
     pub digest: DocumentDigest,
-    /// The version of the configuration that it leads to.
+    /// Version of the configuration after the update.
     pub version: u64,
-    /// Whether it also lists all replicas.
+    /// Whether the document also lists all replicas.
     pub lists_replicas: bool,
 }
 
-/// A document that was made for an asker.
+/// A document that can be reused for other peers.
 #[derive(Clone, Copy, Debug)]
-struct MadeDocument {
-    /// The version that it leads on from.
+struct CachedDocument {
+    /// Configuration version that the document updates from.
     base: u64,
-    news: LargeNews,
-    made_at: Micros,
+    update: LargeUpdate,
+    created_at: Micros,
 }
 
-/// The catalogue as this node knows it.
 pub struct CatalogueStore {
     view: Mutex<CatalogueView>,
     changed: watch::Sender<u64>,
-    /// In microseconds of the node's clock; 0 when it never did.
+    /// In microseconds of the node's clock; 0 before the first contact.
     last_contact: AtomicU64,
-    /// In microseconds of the node's clock; 0 when it never was.
+    /// In microseconds of the node's clock; 0 before the first confirmation.
     confirmed_at: AtomicU64,
-    /// The number of nodes met, once it can be told to others; 0 before.
+    /// Number of discovered nodes reported to peers; 0 while unknown.
     nodes_met: AtomicU64,
-    /// What is passed on in chunks.
+    /// Documents served to peers in chunks.
     pub documents: DocumentStore,
-    made: Mutex<Vec<MadeDocument>>,
+    cached: Mutex<Vec<CachedDocument>>,
 }
 
 impl Default for CatalogueStore {
@@ -66,24 +64,24 @@
             confirmed_at: AtomicU64::new(0),
             nodes_met: AtomicU64::new(0),
             documents: DocumentStore::default(),
-            made: Mutex::default(),
+            cached: Mutex::default(),
         }
     }
 }
 
-/// A moment that is kept as a number.
-fn moment(kept: &AtomicU64) -> Option<Micros> {
-    let at = Micros(kept.load(Ordering::Acquire));
+/// Reads a time stored in microseconds; `None` for 0.
+fn load_time(stored: &AtomicU64) -> Option<Micros> {
+    let at = Micros(stored.load(Ordering::Acquire));
     (at.0 > 0).then_some(at)
 }
 
 impl CatalogueStore {
-    /// Reads something out of the view.
+    /// Calls `read` with the locked view.
     pub fn read<T>(&self, read: impl FnOnce(&CatalogueView) -> T) -> T {
         read(&self.view.lock())
     }
 
-    /// Changes the view; `change` says whether it did. Whoever waits for changes is told.
+    /// Calls `change` with the locked view and notifies subscribers when it returns true.
     pub fn update(&self, change: impl FnOnce(&mut CatalogueView) -> bool) -> bool {
         let changed = change(&mut self.view.lock());
         if changed {
@@ -92,63 +90,60 @@
         changed
     }
 
-    /// Tells of changes.
+    /// A receiver that is notified of changes.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Notes that somebody said at `at` that there is nothing newer. Whoever reads the source goes by this, and so does
-    /// a node that was suspended: an answer that was on its way for long is a sign of life all the same. It bounds
-    /// nothing.
-    pub fn hear(&self, at: Micros) {
+    /// Records that the source or a peer reported at `at` that nothing newer exists. The report may have been delayed, so
+    /// a contact does not bound the age of the configuration; see [`Self::confirm`].
+    pub fn record_contact(&self, at: Micros) {
         self.last_contact.fetch_max(at.0, Ordering::AcqRel);
     }
 
-    /// When somebody last said that there is nothing newer; nothing when nobody did.
+    /// Time of the last recorded contact.
     pub fn last_contact(&self) -> Option<Micros> {
-        moment(&self.last_contact)
+        load_time(&self.last_contact)
     }
 
-    /// How long ago that was.
     pub fn contact_ago(&self, now: Micros) -> Option<Micros> {
         self.last_contact().map(|at| now.since(at))
     }
 
-    /// Notes that the configuration known here is the newest up to `at` at the least. Called after what the answer
-    /// holds was taken into the view: who reads the bound before the view finds a configuration that is as new.
+    /// Records that the known configuration was the newest at `at`. Must be called after the answer was merged into
+    /// the view, so that a reader of the bound and then of the view finds a configuration at least as new.
     pub fn confirm(&self, at: Micros) {
         self.confirmed_at.fetch_max(at.0, Ordering::AcqRel);
     }
 
-    /// A moment up to which the configuration known here is the newest; nothing when none is known.
+    /// Latest time at which the known configuration was confirmed to be the newest.
     pub fn confirmed_at(&self) -> Option<Micros> {
-        moment(&self.confirmed_at)
+        load_time(&self.confirmed_at)
     }
 
-    /// How long ago that was.
     pub fn confirmed_ago(&self, now: Micros) -> Option<Micros> {
         self.confirmed_at().map(|at| now.since(at))
     }
 
-    /// Sets the number of nodes that peers are told of.
-    pub fn tell_nodes_met(&self, nodes: Option<usize>) {
+    /// Sets the number of discovered nodes that is reported to peers.
+    pub fn set_nodes_met(&self, nodes: Option<usize>) {
         self.nodes_met.store(nodes.unwrap_or(0) as u64, Ordering::Relaxed);
     }
 
-    /// Notes that a peer has a version of the configuration.
-    pub fn hear_of(&self, version: u64, now: Micros) {
+    /// Records that a peer has a version of the configuration.
+    pub fn note_version(&self, version: u64, now: Micros) {
         self.view.lock().note_version(version, now);
     }
 
-    /// Waits until there is something that a peer with these revisions is missing.
+    /// Waits until the view is newer than these revisions, at most for `wait`.
     pub async fn wait_for_newer(&self, version: u64, replicas_at: CataloguePosition, wait: Duration) {
         let mut changes = self.subscribe();
         let newer = changes.wait_for(|_| self.read(|view| view.is_newer_than(version, replicas_at)));
-        // What there is after the time is over is told all the same.
+        // The caller answers with the current state in either case.
         let _ = tokio::time::timeout(wait, newer).await;
     }
 
-    /// What a peer that has these revisions is missing, in one answer however large. It asked `held` before `now`.
+    /// The update for a peer with these revisions, in one answer of any size. The request arrived `held` before `now`.
     pub fn snapshot(
         &self,
         version: u64,
@@ -157,75 +152,77 @@
         now: Micros,
     ) -> CatalogueSnapshot {
         let peer: PeerPosition = peer.into();
-        self.with_ages(held, now, || self.view.lock().snapshot(version, peer, now))
+        self.with_confirmation(held, now, || self.view.lock().snapshot(version, peer, now))
     }
 
-    /// What a peer that has these revisions is missing, as far as it is little, and where there is more. It asked `held`
-    /// before `now`.
-    pub fn news(
+    /// The update for a peer with these revisions: the part that fits into one answer, and a document for the rest.
+    /// The request arrived `held` before `now`.
+    pub fn snapshot_or_document(
         &self,
         version: u64,
         peer: PeerPosition,
         held: Micros,
         now: Micros,
-    ) -> (CatalogueSnapshot, Option<LargeNews>) {
+    ) -> (CatalogueSnapshot, Option<LargeUpdate>) {
         let mut large = None;
-        let answer = self.with_ages(held, now, || {
+        let answer = self.with_confirmation(held, now, || {
             let view = self.view.lock();
-            let (small, made) = self.split(&view, version, peer, now);
-            large = made;
+            let (small, cached) = self.split(&view, version, peer, now);
+            large = cached;
             small
         });
         (answer, large)
     }
 
-    /// Splits what a peer is missing into what one answer holds and a document.
+    /// Splits an update into an inline answer and a document.
     fn split(
         &self,
         view: &CatalogueView,
         version: u64,
         peer: PeerPosition,
         now: Micros,
-    ) -> (CatalogueSnapshot, Option<LargeNews>) {
+    ) -> (CatalogueSnapshot, Option<LargeUpdate>) {
         let lists_replicas = view.lists_all_replicas(peer) && view.known_replicas() >= LARGE_LISTING;
         match view.configuration_update(version) {
             ConfigurationUpdate::None if !lists_replicas => (view.replica_update(peer, now), None),
             ConfigurationUpdate::Steps(steps, bytes) if bytes <= INLINE_BYTES && !lists_replicas => {
                 (CatalogueSnapshot { steps, ..view.replica_update(peer, now) }, None)
             }
-            news => match self.document(view, version, news, lists_replicas, now) {
+            update => match self.document(view, version, update, lists_replicas, now) {
                 Some(large) if lists_replicas => (CatalogueSnapshot::default(), Some(large)),
                 Some(large) => (view.replica_update(peer, now), Some(large)),
-                // It cannot be encoded, and no other answer can.
+                // The document cannot be encoded.
                 None => (CatalogueSnapshot::default(), None),
             },
         }
     }
 
-    /// The document of what a peer that has `version` is missing.
+    /// The document that updates a peer from `version`; reuses a cached document where possible.
     fn document(
         &self,
         view: &CatalogueView,
         version: u64,
-        news: ConfigurationUpdate,
+        update: ConfigurationUpdate,
         lists_replicas: bool,
         now: Micros,
-    ) -> Option<LargeNews> {
-        let serves = |made: &&MadeDocument| {
-            let same = made.base == version && made.news.lists_replicas == lists_replicas;
-            let fresh = !lists_replicas || now.since(made.made_at) < LISTING_LIFETIME;
-            same && fresh && made.news.version == view.version() && self.documents.is_whole(made.news.digest)
+    ) -> Option<LargeUpdate> {
+        let is_reusable = |cached: &&CachedDocument| {
+            let same = cached.base == version && cached.update.lists_replicas == lists_replicas;
+            let fresh = !lists_replicas || now.since(cached.created_at) < LISTING_LIFETIME;
+            same && fresh
+                && cached.update.version == view.version()
+                && self.documents.is_complete(cached.update.digest)
         };
-        let mut made = self.made.lock();
-        if let Some(made) = made.iter().find(serves) {
-            return Some(made.news);
+        let mut cached = self.cached.lock();
+        if let Some(cached) = cached.iter().find(is_reusable) {
+            return Some(cached.update);
         }
         let listing = if lists_replicas {
             view.replica_update(PeerPosition::default(), now)
         } else {
             CatalogueSnapshot::default()
         };
-        let content = match news {
+        let content = match update {
             ConfigurationUpdate::None => listing,
             ConfigurationUpdate::Steps(steps, _) => CatalogueSnapshot { steps, ..listing },
             ConfigurationUpdate::Full => {
@@ -233,23 +230,23 @@
                 CatalogueSnapshot { configuration, ..listing }
             }
         };
-        let digest = self.documents.hold(content.to_document()?, now);
-        let news = LargeNews { digest, version: view.version(), lists_replicas };
-        made.push(MadeDocument { base: version, news, made_at: now });
-        if made.len() > REMEMBERED_DOCUMENTS {
-            made.remove(0);
+        let digest = self.documents.insert(content.to_document()?, now);
+        let update = LargeUpdate { digest, version: view.version(), lists_replicas };
+        cached.push(CachedDocument { base: version, update, created_at: now });
+        if cached.len() > MAXIMUM_CACHED_DOCUMENTS {
+            cached.remove(0);
         }
-        Some(news)
+        Some(update)
     }
 
-    /// What `read` gives, with how old it is.
-    fn with_ages(
+    /// Adds the freshness of this node to the snapshot that `read` returns.
+    fn with_confirmation(
         &self,
         held: Micros,
         now: Micros,
         read: impl FnOnce() -> CatalogueSnapshot,
     ) -> CatalogueSnapshot {
-        // Before the view is looked at: what is told is as new as the bound, or newer.
+        // Read before the view, so that the snapshot is at least as new as the bound.
         let confirmation = self.confirmed_ago(now).map(|age| PeerConfirmation { held, age });
         let snapshot = read();
         let nodes_met = self.nodes_met.load(Ordering::Relaxed);
--- a/crates/sablebay-node/src/node.rs
+++ b/crates/sablebay-node/src/node.rs
@@ -1,4 +1,4 @@
-//! A node: opens its listeners, starts its tasks, and stops as planned.
+//! A node: opens its listeners, starts its tasks, and stops gracefully.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU64;
@@ -21,7 +21,7 @@
 use crate::admin_api::{admin_routes, start_draining};
 use crate::caller_api::caller_routes;
 use crate::caller_counts::CallerCounts;
-use crate::catalogue_answer::{CatalogueQuestion, answer_catalogue};
+use crate::catalogue_answer::{CatalogueRequest, answer_catalogue};
 use crate::catalogue_store::CatalogueStore;
 use crate::clock::Clock;
 use crate::cluster_view::ClusterView;
@@ -36,7 +36,8 @@
 use crate::metrics::Metrics;
 use crate::partial_search::partial_search;
 use crate::peers::{
-    PeerContext, PeerCounters, PeerTransport, ProgressSender, RequestHandler, large_answer_room, run_listener,
+    PeerContext, PeerCounters, PeerTransport, ProgressSender, RequestHandler, large_answer_permits,
+    run_listener,
 };
 use crate::platform::run_platform_reader;
 use crate::quarantine_store::QuarantineStore;
@@ -46,35 +47,28 @@
 use crate::traffic::TrafficLedger;
 use crate::traffic_log::{log_traffic, run_traffic_log};
 
-/// The addresses that a node's listeners got.
+/// The bound addresses of a node's listeners.
 #[derive(Clone, Debug, Serialize)]
 pub struct BoundAddresses {
-    /// The node's name.
     pub node: String,
-    /// For callers.
     pub caller_address: SocketAddr,
-    /// For operators.
     pub admin_address: SocketAddr,
-    /// For peers.
     pub peer_address: SocketAddr,
 }
 
-/// Incoming fleet messages that wait at the most.
+/// Maximum number of queued incoming fleet messages.
 const FLEET_QUEUE: usize = 65_536;
-/// How long the listeners stay open after the last request, for callers that have not yet heard
-/// that the node is stopping.
+/// How long the listeners stay open after the last request, for callers that do not yet know that the node stops.
 const LINGER: Duration = Duration::from_millis(300);
-/// How long connections that stay silent are kept after that: a caller that has not heard yet is
-/// answered on them, and told to take its next request elsewhere.
-const SILENT_PATIENCE: Duration = Duration::from_millis(500);
-/// How long open connections may take to end after that.
-const CLOSE_PATIENCE: Duration = Duration::from_secs(1);
+/// How long idle connections are kept after that, so that further requests on them are answered with a notice to
+/// use another node.
+const IDLE_GRACE: Duration = Duration::from_millis(500);
+/// How long the remaining connections may take to close after that.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A running node. Dropping it ends its tasks at once; [`Node::stop`] is the planned stop.
+/// A running node. Dropping it aborts its tasks; [`Node::stop`] stops gracefully.
 pub struct Node {
-    /// The addresses of its listeners.
     pub addresses: BoundAddresses,
-    /// What its parts share.
     pub shared: Arc<Shared>,
     tasks: Vec<JoinHandle<()>>,
     servers: Vec<JoinHandle<()>>,
@@ -94,7 +88,6 @@
     listener.map_err(|source| NodeError::Listen { address, purpose, source })
 }
 
-/// Where a listener can be reached; it was just bound, so that it has an address.
 fn bound(listener: &TcpListener) -> SocketAddr {
     listener.local_addr().expect("a bound listener has an address")
 }
@@ -103,7 +96,7 @@
     /// Starts a node.
     ///
     /// # Errors
-    /// When a listener cannot be opened, or peers off this machine would go without a key.
+    /// When a listener cannot be opened, or the peer address is not loopback and no fleet key is set.
     pub async fn start(
         settings: NodeSettings,
         mechanisms: NodeMechanisms,
@@ -145,8 +138,8 @@
         Ok(Node { addresses, shared, tasks, servers, listeners })
     }
 
-    /// The planned stop: refuses new work, tells the fleet and the callers, finishes what is in
-    /// flight, and ends in bounded time. Returns whether nothing was cut.
+    /// Stops gracefully within a bounded time: refuses new work, announces the leave, and finishes requests in
+    /// flight. Returns whether all of them finished.
     pub async fn stop(mut self) -> bool {
         start_draining(&self.shared);
         let limit = Duration::from_millis(self.shared.settings.stop_timeout_ms);
@@ -171,7 +164,7 @@
         finished
     }
 
-    /// Closes the listeners, then their connections; see [`ListenerPhase`].
+    /// Closes the listeners, then their connections. See [`ListenerPhase`].
     async fn close_listeners(&self, servers: Vec<JoinHandle<()>>) {
         let closing = async {
             for server in servers {
@@ -180,11 +173,9 @@
             }
         };
         let mut closing = std::pin::pin!(closing);
-        for (phase, patience) in
-            [(ListenerPhase::Closed, SILENT_PATIENCE), (ListenerPhase::Ended, CLOSE_PATIENCE)]
-        {
+        for (phase, limit) in [(ListenerPhase::Closed, IDLE_GRACE), (ListenerPhase::Ended, CLOSE_TIMEOUT)] {
             self.listeners.send_replace(phase);
-            if tokio::time::timeout(patience, closing.as_mut()).await.is_ok() {
+            if tokio::time::timeout(limit, closing.as_mut()).await.is_ok() {
                 return;
             }
         }
@@ -220,7 +211,7 @@
         incoming,
         counters: PeerCounters::default(),
         traffic: TrafficLedger::default(),
-        large_answers: large_answer_room(),
+        large_answers: large_answer_permits(),
     });
     let mut fleet_settings = FleetSettings::with_probe_period(Micros::from_millis(settings.probe_period_ms));
     fleet_settings.mechanisms = mechanisms.fleet;
@@ -252,7 +243,7 @@
         quarantine: QuarantineStore::default(),
         gatherer: OnceLock::new(),
         fleet_part: Mutex::new(None),
-        account_keeper: OnceLock::new(),
+        account_owner: OnceLock::new(),
         next_call: Arc::new(AtomicU64::new(1)),
         next_claim: AtomicU64::new(1),
         client_counters: Arc::default(),
@@ -262,7 +253,6 @@
     (shared, peer_context)
 }
 
-/// Answers requests of peers.
 struct Handler(Arc<Shared>);
 
 impl RequestHandler for Handler {
@@ -283,8 +273,8 @@
                 )),
             },
             PeerRequest::Versions { service, partitions } => {
-                const PATIENCE: Micros = Micros::from_secs(1);
-                let deadline = shared.clock.now().plus(PATIENCE);
+                const TIMEOUT: Micros = Micros::from_secs(1);
+                let deadline = shared.clock.now().plus(TIMEOUT);
                 PeerResponse::Versions(local_versions(shared, &service, &partitions, deadline).await)
             }
             PeerRequest::Claim(request) => {
@@ -299,14 +289,14 @@
                 PeerResponse::Claim(answer)
             }
             PeerRequest::Catalogue { version, replicas_at, wait_ms, takes_documents, standing } => {
-                let question = CatalogueQuestion {
+                let catalogue_request = CatalogueRequest {
                     version,
                     number: replicas_at,
                     standing,
                     wait: Duration::from_millis(wait_ms),
                     takes_documents,
                 };
-                PeerResponse::Catalogue(Box::new(answer_catalogue(shared, &from, question).await))
+                PeerResponse::Catalogue(Box::new(answer_catalogue(shared, &from, catalogue_request).await))
             }
             PeerRequest::DocumentChunk { digest, number } => {
                 match shared.catalogue.documents.chunk(digest, number, shared.clock.now()).await {
@@ -316,25 +306,30 @@
             }
             PeerRequest::Quarantine { notices, to_everyone, compare } => {
                 let now = shared.clock.now();
-                shared.quarantine.hear(from.node.as_str(), &notices, to_everyone, now);
+                shared.quarantine.merge_notices(from.node.as_str(), &notices, to_everyone, now);
                 let known = if compare { shared.quarantine.notices(now) } else { Vec::new() };
                 PeerResponse::Quarantine(known)
             }
             PeerRequest::QuarantineLease { notice, wanted } => {
                 let now = shared.clock.now();
                 let quarantine = &shared.quarantine;
-                quarantine.hear(from.node.as_str(), std::slice::from_ref(&notice), false, now);
+                quarantine.merge_notices(from.node.as_str(), std::slice::from_ref(&notice), false, now);
                 let granted = quarantine.grant(&notice.digest, wanted, now);
                 PeerResponse::QuarantineLease { granted, notice: quarantine.notice(&notice.digest, now) }
             }
             PeerRequest::QuarantineLeaseEnd { notice, run } => {
                 let now = shared.clock.now();
-                shared.quarantine.hear(from.node.as_str(), std::slice::from_ref(&notice), false, now);
-                shared.quarantine.over(&notice.digest, run);
+                shared.quarantine.merge_notices(
+                    from.node.as_str(),
+                    std::slice::from_ref(&notice),
+                    false,
+                    now,
+                );
+                shared.quarantine.release_lease(&notice.digest, run);
                 PeerResponse::Quarantine(Vec::new())
             }
-            PeerRequest::Quota(question) => match shared.account_keeper.get() {
-                Some(keeper) => keeper.answer(&question),
+            PeerRequest::Quota(quota_request) => match shared.account_owner.get() {
+                Some(owner) => owner.answer(&quota_request),
                 None => PeerResponse::Refused(Refusal::not_run(
                     Reason::UnknownService,
                     "no gateway runs on this node",
--- a/crates/sablebay-node/src/peers/handshake.rs
+++ b/crates/sablebay-node/src/peers/handshake.rs
@@ -1,4 +1,4 @@
-//! The start of a connection: nonces, then greetings under the fleet's key.
+//! The handshake of a connection: nonces, then greetings authenticated with the fleet's key.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -17,33 +17,31 @@
 use crate::socket::prepare_socket;
 use crate::traffic::{TrafficKind, TrafficSpan};
 
-/// How long the other side has for its nonce and greeting.
+/// How long the whole handshake may take.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Room for what comes in at first. Most frames are probes and signs of life of some hundred bytes; a node
-/// has a connection to nearly every other, so that what each keeps counts hundreds of times.
+/// Initial capacity of a read buffer. Most frames are small, and a node has connections to most other nodes.
 const READ_BUFFER_BYTES: usize = 2 * 1024;
-/// A buffer that a large frame made grow beyond this is given back once it is empty.
-const KEPT_BUFFER_BYTES: usize = 16 * 1024;
+/// An empty buffer with a larger capacity is released.
+const MAXIMUM_IDLE_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Gives back the room of a large frame.
+/// Releases the memory that a large frame required.
 fn shrink(buffer: &mut BytesMut) {
-    if buffer.is_empty() && buffer.capacity() > KEPT_BUFFER_BYTES {
+    if buffer.is_empty() && buffer.capacity() > MAXIMUM_IDLE_BUFFER_BYTES {
         *buffer = BytesMut::with_capacity(READ_BUFFER_BYTES);
     }
 }
 
-/// Reads messages of one connection.
 pub struct MessageReader {
     half: OwnedReadHalf,
     buffer: BytesMut,
     frames: FrameReader,
-    /// Where the other side is; nothing before it has said who it is.
+    /// Whether the peer is in this node's zone; `None` before its greeting.
     span: Option<TrafficSpan>,
 }
 
 impl MessageReader {
-    /// The next message; nothing when the connection ended or turned bad.
+    /// The next message; `None` when the connection was closed, failed, or sent an invalid frame.
     pub async fn next(&mut self, context: &PeerContext) -> Option<PeerMessage> {
         loop {
             let held = self.buffer.len();
@@ -81,7 +79,6 @@
     log::warn!("peer: closed a connection: {error}.");
 }
 
-/// Writes messages of one connection.
 pub struct MessageWriter {
     half: OwnedWriteHalf,
     key: ChannelKey,
@@ -89,14 +86,13 @@
 }
 
 impl MessageWriter {
-    /// Puts a message into the buffer; returns the bytes of its frame.
+    /// Encodes a message into the buffer; returns the length of its frame in bytes.
     pub fn put(&mut self, message: &PeerMessage) -> Result<usize, ProtocolError> {
         let before = self.buffer.len();
         encode_frame(message, &mut self.key, &mut self.buffer)?;
         Ok(self.buffer.len() - before)
     }
 
-    /// Sends what is in the buffer.
     pub async fn flush(&mut self) -> std::io::Result<()> {
         self.half.write_all(&self.buffer).await?;
         self.buffer.clear();
@@ -105,14 +101,14 @@
     }
 }
 
-/// Exchanges nonces and greetings. Nothing when the other side is a stranger, another fleet's
-/// node, or too slow.
+/// Exchanges nonces and greetings. `None` when the peer is not authenticated, belongs to another fleet, or does not
+/// answer within `HANDSHAKE_TIMEOUT`.
 pub async fn handshake(
     context: &PeerContext,
     stream: TcpStream,
 ) -> Option<(MemberInfo, MessageReader, MessageWriter)> {
-    let shaking = handshake_within_limit(context, stream);
-    tokio::time::timeout(HANDSHAKE_TIMEOUT, shaking).await.ok()?
+    let exchange = handshake_within_limit(context, stream);
+    tokio::time::timeout(HANDSHAKE_TIMEOUT, exchange).await.ok()?
 }
 
 async fn handshake_within_limit(
@@ -120,16 +116,16 @@
     mut stream: TcpStream,
 ) -> Option<(MemberInfo, MessageReader, MessageWriter)> {
     prepare_socket(&stream);
-    let own: Nonce = rand::rng().random();
-    stream.write_all(&own).await.ok()?;
-    let mut other: Nonce = [0; 16];
-    stream.read_exact(&mut other).await.ok()?;
+    let own_nonce: Nonce = rand::rng().random();
+    stream.write_all(&own_nonce).await.ok()?;
+    let mut other_nonce: Nonce = [0; 16];
+    stream.read_exact(&mut other_nonce).await.ok()?;
     let (read_half, write_half) = stream.into_split();
-    let incoming = ChannelKey::new(&context.fleet, &context.secret, &other, &own);
-    let outgoing = ChannelKey::new(&context.fleet, &context.secret, &own, &other);
+    let incoming = ChannelKey::new(&context.fleet, &context.secret, &other_nonce, &own_nonce);
+    let outgoing = ChannelKey::new(&context.fleet, &context.secret, &own_nonce, &other_nonce);
     let mut writer = MessageWriter { half: write_half, key: outgoing, buffer: BytesMut::new() };
     let greeting = PeerMessage::Greeting(Greeting { info: context.info.clone() });
-    let sent_bytes = own.len() + writer.put(&greeting).ok()?;
+    let sent_bytes = own_nonce.len() + writer.put(&greeting).ok()?;
     writer.flush().await.ok()?;
     let mut reader = MessageReader {
         half: read_half,
@@ -140,7 +136,7 @@
     match reader.next(context).await? {
         PeerMessage::Greeting(greeting) => {
             let span = TrafficSpan::between(&context.info.zone, &greeting.info.zone);
-            // Both sides send the same but for the lengths of their names.
+            // Both greetings have about the same length, so the sent bytes approximate the received ones.
             context.traffic.sent(TrafficKind::Greeting, span, sent_bytes as u64);
             context.traffic.received(TrafficKind::Greeting, span, sent_bytes as u64);
             reader.span = Some(span);
