--- a/crates/sablebay-bench/src/cli.rs
+++ b/crates/sablebay-bench/src/cli.rs
@@ -13,7 +13,7 @@
 use serde_json::json;
 use tokio::net::TcpListener;
 
-use sablebay_config::{LeafSettings, NodeSettings, overrides_of};
+use sablebay_config::{LeafSettings, NodeSettings, overrides_from_flags};
 use sablebay_gateway::{Gateway, GatewayMechanisms, key_digester};
 use sablebay_model::{LeafId, PartitionSet, SnapshotVersion};
 use sablebay_node::{Node, NodeMechanisms, start_draining};
@@ -389,7 +389,8 @@
         Some("unknown-outcomes") => mechanisms.unknown_outcomes = false,
         other => return Err(UsageError(format!("--break cannot be `{other:?}`")).into()),
     }
-    let settings = NodeSettings::parse_with_overrides("flags", "", &overrides_of(&arguments.repeated))?;
+    let settings =
+        NodeSettings::parse_with_overrides("flags", "", &overrides_from_flags(&arguments.repeated))?;
     let node = Node::start(settings, mechanisms, None).await?;
     println!("{}", serde_json::to_string(&node.addresses)?);
     let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
--- a/crates/sablebay-bench/tests/configuration_memory.rs
+++ b/crates/sablebay-bench/tests/configuration_memory.rs
@@ -25,7 +25,7 @@
     // A changed text beside it: what both have alike is kept once.
     let changed = configuration_text(size, 2, 301);
     let (_changed, reread) =
-        count_allocations(|| Configuration::parse_like("test", &changed, &whole.document).unwrap());
+        count_allocations(|| Configuration::parse_with_base("test", &changed, &whole.document).unwrap());
     assert!(reread.kept < read.kept / 3, "{read:?} {reread:?}");
     let sent = (*whole.document).clone();
     let (_joined, joining) = count_allocations(|| Configuration::from_document(sent).unwrap());
--- a/crates/sablebay-config/src/configuration.rs
+++ b/crates/sablebay-config/src/configuration.rs
@@ -36,7 +36,7 @@
     /// # Errors
     /// [`ConfigurationError::Invalid`] with every finding.
     pub fn parse(file: &str, text: &str) -> Result<Self, ConfigurationError> {
-        Self::parse_like(file, text, &Document::default())
+        Self::parse_with_base(file, text, &Document::default())
     }
 
     /// The same, for a text that is known to differ little from `like`, most often the document in
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     /// As [`Configuration::parse`].
-    pub fn parse_like(file: &str, text: &str, like: &Document) -> Result<Self, ConfigurationError> {
+    pub fn parse_with_base(file: &str, text: &str, like: &Document) -> Result<Self, ConfigurationError> {
         let (document, services) = read(file, text, like)?;
         Ok(Self::new(document, services))
     }
--- a/crates/sablebay-config/src/lib.rs
+++ b/crates/sablebay-config/src/lib.rs
@@ -28,6 +28,6 @@
 pub use gateway_settings::GatewaySettings;
 pub use index::{IndexLayout, IndexMap, LeafSettings, Shard};
 pub use nearest::nearest_name;
-pub use node_flags::{node_flags, overrides_of};
+pub use node_flags::{node_flags, overrides_from_flags};
 pub use node_settings::{LogFormat, LogTarget, NodeSettings};
 pub use service::{FanOut, Priority, ServiceSettings, WhenUnconfirmed};
--- a/crates/sablebay-config/src/node_flags.rs
+++ b/crates/sablebay-config/src/node_flags.rs
@@ -38,7 +38,7 @@
 ///
 /// A flag given twice counts with its last value, except `peers`, which makes a list. Flags that
 /// are no settings are left out.
-pub fn overrides_of(given: &[(String, String)]) -> Vec<(String, String)> {
+pub fn overrides_from_flags(given: &[(String, String)]) -> Vec<(String, String)> {
     let mut overrides: Vec<(String, String)> = Vec::new();
     let mut peers = Vec::new();
     for (flag, value) in given {
--- a/crates/sablebay-gateway/src/peer_catalogue.rs
+++ b/crates/sablebay-gateway/src/peer_catalogue.rs
@@ -10,7 +10,7 @@
 use sablebay_fleet::{FleetPart, SETTLING_TIME};
 use sablebay_model::Micros;
 use sablebay_node::{Lane, PeerFailure};
-use sablebay_protocol::peer::{AskerStanding, PeerRequest, PeerResponse};
+use sablebay_protocol::peer::{PeerRequest, PeerResponse, RequesterPosition};
 
 use crate::context::Context;
 use crate::document_fetch::fetch_document;
@@ -204,20 +204,20 @@
     turn: PeerTurn,
 ) -> Answer {
     let asked_at = context.clock().now();
-    let (version, position, learns_from) = context.node.catalogue.read(|view| {
+    let (version, position, catch_up_from) = context.node.catalogue.read(|view| {
         (view.incoming().request_from(view.version()), view.position(), view.catch_up_from(asked_at))
     });
     let replicas_at = position.at;
     let stage = replicas_at.stage();
-    let standing = Some(AskerStanding { stage, known_before: position.known_before, learns_from });
+    let requester = Some(RequesterPosition { stage, known_before: position.known_before, catch_up_from });
     // Whoever has learnt answers at once, and whoever has not is of no use.
-    let wait = if learns_from.is_some() { Duration::ZERO } else { wait_for_news(context, turn) };
+    let wait = if catch_up_from.is_some() { Duration::ZERO } else { wait_for_news(context, turn) };
     let request = PeerRequest::Catalogue {
         version,
         replicas_at: replicas_at.revision().number(),
         wait_ms: wait.as_millis() as u64,
         takes_documents: true,
-        standing,
+        requester,
     };
     let until = tokio::time::Instant::now() + wait + PATIENCE;
     let answer = context.node.peers.request(peer.address, Lane::Control, request, until).await;
@@ -241,7 +241,7 @@
     let is_in_touch = told.1.era() >= replicas_at.era();
     let contact_ago = snapshot.heard_ms_ago.filter(|_| snapshot.zones.is_some() && is_in_touch);
     let confirmation = snapshot.confirmation.filter(|_| is_in_touch);
-    let is_unlearnt = learns_from.is_some() && !snapshot.caught_up && offer.is_none();
+    let is_unlearnt = catch_up_from.is_some() && !snapshot.caught_up && offer.is_none();
     context.fleet.lock().note_told(snapshot.nodes_met, context.clock().now());
     if context.node.catalogue.update(|view| view.merge(*snapshot, now)) {
         log::info!(peer = peer.node.as_str(), version = told.0.unwrap_or(version), replicas_at = told.1.to_string().as_str(), had = replicas_at.to_string().as_str(), heard_ms_ago = contact_ago.unwrap_or(0), confirmed_ms_ago = confirmation.map_or(-1, |said| said.age.as_millis() as i64); "catalogue: news from a peer.");
--- a/crates/sablebay-gateway/src/quarantine.rs
+++ b/crates/sablebay-gateway/src/quarantine.rs
@@ -157,10 +157,10 @@
     context: &Arc<Context<C, B>>,
     address: SocketAddr,
     notices: Vec<QuarantineNotice>,
-    to_everyone: bool,
+    to_all_nodes: bool,
 ) {
     let context = context.clone();
-    let request = PeerRequest::Quarantine { notices, to_everyone, compare: false };
+    let request = PeerRequest::Quarantine { notices, to_all_nodes, compare: false };
     tokio::spawn(async move {
         let until = Instant::now() + PATIENCE;
         if let Err(failure) = context.node.peers.request(address, Lane::Control, request, until).await {
@@ -171,7 +171,7 @@
 
 async fn compare<C: CallerProtocol, B: BackendProtocol>(context: Arc<Context<C, B>>, address: SocketAddr) {
     let notices = context.node.quarantine.notices(context.clock().now());
-    let request = PeerRequest::Quarantine { notices, to_everyone: false, compare: true };
+    let request = PeerRequest::Quarantine { notices, to_all_nodes: false, compare: true };
     let until = Instant::now() + PATIENCE;
     let answer = context.node.peers.request(address, Lane::Control, request, until).await;
     if let Ok(PeerResponse::Quarantine(notices)) = answer {
--- a/crates/sablebay-http/src/lib.rs
+++ b/crates/sablebay-http/src/lib.rs
@@ -110,7 +110,7 @@
     }
 
     /// Gives a connection back whose response was read to its end.
-    pub fn give_back(&self, lease: Lease) {
+    pub fn release(&self, lease: Lease) {
         if !lease.sender.is_closed() {
             self.idle.lock().push(lease.sender);
         }
@@ -152,7 +152,7 @@
         let success = response.status().is_success();
         let limited = Limited::new(response.into_body(), MAXIMUM_EXCHANGE_BYTES);
         let collected = limited.collect().await.map_err(|_| ExchangeFailure::Broken)?;
-        self.give_back(lease);
+        self.release(lease);
         if success { Ok(collected.to_bytes()) } else { Err(ExchangeFailure::Broken) }
     }
 
--- a/crates/sablebay-node/src/catalogue_answer.rs
+++ b/crates/sablebay-node/src/catalogue_answer.rs
@@ -4,7 +4,7 @@
 
 use sablebay_catalogue::{CatalogueSnapshot, CatalogueView, DocumentOffer, PeerPosition};
 use sablebay_model::{InstanceKey, Micros};
-use sablebay_protocol::peer::AskerStanding;
+use sablebay_protocol::peer::RequesterPosition;
 
 use crate::catalogue_store::LargeNews;
 use crate::shared::Shared;
@@ -20,7 +20,7 @@
     /// The number of the revision up to which it knows the replicas; 0 when none.
     pub number: u64,
     /// The rest of where it stands; nothing from a node of an earlier release, which knows numbers alone.
-    pub standing: Option<AskerStanding>,
+    pub requester: Option<RequesterPosition>,
     /// How long it waits until there is something new.
     pub wait: Duration,
     /// Whether it takes steps between configurations, and fetches large answers in chunks.
@@ -30,19 +30,19 @@
 impl CatalogueQuestion {
     /// Whether this node knows what the asker has yet to learn: it is answered at once.
     fn is_taught(&self, view: &CatalogueView, now: Micros) -> bool {
-        self.standing.is_some_and(|standing| standing.learns_from.is_some()) && view.has_caught_up(now)
+        self.requester.is_some_and(|requester| requester.catch_up_from.is_some()) && view.has_caught_up(now)
     }
 
     /// From where on the asker is told.
     fn position(&self, view: &CatalogueView, now: Micros) -> PeerPosition {
-        let Some(standing) = self.standing else {
+        let Some(requester) = self.requester else {
             // Its number is taken for one of the era that this node knows: it would be told again and again for an era that it
             // does not name.
             return view.replicas_at().stage().at(self.number).into();
         };
-        let at = standing.stage.at(self.number);
-        let at = standing.learns_from.filter(|_| view.has_caught_up(now)).unwrap_or(at);
-        PeerPosition { at, known_before: standing.known_before }
+        let at = requester.stage.at(self.number);
+        let at = requester.catch_up_from.filter(|_| view.has_caught_up(now)).unwrap_or(at);
+        PeerPosition { at, known_before: requester.known_before }
     }
 }
 
--- a/crates/sablebay-node/src/leaf_client/batch.rs
+++ b/crates/sablebay-node/src/leaf_client/batch.rs
@@ -197,7 +197,7 @@
             return Err(ExchangeFailure::Broken);
         }
     }
-    context.pool.give_back(lease);
+    context.pool.release(lease);
     Ok(())
 }
 
--- a/crates/sablebay-node/src/leaf_client/operation.rs
+++ b/crates/sablebay-node/src/leaf_client/operation.rs
@@ -75,7 +75,7 @@
         };
         let exchanged = tokio::time::timeout_at(until, exchange).await;
         let bytes = exchanged.map_err(|_| OperationFailure::NoWord)??;
-        context.pool.give_back(lease);
+        context.pool.release(lease);
         read_result(call_id, &bytes)
     }
 }
--- a/crates/sablebay-node/src/node.rs
+++ b/crates/sablebay-node/src/node.rs
@@ -294,15 +294,15 @@
             PeerRequest::RecordOutcome { ticket, claimant, state } => {
                 PeerResponse::Recorded(shared.claims.lock().record(ticket, &claimant, state))
             }
-            PeerRequest::QuestionTicket { ticket } => {
+            PeerRequest::LookupTicket { ticket } => {
                 let answer = shared.claims.lock().lookup(&ticket, shared.clock.wall());
                 PeerResponse::Claim(answer)
             }
-            PeerRequest::Catalogue { version, replicas_at, wait_ms, takes_documents, standing } => {
+            PeerRequest::Catalogue { version, replicas_at, wait_ms, takes_documents, requester } => {
                 let question = CatalogueQuestion {
                     version,
                     number: replicas_at,
-                    standing,
+                    requester,
                     wait: Duration::from_millis(wait_ms),
                     takes_documents,
                 };
@@ -314,9 +314,9 @@
                     None => PeerResponse::NoDocumentChunk,
                 }
             }
-            PeerRequest::Quarantine { notices, to_everyone, compare } => {
+            PeerRequest::Quarantine { notices, to_all_nodes, compare } => {
                 let now = shared.clock.now();
-                shared.quarantine.hear(from.node.as_str(), &notices, to_everyone, now);
+                shared.quarantine.hear(from.node.as_str(), &notices, to_all_nodes, now);
                 let known = if compare { shared.quarantine.notices(now) } else { Vec::new() };
                 PeerResponse::Quarantine(known)
             }
--- a/crates/sablebay-node/src/operation.rs
+++ b/crates/sablebay-node/src/operation.rs
@@ -350,7 +350,7 @@
             if holder == *shared.key() {
                 return Some(shared.claims.lock().lookup(&ticket, shared.clock.wall()));
             }
-            let request = PeerRequest::QuestionTicket { ticket };
+            let request = PeerRequest::LookupTicket { ticket };
             match ask(&shared, &holder, request, now.plus(HOLDER_PATIENCE)).await {
                 Some(PeerResponse::Claim(answer)) => Some(answer),
                 _ => None,
--- a/crates/sablebay-node/src/platform.rs
+++ b/crates/sablebay-node/src/platform.rs
@@ -113,7 +113,7 @@
         let tag = response.headers().get(header::ETAG).cloned();
         let body = Limited::new(response.into_body(), MAXIMUM_DOCUMENT_BYTES).collect().await;
         let body = body.map_err(|_| ExchangeFailure::Broken)?.to_bytes();
-        self.pool.give_back(lease);
+        self.pool.release(lease);
         match status {
             StatusCode::NOT_MODIFIED => Ok(Document::Unchanged),
             StatusCode::OK => {
@@ -129,7 +129,7 @@
         let rejected = Version { revision: revision_of(&text), digest: Digest(xxh3_64(text.as_bytes())) };
         let in_force = self.shared.configuration();
         let parse = move || match in_force {
-            Some(in_force) => Configuration::parse_like("platform", &text, &in_force.document),
+            Some(in_force) => Configuration::parse_with_base("platform", &text, &in_force.document),
             None => Configuration::parse("platform", &text),
         };
         let parsed = tokio::task::spawn_blocking(parse).await;
--- a/crates/sablebay-node/src/quarantine_store.rs
+++ b/crates/sablebay-node/src/quarantine_store.rs
@@ -164,13 +164,13 @@
         }
     }
 
-    /// Another node told what it knows; `to_everyone` says that it told every node.
-    pub fn hear(&self, from: &str, notices: &[QuarantineNotice], to_everyone: bool, now: Micros) {
+    /// Another node told what it knows; `to_all_nodes` says that it told every node.
+    pub fn hear(&self, from: &str, notices: &[QuarantineNotice], to_all_nodes: bool, now: Micros) {
         let mut news = false;
         let mut known = self.known.lock();
         for notice in notices {
             let before = known.status(&notice.digest, now);
-            news |= known.merge_notice(notice, to_everyone, now);
+            news |= known.merge_notice(notice, to_all_nodes, now);
             note_standing(&known, &notice.digest, before, from, now);
         }
         drop(known);
--- a/crates/sablebay-protocol/src/peer.rs
+++ b/crates/sablebay-protocol/src/peer.rs
@@ -58,14 +58,14 @@
 
 /// Where a node stands that asks for news of the catalogue, beside the number of a revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct AskerStanding {
+pub struct RequesterPosition {
     /// The stage of that revision's era.
     pub stage: EraStage,
     /// Up to where it knew the catalogue when it heard of that era.
     pub known_before: CataloguePosition,
     /// Up to where it knew the catalogue before it started, or before the source came back from an older copy, while it has yet
     /// to learn what others knew then.
-    pub learns_from: Option<CataloguePosition>,
+    pub catch_up_from: Option<CataloguePosition>,
 }
 
 /// A request from one node to another.
@@ -92,7 +92,7 @@
         state: TicketState,
     },
     /// What is known of a ticket?
-    QuestionTicket {
+    LookupTicket {
         /// The ticket.
         ticket: Ticket,
     },
@@ -111,7 +111,7 @@
         takes_documents: bool,
         /// The rest of where the sender stands; nothing from a node of an earlier release, which knows numbers alone.
         #[musli(default)]
-        standing: Option<AskerStanding>,
+        requester: Option<RequesterPosition>,
     },
     /// Ask one replica of each of some shards on the sender's behalf, and merge their answers.
     PartialGather(Box<PartialGather>),
@@ -120,7 +120,7 @@
         /// What it knows.
         notices: Vec<QuarantineNotice>,
         /// Whether every node is told the same.
-        to_everyone: bool,
+        to_all_nodes: bool,
         /// Whether the receiver's own knowledge is wanted.
         compare: bool,
     },
--- a/crates/sablebay-standin/src/load/client.rs
+++ b/crates/sablebay-standin/src/load/client.rs
@@ -100,7 +100,7 @@
         let response = self.pool.send(&mut lease, request).await?;
         let status = response.status();
         let body = response.into_body().collect().await.map_err(|_| ExchangeFailure::Broken)?;
-        self.pool.give_back(lease);
+        self.pool.release(lease);
         Ok((status, body.to_bytes()))
     }
 
--- a/crates/sablebay/src/admin_client.rs
+++ b/crates/sablebay/src/admin_client.rs
@@ -73,7 +73,7 @@
         let response = self.pool.send(&mut lease, request).await.ok()?;
         let status = response.status();
         let body = response.into_body().collect().await.ok()?.to_bytes();
-        self.pool.give_back(lease);
+        self.pool.release(lease);
         Some((status, body))
     }
 }
--- a/crates/sablebay/src/command/serve.rs
+++ b/crates/sablebay/src/command/serve.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use tokio::signal::unix::{SignalKind, signal};
 
-use sablebay_config::{ConfigurationError, NodeSettings, node_flags, overrides_of};
+use sablebay_config::{ConfigurationError, NodeSettings, node_flags, overrides_from_flags};
 use sablebay_gateway::{Gateway, GatewayAddresses, GatewayMechanisms, key_digester};
 use sablebay_node::{BoundAddresses, LogControl, Node, NodeMechanisms, start_draining, start_logging};
 
@@ -78,7 +78,7 @@
         Some(path) => std::fs::read_to_string(path)
             .map_err(|error| UsageError::new(format!("cannot read {path}: {error}")))?,
     };
-    let overrides = overrides_of(&arguments.given_options());
+    let overrides = overrides_from_flags(&arguments.given_options());
     match NodeSettings::parse_with_overrides(file, &text, &overrides) {
         Ok(settings) => {
             let path = arguments.value("settings").map(PathBuf::from);
--- a/crates/sablebay/tests/interfaces.rs
+++ b/crates/sablebay/tests/interfaces.rs
@@ -68,7 +68,7 @@
         let mut lease = pool.connect(permit).await.unwrap();
         let response = pool.send(&mut lease, request).await.unwrap();
         let body = http_body_util::BodyExt::collect(response.into_body()).await.unwrap().to_bytes();
-        pool.give_back(lease);
+        pool.release(lease);
         let refusal: Refusal = serde_json::from_slice(&body).unwrap();
         assert_eq!(refusal.reason, reason, "{header}: {value}");
     }
