--- a/crates/sablebay-config/src/configuration.rs
+++ b/crates/sablebay-config/src/configuration.rs
@@ -44,8 +44,8 @@
     ///
     /// # Errors
     /// As [`Configuration::parse`].
-    pub fn parse_with_base(file: &str, text: &str, like: &Document) -> Result<Self, ConfigurationError> {
-        let (document, services) = read(file, text, like)?;
+    pub fn parse_with_base(file: &str, text: &str, base: &Document) -> Result<Self, ConfigurationError> {
+        let (document, services) = read(file, text, base)?;
         Ok(Self::new(document, services))
     }
 
@@ -118,8 +118,9 @@
     fn affected_entries(&self, delta: &Delta) -> Vec<EntryKey> {
         let touched = || delta.changed.iter().map(|(key, _)| key).chain(&delta.removed);
         let mut affected: Vec<EntryKey> = delta.changed.iter().map(|(key, _)| key.clone()).collect();
-        let structural = touched().any(|key| matches!(key.kind, EntryKind::Template | EntryKind::Index));
-        if structural {
+        let affects_instances =
+            touched().any(|key| matches!(key.kind, EntryKind::Template | EntryKind::Index));
+        if affects_instances {
             for service in self.services.values() {
                 let uses = |key: &EntryKey| match key.kind {
                     EntryKind::Template => service.templates.contains(&key.name),
--- a/crates/sablebay-config/src/document.rs
+++ b/crates/sablebay-config/src/document.rs
@@ -118,7 +118,7 @@
     /// # Errors
     /// The place of an entry that there is already, or of one that TOML's own values cannot hold; and
     /// what is wrong with it.
-    pub fn add_table(&mut self, table: &DeTable<'_>, like: &Document) -> Result<(), (Range<usize>, String)> {
+    pub fn add_table(&mut self, table: &DeTable<'_>, base: &Document) -> Result<(), (Range<usize>, String)> {
         for kind in EntryKind::ALL {
             let section = table.get(kind.section()).and_then(|section| section.get_ref().as_table());
             for (name, value) in section.into_iter().flatten() {
@@ -129,8 +129,8 @@
                 let body = toml::Value::deserialize(ValueDeserializer::from(value.clone()));
                 let body = body.map_err(|error| (value.span(), error.message().to_string()))?;
                 let entry = Entry::new(kind, name.get_ref(), &body.to_string());
-                let alike = like.entry(kind, name.get_ref()).filter(|known| **known == entry);
-                self.set(alike.cloned().unwrap_or(entry));
+                let unchanged = base.entry(kind, name.get_ref()).filter(|known| **known == entry);
+                self.set(unchanged.cloned().unwrap_or(entry));
             }
         }
         Ok(())
@@ -169,7 +169,7 @@
         self.digest.0 = self.digest.0.wrapping_add(added);
     }
 
-    fn unset(&mut self, key: &EntryKey) {
+    fn remove(&mut self, key: &EntryKey) {
         if let Some(previous) = self.entries.remove(key) {
             self.digest.0 = self.digest.0.wrapping_sub(previous.digest());
         }
@@ -180,8 +180,8 @@
         let changed = newer.entries.missing_from(&self.entries);
         let mut changed: Vec<_> = changed.map(|entry| (entry.key(), entry.body().to_string())).collect();
         changed.sort_unstable();
-        let gone = |entry: &&Entry| newer.entry(entry.kind(), entry.name()).is_none();
-        let removed = self.entries.missing_from(&newer.entries).filter(gone);
+        let is_removed = |entry: &&Entry| newer.entry(entry.kind(), entry.name()).is_none();
+        let removed = self.entries.missing_from(&newer.entries).filter(is_removed);
         let mut removed: Vec<EntryKey> = removed.map(Entry::key).collect();
         removed.sort_unstable();
         Delta { from: self.version(), to: newer.version(), changed, removed }
@@ -198,14 +198,14 @@
         let mut next = self.clone();
         next.revision = delta.to.revision;
         for key in &delta.removed {
-            next.unset(key);
+            next.remove(key);
         }
         for (key, body) in &delta.changed {
             next.set(Entry::new(key.kind, &key.name, body));
         }
         if next.digest != delta.to.digest {
             return Err(ConfigurationError::DigestMismatch {
-                promised: delta.to.digest,
+                expected: delta.to.digest,
                 actual: next.digest,
             });
         }
@@ -269,10 +269,10 @@
 /// The entries that an entry refers to.
 fn references(entry: &Entry) -> Vec<EntryKey> {
     let kind = entry.kind();
-    let Ok(wrapped) = format!("entry = {}", entry.body()).parse::<toml::Table>() else {
+    let Ok(table) = format!("entry = {}", entry.body()).parse::<toml::Table>() else {
         return Vec::new();
     };
-    let entry = &wrapped["entry"];
+    let entry = &table["entry"];
     let named = |key: &str, kind: EntryKind| {
         let name = entry.get(key).and_then(toml::Value::as_str);
         name.map(|name| EntryKey::new(kind, name))
--- a/crates/sablebay-config/src/error.rs
+++ b/crates/sablebay-config/src/error.rs
@@ -31,10 +31,10 @@
         index: IndexId,
     },
     /// The content that results from a delta has another digest than the delta promised.
-    #[display("the content has digest {actual}, not {promised}")]
+    #[display("the content has digest {actual}, not {expected}")]
     DigestMismatch {
         /// The digest promised.
-        promised: Digest,
+        expected: Digest,
         /// The digest found.
         actual: Digest,
     },
--- a/crates/sablebay-config/src/gateway_settings.rs
+++ b/crates/sablebay-config/src/gateway_settings.rs
@@ -61,13 +61,13 @@
 const ADDRESS: &str = "an IP address and port such as \"127.0.0.1:7000\"";
 
 /// The headers that tell callers apart when the settings name none.
-const CALLER_HEADERS: [&str; 2] = ["authorization", "cookie"];
+const DEFAULT_CALLER_HEADERS: [&str; 2] = ["authorization", "cookie"];
 
 fn caller_headers(section: &Section<'_>) -> Vec<String> {
     let mut names: Vec<String> =
         section.text_list("caller_headers").iter().map(|(name, _)| name.to_ascii_lowercase()).collect();
     if names.is_empty() {
-        names.extend(CALLER_HEADERS.map(str::to_string));
+        names.extend(DEFAULT_CALLER_HEADERS.map(str::to_string));
     }
     // Nodes whose settings name them in another order agree all the same.
     names.sort_unstable();
--- a/crates/sablebay-config/src/index.rs
+++ b/crates/sablebay-config/src/index.rs
@@ -113,8 +113,9 @@
         let set = set.unwrap_or_default();
         let where_given = shard_section.place_of("partitions");
         if covered.intersects(&set) {
-            let twice: PartitionSet = set.iter().filter(|partition| covered.contains(*partition)).collect();
-            let message = format!("{title}: partitions {twice} are in two shards");
+            let duplicates: PartitionSet =
+                set.iter().filter(|partition| covered.contains(*partition)).collect();
+            let message = format!("{title}: partitions {duplicates} are in two shards");
             findings.add(&where_given, message, "each partition in one shard");
         }
         if let (Some(count), Some(highest)) = (partitions, set.highest())
--- a/crates/sablebay-config/src/reader.rs
+++ b/crates/sablebay-config/src/reader.rs
@@ -30,23 +30,23 @@
 /// What services are checked against of an index.
 struct IndexSummary {
     partitions: u32,
-    fewest_replicas: usize,
+    minimum_replicas: usize,
 }
 
 /// What tables are checked against beyond themselves.
 #[derive(Default)]
-struct Known<'a> {
+struct KnownEntries<'a> {
     leaves: BTreeSet<&'a str>,
     /// The zones that leaves stand in, of a document that is read whole; nothing of a part of one.
     zones: Option<BTreeSet<ZoneName>>,
     indexes: BTreeMap<IndexId, IndexSummary>,
 }
 
-impl Known<'_> {
-    fn note_index(&mut self, map: &IndexMap) {
+impl KnownEntries<'_> {
+    fn add_index(&mut self, map: &IndexMap) {
         let replicas = map.shards.iter().map(|shard| shard.leaves.len());
         let summary =
-            IndexSummary { partitions: map.partitions, fewest_replicas: replicas.min().unwrap_or(0) };
+            IndexSummary { partitions: map.partitions, minimum_replicas: replicas.min().unwrap_or(0) };
         self.indexes.insert(map.index.clone(), summary);
     }
 }
@@ -69,14 +69,14 @@
 pub fn read(
     file: &str,
     text: &str,
-    like: &Document,
+    base: &Document,
 ) -> Result<(Document, Vec<ServiceSettings>), ConfigurationError> {
     // A text that cannot be taken in parts is read again as a whole, which tells why and where.
-    read_split(file, text, like).map_or_else(|| read_whole(file, text, Some(BTreeSet::new())), Ok)
+    read_split(file, text, base).map_or_else(|| read_whole(file, text, Some(BTreeSet::new())), Ok)
 }
 
 /// Reads a text in parts. Nothing when it is small, or when anything at all is amiss with a part.
-fn read_split(file: &str, text: &str, like: &Document) -> Option<(Document, Vec<ServiceSettings>)> {
+fn read_split(file: &str, text: &str, base: &Document) -> Option<(Document, Vec<ServiceSettings>)> {
     let parts = split_entries(text, PART_BYTES);
     if parts.len() < 2 {
         return None;
@@ -93,7 +93,7 @@
                 return None;
             }
         }
-        document.add_table(table.get_ref(), like).ok()?;
+        document.add_table(table.get_ref(), base).ok()?;
     }
     let services = read_in_parts(file, &document).ok()?;
     Some((document, services))
@@ -114,7 +114,7 @@
 ) -> Result<(Document, Vec<ServiceSettings>), ConfigurationError> {
     read_text(file, text, |findings, root| {
         let tables = read_tables(findings, root);
-        let mut known = Known { leaves: names(&tables.leaves), zones, ..Known::default() };
+        let mut known = KnownEntries { leaves: names(&tables.leaves), zones, ..KnownEntries::default() };
         let services = validate(findings, &tables, &mut known);
         // Nothing is made of a text with findings.
         if !findings.is_empty() {
@@ -161,10 +161,10 @@
 pub fn read_in_parts(file: &str, document: &Document) -> Result<Vec<ServiceSettings>, ConfigurationError> {
     let entries = document.sorted();
     let of_kind = |kind: EntryKind| entries.iter().copied().filter(move |entry| entry.kind() == kind);
-    let mut known = Known {
+    let mut known = KnownEntries {
         leaves: of_kind(EntryKind::Leaf).map(Entry::name).collect(),
         zones: Some(BTreeSet::new()),
-        ..Known::default()
+        ..KnownEntries::default()
     };
     let templates: Vec<&Entry> = of_kind(EntryKind::Template).collect();
     let mut services = Vec::new();
@@ -205,13 +205,13 @@
 fn read_part(
     file: &str,
     text: &str,
-    known: &mut Known<'_>,
+    known: &mut KnownEntries<'_>,
 ) -> Result<Vec<ServiceSettings>, ConfigurationError> {
     read_text(file, text, |findings, root| validate(findings, &read_tables(findings, root), known))
 }
 
 /// Validates every table, notes the indexes, and returns the services.
-fn validate(findings: &Findings, tables: &Tables<'_>, known: &mut Known<'_>) -> Vec<ServiceSettings> {
+fn validate(findings: &Findings, tables: &Tables<'_>, known: &mut KnownEntries<'_>) -> Vec<ServiceSettings> {
     for table in &tables.leaves {
         let leaf = read_leaf(findings, table.name, &table.place, &table.keys());
         if let Some(zones) = &mut known.zones {
@@ -226,7 +226,7 @@
     }
     for table in &tables.indexes {
         let map = read_index(findings, table.name, &table.place, &table.keys(), &known.leaves);
-        known.note_index(&map);
+        known.add_index(&map);
     }
     services_of(findings, tables, known)
 }
@@ -268,7 +268,7 @@
     tables.iter().map(|table| table.name).collect()
 }
 
-fn services_of(findings: &Findings, tables: &Tables<'_>, known: &Known<'_>) -> Vec<ServiceSettings> {
+fn services_of(findings: &Findings, tables: &Tables<'_>, known: &KnownEntries<'_>) -> Vec<ServiceSettings> {
     let templates = tables.templates.iter();
     let templates: Templates<'_> =
         templates.map(|table| (table.name, (table.place.clone(), table.keys()))).collect();
@@ -322,7 +322,7 @@
             format!("instance `{name}`: partitions {partitions} are not all in `{}`", settings.index);
         findings.add(&place_of("partitions"), message, format!("partitions below {}", index.partitions));
     }
-    let fewest = index.fewest_replicas;
+    let fewest = index.minimum_replicas;
     if settings.replicas as usize > fewest {
         let message = format!(
             "instance `{name}`: {} replicas are asked for, but a shard of `{}` has {fewest} leaves",
--- a/crates/sablebay-config/src/section.rs
+++ b/crates/sablebay-config/src/section.rs
@@ -344,8 +344,8 @@
 
 /// Names go into tickets, URLs and file names: letters, digits, `-` and `_` alone are safe there.
 pub fn check_name(findings: &Findings, name: &str, place: &Range<usize>) {
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
-    if name.is_empty() || name.len() > MAXIMUM_NAME_LENGTH || !name.bytes().all(plain) {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
+    if name.is_empty() || name.len() > MAXIMUM_NAME_LENGTH || !name.bytes().all(is_allowed) {
         let expected = format!("1 to {MAXIMUM_NAME_LENGTH} letters, digits, `-` or `_`");
         findings.add(place, format!("`{name}` is no name"), expected);
     }
--- a/crates/sablebay-config/src/template.rs
+++ b/crates/sablebay-config/src/template.rs
@@ -25,12 +25,12 @@
         let section = Section::new(findings, title, place.clone(), keys.clone()).allow_placeholders();
         section.raw("extends");
         read_service(&section, ServiceId::new(name), Vec::new());
-        chain(findings, templates, name);
+        inheritance_chain(findings, templates, name);
     }
 }
 
 /// A template and those it extends, nearest first. Stops at a cycle or an unknown name.
-fn chain<'a>(findings: &Findings, templates: &Templates<'a>, start: &str) -> Vec<&'a str> {
+fn inheritance_chain<'a>(findings: &Findings, templates: &Templates<'a>, start: &str) -> Vec<&'a str> {
     let mut names = Vec::new();
     let mut seen = BTreeSet::new();
     let mut next = start;
@@ -54,14 +54,14 @@
             break;
         }
         if !templates.contains_key(parent) {
-            unknown_template(findings, templates, &place.range(), parent);
+            report_unknown_template(findings, templates, &place.range(), parent);
         }
         next = parent;
     }
     names
 }
 
-fn unknown_template(findings: &Findings, templates: &Templates<'_>, place: &Range<usize>, name: &str) {
+fn report_unknown_template(findings: &Findings, templates: &Templates<'_>, place: &Range<usize>, name: &str) {
     let nearest = nearest_name(name, templates.keys().copied());
     findings.add_with_nearest(place, format!("there is no template `{name}`"), "a template's name", nearest);
 }
@@ -76,9 +76,11 @@
 ) -> ServiceSettings {
     let title = format!("instance `{name}`");
     let names = match own.get("template").and_then(|place| place.value.as_str()) {
-        Some(template) if templates.contains_key(template) => chain(findings, templates, template),
+        Some(template) if templates.contains_key(template) => {
+            inheritance_chain(findings, templates, template)
+        }
         Some(template) => {
-            unknown_template(findings, templates, &own["template"].range(), template);
+            report_unknown_template(findings, templates, &own["template"].range(), template);
             Vec::new()
         }
         None => {
@@ -98,7 +100,7 @@
         |key: &&str, place: &Place<'_>| !own.contains_key(key) && placeholder(place.value).is_none();
     let inherited = merged.iter().filter(|(key, place)| is_inherited(key, place));
     let inherited = inherited.map(|(key, _)| (*key).to_string()).collect();
-    fill_parameters(findings, &title, place, own, &mut merged);
+    substitute_parameters(findings, &title, place, own, &mut merged);
     let section = Section::new(findings, title, place.clone(), merged).with_inherited(inherited);
     let names = names.into_iter().map(str::to_string).collect();
     let settings = read_service(&section, ServiceId::new(name), names);
@@ -107,7 +109,7 @@
 }
 
 /// Replaces each `${name}` by the instance's parameter of that name.
-fn fill_parameters<'a>(
+fn substitute_parameters<'a>(
     findings: &Findings,
     title: &str,
     place: &Range<usize>,
--- a/crates/sablebay-config/tests/documents.rs
+++ b/crates/sablebay-config/tests/documents.rs
@@ -52,11 +52,11 @@
     /// and read there as the same version.
     #[test]
     fn damaged_documents_are_answered_too(at in 0usize..400, with in "\\PC{0,6}") {
-        let sound = "revision = 3\n[templates.t]\ndeadline_ms = 9\n[instances.s]\ntemplate = \"t\"\nindex = \"i\"\n\
+        let valid = "revision = 3\n[templates.t]\ndeadline_ms = 9\n[instances.s]\ntemplate = \"t\"\nindex = \"i\"\n\
             [indexes.i]\npartitions = 1\nshards = [{ partitions = \"0\", leaves = [\"l\"] }]\n\
             [leaves.l]\naddress = \"127.0.0.1:1\"\nzone = \"z\"\n";
-        let at = at.min(sound.len());
-        let damaged = format!("{}{with}{}", &sound[..at], &sound[at..]);
+        let at = at.min(valid.len());
+        let damaged = format!("{}{with}{}", &valid[..at], &valid[at..]);
         if let Ok(configuration) = Configuration::parse("damaged", &damaged) {
             let sent = Configuration::from_document((*configuration.document).clone()).unwrap();
             prop_assert_eq!(sent.version, configuration.version);
@@ -64,7 +64,7 @@
     }
 }
 
-fn sound(deadline: u64, revision: u64, leaf_b: bool) -> String {
+fn valid_text(deadline: u64, revision: u64, leaf_b: bool) -> String {
     let leaves = if leaf_b { "\"a\", \"b\"" } else { "\"a\"" };
     let extra = if leaf_b { "[leaves.b]\naddress = \"127.0.0.1:2\"\nzone = \"z\"\n" } else { "" };
     format!(
@@ -78,7 +78,12 @@
 /// Applying a delta gives what reading the whole document gives.
 #[test]
 fn a_delta_renders_the_same_as_the_whole() {
-    let versions = [sound(100, 1, false), sound(200, 2, false), sound(200, 3, true), sound(50, 4, false)];
+    let versions = [
+        valid_text(100, 1, false),
+        valid_text(200, 2, false),
+        valid_text(200, 3, true),
+        valid_text(50, 4, false),
+    ];
     let mut current = Configuration::parse("whole", &versions[0]).unwrap();
     for text in &versions[1..] {
         let whole = Configuration::parse("whole", text).unwrap();
@@ -93,7 +98,7 @@
 /// A delta whose result would not be valid is not taken.
 #[test]
 fn a_delta_that_breaks_the_configuration_is_rejected() {
-    let current = Configuration::parse("whole", &sound(100, 1, true)).unwrap();
+    let current = Configuration::parse("whole", &valid_text(100, 1, true)).unwrap();
     let keep = |entry: &&Entry| !(entry.kind() == EntryKind::Leaf && entry.name() == "b");
     let entries = current.document.entries().filter(keep);
     let entries = entries.map(|entry| (entry.key(), entry.body().to_string()));
@@ -105,15 +110,15 @@
 /// What was read of an index stays in use until its map or one of its leaves changes.
 #[test]
 fn a_layout_is_current_until_its_index_or_leaves_change() {
-    let before = Configuration::parse("whole", &sound(100, 1, false)).unwrap();
+    let before = Configuration::parse("whole", &valid_text(100, 1, false)).unwrap();
     let layout = before.index_layout(&IndexId::new("i")).unwrap();
     assert_eq!(layout.leaves.len(), 1);
-    let other_service = Configuration::parse("whole", &sound(200, 2, false)).unwrap();
+    let other_service = Configuration::parse("whole", &valid_text(200, 2, false)).unwrap();
     assert!(layout.is_current(&other_service.document));
-    let moved_leaf = sound(200, 3, false).replace("127.0.0.1:1", "127.0.0.1:9");
+    let moved_leaf = valid_text(200, 3, false).replace("127.0.0.1:1", "127.0.0.1:9");
     let moved_leaf = Configuration::parse("whole", &moved_leaf).unwrap();
     assert!(!layout.is_current(&moved_leaf.document));
-    let other_map = Configuration::parse("whole", &sound(200, 4, true)).unwrap();
+    let other_map = Configuration::parse("whole", &valid_text(200, 4, true)).unwrap();
     assert!(!layout.is_current(&other_map.document));
     assert!(before.index_layout(&IndexId::new("none")).is_err());
 }
@@ -163,8 +168,8 @@
         panic!("a wrong address is accepted");
     };
     assert_eq!(findings.iter().map(|finding| finding.line).collect::<Vec<_>>(), [line], "{findings:?}");
-    let twice = format!("{text}[leaves.leaf-7]\naddress = \"127.0.0.1:1\"\nzone = \"z\"\n");
-    assert!(Configuration::parse("large", &twice).is_err());
+    let duplicated = format!("{text}[leaves.leaf-7]\naddress = \"127.0.0.1:1\"\nzone = \"z\"\n");
+    assert!(Configuration::parse("large", &duplicated).is_err());
 }
 
 /// A document that a peer sent is read in parts, with the same result as its whole text.
@@ -177,13 +182,13 @@
     assert_eq!((parts.version, &parts.services), (whole.version, &whole.services));
 
     // What refers to an entry of another part that is not there is found.
-    for gone in [EntryKey::new(EntryKind::Leaf, "leaf-7"), EntryKey::new(EntryKind::Index, "i39")] {
-        let entries = whole.document.entries().filter(|entry| entry.key() != gone);
+    for missing in [EntryKey::new(EntryKind::Leaf, "leaf-7"), EntryKey::new(EntryKind::Index, "i39")] {
+        let entries = whole.document.entries().filter(|entry| entry.key() != missing);
         let entries = entries.map(|entry| (entry.key(), entry.body().to_string()));
         let broken = Configuration::from_document(Document::new(Revision(2), entries));
         let Err(ConfigurationError::Invalid { findings }) = broken else {
-            panic!("{gone} is not missed");
+            panic!("{missing} is not missed");
         };
-        assert!(findings[0].message.contains(&gone.name), "{findings:?}");
+        assert!(findings[0].message.contains(&missing.name), "{findings:?}");
     }
 }
--- a/crates/sablebay-config/tests/validation.rs
+++ b/crates/sablebay-config/tests/validation.rs
@@ -2,7 +2,7 @@
 
 use sablebay_config::{Configuration, ConfigurationError, Finding, NodeSettings};
 
-const SOUND: &str = r#"revision = 7
+const VALID_DOCUMENT: &str = r#"revision = 7
 
 [templates.base]
 deadline_ms = "${deadline}"
@@ -43,8 +43,8 @@
 
 /// The findings for the sound document with one text replaced.
 fn findings_after(from: &str, to: &str) -> Vec<Finding> {
-    assert!(SOUND.contains(from), "the document has no `{from}`");
-    findings(&SOUND.replace(from, to))
+    assert!(VALID_DOCUMENT.contains(from), "the document has no `{from}`");
+    findings(&VALID_DOCUMENT.replace(from, to))
 }
 
 fn only_finding(from: &str, to: &str) -> Finding {
@@ -55,7 +55,7 @@
 
 #[test]
 fn a_sound_document_is_rendered_with_parameters_and_inheritance() {
-    let configuration = Configuration::parse("c.toml", SOUND).unwrap();
+    let configuration = Configuration::parse("c.toml", VALID_DOCUMENT).unwrap();
     let desk = configuration.services.values().next().unwrap();
     assert_eq!(desk.deadline_ms, 250);
     assert_eq!(desk.replicas, 2);
--- a/crates/sablebay-config/tests/zones.rs
+++ b/crates/sablebay-config/tests/zones.rs
@@ -77,10 +77,10 @@
     let before = parse(1, "");
     let during = parse(2, "[zones.hall-a]\nevacuated = true");
     let after = parse(3, "[zones.hall-a]\nevacuated = false");
-    let told = before.apply(&before.document.delta_to(&during.document)).expect("it fits");
-    assert_eq!(evacuated(&told), ["hall-a"]);
-    let told = told.apply(&told.document.delta_to(&after.document)).expect("it fits");
-    assert_eq!(evacuated(&told), Vec::<&str>::new());
+    let updated = before.apply(&before.document.delta_to(&during.document)).expect("it fits");
+    assert_eq!(evacuated(&updated), ["hall-a"]);
+    let updated = updated.apply(&updated.document.delta_to(&after.document)).expect("it fits");
+    assert_eq!(evacuated(&updated), Vec::<&str>::new());
     // A node that starts takes the whole document from a peer.
     let started = Configuration::from_document((*during.document).clone()).expect("it is sound");
     assert_eq!(evacuated(&started), ["hall-a"]);
--- a/crates/sablebay-protocol/src/frame.rs
+++ b/crates/sablebay-protocol/src/frame.rs
@@ -17,7 +17,7 @@
 /// The longest frame, without its length field.
 pub const MAXIMUM_FRAME_BYTES: usize = 16 * 1024 * 1024;
 /// Bytes of the proof that are sent.
-const PROOF_BYTES: usize = 16;
+const TAG_BYTES: usize = 16;
 const LENGTH_BYTES: usize = 4;
 
 /// Random bytes that each side sends first.
@@ -26,28 +26,28 @@
 /// What the frames of one direction of one connection are proved with.
 #[derive(Clone)]
 pub struct ChannelKey {
-    keyed: Hmac<Sha256>,
-    next_number: u64,
+    mac: Hmac<Sha256>,
+    next_sequence: u64,
 }
 
 impl ChannelKey {
     /// The key for frames from the side with nonce `sender` to the one with nonce `receiver`.
     pub fn new(fleet: &FleetName, secret: &str, sender: &Nonce, receiver: &Nonce) -> Self {
-        let mut keyed = Hmac::<Sha256>::new_from_slice(secret.as_bytes())
+        let mut mac = Hmac::<Sha256>::new_from_slice(secret.as_bytes())
             .expect("a keyed hash takes a key of any length");
-        keyed.update(fleet.as_str().as_bytes());
-        keyed.update(&[0]);
-        keyed.update(sender);
-        keyed.update(receiver);
-        Self { keyed, next_number: 0 }
+        mac.update(fleet.as_str().as_bytes());
+        mac.update(&[0]);
+        mac.update(sender);
+        mac.update(receiver);
+        Self { mac, next_sequence: 0 }
     }
 
-    fn next_hash(&mut self, content: &[u8]) -> Hmac<Sha256> {
-        let mut hash = self.keyed.clone();
-        hash.update(&self.next_number.to_be_bytes());
-        hash.update(content);
-        self.next_number += 1;
-        hash
+    fn next_mac(&mut self, content: &[u8]) -> Hmac<Sha256> {
+        let mut mac = self.mac.clone();
+        mac.update(&self.next_sequence.to_be_bytes());
+        mac.update(content);
+        self.next_sequence += 1;
+        mac
     }
 }
 
@@ -62,14 +62,14 @@
 ) -> Result<(), ProtocolError> {
     let content = musli::wire::to_vec(message)
         .map_err(|error| ProtocolError::Malformed { message: error.to_string() })?;
-    let bytes = content.len() + PROOF_BYTES;
+    let bytes = content.len() + TAG_BYTES;
     if bytes > MAXIMUM_FRAME_BYTES {
         return Err(ProtocolError::FrameTooLarge { bytes, limit: MAXIMUM_FRAME_BYTES });
     }
-    let proof = key.next_hash(&content).finalize().into_bytes();
+    let tag = key.next_mac(&content).finalize().into_bytes();
     buffer.reserve(LENGTH_BYTES + bytes);
     buffer.put_u32(bytes as u32);
-    buffer.put_slice(&proof[..PROOF_BYTES]);
+    buffer.put_slice(&tag[..TAG_BYTES]);
     buffer.put_slice(&content);
     Ok(())
 }
@@ -100,7 +100,7 @@
         if bytes > MAXIMUM_FRAME_BYTES {
             return Err(ProtocolError::FrameTooLarge { bytes, limit: MAXIMUM_FRAME_BYTES });
         }
-        if bytes < PROOF_BYTES {
+        if bytes < TAG_BYTES {
             return Err(ProtocolError::FrameTooShort { bytes });
         }
         if buffer.len() < LENGTH_BYTES + bytes {
@@ -109,8 +109,8 @@
         }
         buffer.advance(LENGTH_BYTES);
         let frame = buffer.split_to(bytes);
-        let (proof, content) = frame.split_at(PROOF_BYTES);
-        self.key.next_hash(content).verify_truncated_left(proof).map_err(|_| ProtocolError::WrongProof)?;
+        let (tag, content) = frame.split_at(TAG_BYTES);
+        self.key.next_mac(content).verify_truncated_left(tag).map_err(|_| ProtocolError::WrongProof)?;
         let message = musli::wire::from_slice(content)
             .map_err(|error| ProtocolError::Malformed { message: error.to_string() })?;
         Ok(Some(message))
--- a/crates/sablebay-protocol/tests/frames.rs
+++ b/crates/sablebay-protocol/tests/frames.rs
@@ -87,11 +87,11 @@
     #[test]
     fn frames_are_read_however_they_are_cut(numbers in proptest::collection::vec(any::<u64>(), 1..6), cut in 1usize..30) {
         let messages: Vec<PeerMessage> = numbers.iter().map(|number| cancel(*number)).collect();
-        let whole = frames(&messages);
+        let encoded = frames(&messages);
         let mut reader = FrameReader::new(key("fleet", "secret"));
         let mut buffer = BytesMut::new();
         let mut read = Vec::new();
-        for part in whole.chunks(cut) {
+        for part in encoded.chunks(cut) {
             buffer.extend_from_slice(part);
             while let Some(message) = reader.next::<PeerMessage>(&mut buffer).unwrap() {
                 read.push(message);
@@ -117,8 +117,8 @@
         let mut buffer = frames(&[cancel(1)]);
         assert_eq!(reader.next::<PeerMessage>(&mut buffer), Err(ProtocolError::WrongProof));
     }
-    let once = frames(&[cancel(1)]);
-    let mut replayed = BytesMut::from(&[&once[..], &once[..]].concat()[..]);
+    let encoded = frames(&[cancel(1)]);
+    let mut replayed = BytesMut::from(&[&encoded[..], &encoded[..]].concat()[..]);
     let mut reader = FrameReader::new(key("fleet", "secret"));
     assert_eq!(reader.next(&mut replayed), Ok(Some(cancel(1))));
     assert_eq!(reader.next::<PeerMessage>(&mut replayed), Err(ProtocolError::WrongProof));
@@ -155,7 +155,7 @@
 
 /// A member as the release before nodes gathered for one another tells of itself.
 #[derive(Debug, Encode, Decode, PartialEq)]
-struct MemberOfThen {
+struct PreviousMemberInfo {
     key: InstanceKey,
     zone: ZoneName,
     region: RegionName,
@@ -167,7 +167,7 @@
 #[test]
 fn a_member_of_the_release_before_is_read_as_one_that_does_not_gather() {
     let address: SocketAddr = "127.0.0.1:1".parse().unwrap();
-    let then = MemberOfThen {
+    let previous = PreviousMemberInfo {
         key: InstanceKey { node: NodeId::new("n1"), incarnation: Incarnation::from_start(1, 2) },
         zone: ZoneName::new("a"),
         region: RegionName::new("r"),
@@ -175,9 +175,9 @@
         caller_address: address,
         admin_address: address,
     };
-    let read: MemberInfo = musli::wire::from_slice(&musli::wire::to_vec(&then).unwrap()).unwrap();
+    let read: MemberInfo = musli::wire::from_slice(&musli::wire::to_vec(&previous).unwrap()).unwrap();
     assert!(!read.gathers, "such a node is not asked");
-    let now = MemberInfo { gathers: true, ..read };
-    let read: MemberOfThen = musli::wire::from_slice(&musli::wire::to_vec(&now).unwrap()).unwrap();
-    assert_eq!(read, then, "and it reads a member of this release");
+    let current = MemberInfo { gathers: true, ..read };
+    let read: PreviousMemberInfo = musli::wire::from_slice(&musli::wire::to_vec(&current).unwrap()).unwrap();
+    assert_eq!(read, previous, "and it reads a member of this release");
 }
