--- a/crates/sablebay-http/src/lib.rs
+++ b/crates/sablebay-http/src/lib.rs
@@ -1,7 +1,7 @@
 //! A bounded pool of HTTP connections to one address.
 //!
-//! Its users need to know two things that general clients hide: how many connections there are,
-//! and whether a request that failed can have left.
+//! Unlike general-purpose clients, the pool limits the number of connections and reports whether a
+//! failed request may have been sent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,35 +19,34 @@
 use tokio::net::TcpStream;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// How long a connection may take to open.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a short exchange may take.
+/// Timeout of [`ConnectionPool::get`] and [`ConnectionPool::post`].
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest body of a short exchange.
+/// Maximum response body size of [`ConnectionPool::exchange`].
 const MAXIMUM_EXCHANGE_BYTES: usize = 1 << 20;
-/// Permits that a semaphore can hold for later growth.
+/// Upper bound of the connection limit.
 const MAXIMUM_CONNECTIONS: usize = 65_536;
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// A connection in use, with its place in the pool's limit.
+/// Connection checked out of the pool, with its permit.
 pub struct Lease {
     sender: Sender,
     _permit: OwnedSemaphorePermit,
 }
 
-/// Why a request got no response.
+/// Reason why a request got no response.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum ExchangeFailure {
-    /// No byte can have reached the other side.
+    /// No bytes were sent.
     #[display("the request was not sent")]
     NotSent,
-    /// Bytes may have reached it.
+    /// The server may have received the request.
     #[display("the connection broke after the request was sent")]
     Broken,
 }
 
-/// The connections of this process to one address.
+/// Bounded pool of connections to one address.
 pub struct ConnectionPool {
     address: SocketAddr,
     idle: Mutex<Vec<Sender>>,
@@ -56,7 +55,7 @@
 }
 
 impl ConnectionPool {
-    /// A pool of `limit` connections at the most.
+    /// Creates a pool of at most `limit` connections.
     pub fn new(address: SocketAddr, limit: usize) -> Self {
         let limit = limit.clamp(1, MAXIMUM_CONNECTIONS);
         Self {
@@ -67,12 +66,11 @@
         }
     }
 
-    /// Where the connections go.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes the limit. A lower one takes hold as connections come back.
+    /// Changes the limit. A lower limit takes effect as connections are released.
     pub fn set_limit(&self, limit: usize) {
         let limit = limit.clamp(1, MAXIMUM_CONNECTIONS);
         let before = self.limit.swap(limit, Ordering::AcqRel);
@@ -84,17 +82,17 @@
         self.idle.lock().truncate(limit);
     }
 
-    /// Waits for a place under the limit.
+    /// Waits for a connection permit.
     pub async fn permit(&self) -> OwnedSemaphorePermit {
         self.permits.clone().acquire_owned().await.expect("the semaphore is never closed")
     }
 
-    /// A place under the limit, when one is free and nobody waits.
+    /// Returns a permit if one is available immediately.
     pub fn try_permit(&self) -> Option<OwnedSemaphorePermit> {
         self.permits.clone().try_acquire_owned().ok()
     }
 
-    /// A connection: an idle one that is still open, or a new one.
+    /// Reuses an idle open connection, or opens a new one.
     pub async fn connect(&self, permit: OwnedSemaphorePermit) -> Option<Lease> {
         while let Some(mut sender) = self.pop_idle() {
             if sender.ready().await.is_ok() {
@@ -109,17 +107,17 @@
         self.idle.lock().pop()
     }
 
-    /// Gives a connection back whose response was read to its end.
+    /// Returns a connection to the pool. Its last response must have been read completely.
     pub fn release(&self, lease: Lease) {
         if !lease.sender.is_closed() {
             self.idle.lock().push(lease.sender);
         }
     }
 
-    /// Starts a request on a connection.
+    /// Sends a request and waits for the response headers.
     ///
     /// # Errors
-    /// Whether bytes can have left.
+    /// [`ExchangeFailure`], which states whether the request may have been sent.
     pub async fn send(
         &self,
         lease: &mut Lease,
@@ -128,7 +126,7 @@
         if lease.sender.ready().await.is_err() {
             return Err(ExchangeFailure::NotSent);
         }
-        // The library names a request cancelled when it was handed back before any byte left.
+        // The error carries the request only if hyper did not send any of it.
         let sent = lease.sender.try_send_request(request).await;
         sent.map_err(|error| match error.message() {
             Some(_) => ExchangeFailure::NotSent,
@@ -136,10 +134,10 @@
         })
     }
 
-    /// A short exchange: a request, and its whole response when that is a success.
+    /// Sends a request and reads the whole response body; a non-success status is a failure.
     ///
     /// # Errors
-    /// Whether bytes can have left.
+    /// [`ExchangeFailure`], which states whether the request may have been sent.
     pub async fn exchange(
         &self,
         method: Method,
@@ -156,20 +154,20 @@
         if success { Ok(collected.to_bytes()) } else { Err(ExchangeFailure::Broken) }
     }
 
-    /// The body at a path.
+    /// Fetches the response body at a path; `None` on failure or timeout.
     pub async fn get(&self, path: &'static str) -> Option<Bytes> {
         let exchange = self.exchange(Method::GET, path, Bytes::new());
         tokio::time::timeout(EXCHANGE_TIMEOUT, exchange).await.ok()?.ok()
     }
 
-    /// Posts a body whose answer matters little.
+    /// Posts a JSON body and returns the response body; `None` on failure or timeout.
     pub async fn post(&self, path: &'static str, body: Bytes) -> Option<Bytes> {
         let exchange = self.exchange(Method::POST, path, body);
         tokio::time::timeout(EXCHANGE_TIMEOUT, exchange).await.ok()?.ok()
     }
 }
 
-/// A request with a JSON body. The paths are constants of the protocol and therefore valid.
+/// Builds a request with a JSON body. Panics if `path` is not a valid URI.
 pub fn json_request(method: Method, path: &'static str, body: Bytes) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = method;
@@ -185,7 +183,7 @@
     stream.set_nodelay(true).ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(async move {
-        // How a connection ends shows in its requests; there is nobody else to tell.
+        // Connection errors are reported by the requests that use the connection.
         let _ = connection.await;
     });
     Some(sender)
--- a/crates/sablebay-protocol/src/backend.rs
+++ b/crates/sablebay-protocol/src/backend.rs
@@ -1,4 +1,4 @@
-//! What back ends speak: HTTP with JSON. `docs/BACKEND.md` describes it for their writers.
+//! Back-end protocol: JSON over HTTP, specified in `docs/BACKEND.md`.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use sablebay_model::{CallId, Hit, LeafId, PartitionSet, ServiceId, SnapshotVersion, SortOrder};
 
-/// Path of a batch of searches.
+/// Path for search batches.
 pub const SEARCH_PATH: &str = "/v1/search";
 /// Path of cancellations.
 pub const CANCEL_PATH: &str = "/v1/cancel";
@@ -18,191 +18,175 @@
 /// Path of the health report.
 pub const HEALTH_PATH: &str = "/v1/health";
 
-/// Several searches in one request. Answers are streamed back, one JSON object a line.
+/// Several searches in one request. Responses are streamed as one JSON object per line.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct SearchBatch<Caller, Call> {
-    /// The calling node's life, which makes call ids unique among all nodes.
+    /// Incarnation of the calling node; makes call ids unique across nodes.
     pub caller: Caller,
-    /// The searches.
     pub calls: Vec<Call>,
 }
 
-/// One search of some partitions at one version.
+/// Search of some partitions at one index version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeafCall {
-    /// Echoed in the answer.
+    /// Echoed in the response.
     pub call_id: CallId,
-    /// The service that asks.
+    /// Service on whose behalf the leaf is called.
     pub service: ServiceId,
-    /// The partitions to search.
     pub partitions: PartitionSet,
-    /// The version to search at.
+    /// Index version to search.
     pub version: SnapshotVersion,
-    /// Milliseconds that are left; a leaf gives up then.
+    /// Time to the deadline, after which the leaf aborts the call.
     pub remaining_ms: u64,
-    /// Hits wanted at the most.
+    /// Maximum number of hits.
     pub limit: usize,
-    /// Their order.
     pub sort: SortOrder,
-    /// The caller's query, passed on as it is.
+    /// Query of the caller, passed through unchanged.
     pub query: Arc<RawValue>,
 }
 
-/// A [`LeafCall`] as the calling side writes it, without copying its parts.
+/// Borrowed form of [`LeafCall`] for serialization without copies.
 #[derive(Debug, Serialize)]
 pub struct LeafCallRef<'a> {
-    /// Echoed in the answer.
+    /// Echoed in the response.
     pub call_id: CallId,
-    /// The service that asks.
+    /// Service on whose behalf the leaf is called.
     pub service: &'a ServiceId,
-    /// The partitions to search.
     pub partitions: &'a PartitionSet,
-    /// The version to search at.
+    /// Index version to search.
     pub version: SnapshotVersion,
-    /// Milliseconds that are left; a leaf gives up then.
+    /// Time to the deadline, after which the leaf aborts the call.
     pub remaining_ms: u64,
-    /// Hits wanted at the most.
+    /// Maximum number of hits.
     pub limit: usize,
-    /// Their order.
     pub sort: SortOrder,
-    /// The caller's query, passed on as it is.
+    /// Query of the caller, passed through unchanged.
     pub query: &'a RawValue,
 }
 
-/// What a leaf says of itself with each answer.
+/// Load report that a leaf attaches to each response.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeafLoad {
-    /// Calls that it is running.
+    /// Number of running calls.
     pub in_flight: u32,
-    /// Calls that it can run at once.
+    /// Maximum number of concurrent calls.
     pub slots: u32,
-    /// Whether it is leaving and takes no new work.
+    /// Whether the leaf is shutting down and accepts no new calls.
     #[serde(default)]
     pub draining: bool,
-    /// Index versions that it holds.
+    /// Available index versions.
     pub versions: Vec<SnapshotVersion>,
 }
 
-/// Why a leaf did not run a call.
+/// Reason why a leaf did not run a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeafRefusal {
-    /// It does not hold the version or a partition.
+    /// The leaf lacks the version or a partition.
     NotHeld,
-    /// It is leaving.
+    /// The leaf is shutting down.
     Draining,
-    /// It has too much work.
+    /// The leaf is overloaded.
     Shedding,
-    /// The deadline passed before it was done.
+    /// The deadline passed before completion.
     TooLate,
-    /// The call was cancelled.
     Cancelled,
-    /// The call makes no sense to it.
+    /// The call is invalid.
     BadCall,
 }
 
-/// A leaf's answer to one call.
+/// Response of a leaf to one call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeafAnswer {
-    /// Of the call.
+    /// Id of the answered call.
     pub call_id: CallId,
-    /// The version searched.
+    /// Searched index version.
     pub version: SnapshotVersion,
-    /// The partitions searched.
+    /// Searched partitions.
     pub partitions: PartitionSet,
-    /// The hits; empty with a refusal.
+    /// Empty with a refusal.
     #[serde(default)]
     pub hits: Vec<Hit>,
     /// Set when the call did not run.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub refusal: Option<LeafRefusal>,
-    /// The leaf's load.
     pub load: LeafLoad,
 }
 
-/// Answers to these calls are no longer wanted.
+/// Cancels calls.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CancelCalls {
-    /// The calling node's life.
+    /// Incarnation of the calling node.
     pub caller: String,
-    /// The calls.
     pub call_ids: Vec<CallId>,
 }
 
-/// One operation, which must not be repeated.
+/// Non-idempotent operation; must not be repeated.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeafOperation {
-    /// The calling node's life.
+    /// Incarnation of the calling node.
     pub caller: String,
-    /// Echoed in the answer.
+    /// Echoed in the response.
     pub call_id: CallId,
-    /// The service.
     pub service: ServiceId,
-    /// The ticket's identity: a leaf may keep it, and is not required to.
+    /// Ticket id; a leaf may store it but is not required to.
     pub ticket: String,
-    /// Milliseconds that are left.
+    /// Time to the deadline.
     pub remaining_ms: u64,
-    /// The caller's operation, passed on as it is.
+    /// Operation of the caller, passed through unchanged.
     pub operation: Box<RawValue>,
 }
 
-/// A leaf's answer to an operation.
+/// Response of a leaf to an operation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeafOperationAnswer {
-    /// Of the call.
+    /// Id of the answered call.
     pub call_id: CallId,
-    /// The result; absent with a refusal.
+    /// Absent with a refusal.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub result: Option<Box<RawValue>>,
-    /// Set when the operation did not run, and will not.
+    /// Set when the operation did not run and never will.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub refusal: Option<LeafRefusal>,
-    /// The leaf's load.
     pub load: LeafLoad,
 }
 
-/// A leaf's word on its health. Known to lag and to mislead; nodes take it as a hint.
+/// Self-reported health of a leaf. May be stale or wrong; nodes treat it as a hint.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeafHealth {
-    /// The leaf.
     pub leaf: LeafId,
-    /// Whether it says that it is well.
     pub healthy: bool,
 }
 
-/// One machine in the platform's list.
+/// Machine in the platform inventory.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
-    /// The node's or leaf's name.
+    /// Name of the node or leaf.
     pub name: String,
-    /// What runs on it.
     pub role: MachineRole,
-    /// Where peers connect; for nodes alone.
+    /// Peer address; set only for nodes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub address: Option<std::net::SocketAddr>,
-    /// Whether it is leaving.
+    /// Whether the machine is leaving the fleet.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// What runs on a machine.
+/// Role of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineRole {
-    /// A node of sablebay.
     Node,
-    /// A leaf.
     Leaf,
 }
 
-/// The platform's list of machines.
+/// Machine inventory of the platform.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineList {
-    /// The machines.
     pub machines: Vec<Machine>,
 }
 
-/// Path of the platform's configuration.
+/// Path of the platform configuration document.
 pub const PLATFORM_CONFIGURATION_PATH: &str = "/v1/configuration";
-/// Path of the platform's list of machines.
+/// Path of the platform machine inventory.
 pub const PLATFORM_MACHINES_PATH: &str = "/v1/machines";
--- a/crates/sablebay-protocol/src/error.rs
+++ b/crates/sablebay-protocol/src/error.rs
@@ -1,31 +1,27 @@
-//! Errors of this crate.
-
 use derive_more::{Display, Error};
 
-/// Why a frame was turned away.
+/// Reason for rejecting a frame.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum ProtocolError {
-    /// The frame is longer than allowed.
     #[display("a frame of {bytes} bytes is over the limit of {limit}")]
     FrameTooLarge {
-        /// Its length.
+        /// Length without the length field.
         bytes: usize,
-        /// The limit.
         limit: usize,
     },
-    /// The frame is shorter than its own header.
+    /// The frame is shorter than its authentication tag.
     #[display("a frame of {bytes} bytes is too short")]
     FrameTooShort {
-        /// Its length.
+        /// Length without the length field.
         bytes: usize,
     },
-    /// The proof of the fleet's key is wrong: a stranger, another fleet, or a replay.
+    /// The authentication tag does not match: wrong fleet or key, corruption, or a replay.
     #[display("the frame's proof is wrong")]
     WrongProof,
-    /// The content could not be decoded.
+    /// The content could not be encoded or decoded.
     #[display("the frame's content is malformed: {message}")]
     Malformed {
-        /// What the decoder said.
+        /// Message of the codec.
         message: String,
     },
 }
--- a/crates/sablebay-protocol/src/frame.rs
+++ b/crates/sablebay-protocol/src/frame.rs
@@ -1,8 +1,8 @@
-//! Frames between nodes: length, proof, content.
+//! Authenticated frames between nodes: length, authentication tag, content.
 //!
-//! The proof is a keyed hash over the fleet's name, both sides' nonces, the direction, the
-//! frame's number and its content. A frame from a stranger, from another fleet, replayed on this
-//! connection or carried over from another one has a wrong proof.
+//! The tag is a truncated HMAC over the fleet name, the nonces of sender and receiver, the sequence
+//! number and the content. Frames from other fleets or connections and replayed
+//! frames fail verification.
 
 use bytes::{Buf, BufMut, BytesMut};
 use hmac::{Hmac, Mac};
@@ -14,16 +14,16 @@
 
 use crate::error::ProtocolError;
 
-/// The longest frame, without its length field.
+/// Maximum frame size, without the length field.
 pub const MAXIMUM_FRAME_BYTES: usize = 16 * 1024 * 1024;
-/// Bytes of the proof that are sent.
+/// Size of the truncated authentication tag.
 const TAG_BYTES: usize = 16;
 const LENGTH_BYTES: usize = 4;
 
-/// Random bytes that each side sends first.
+/// Random bytes that each side sends when a connection opens.
 pub type Nonce = [u8; 16];
 
-/// What the frames of one direction of one connection are proved with.
+/// Authenticates the frames of one direction of a connection.
 #[derive(Clone)]
 pub struct ChannelKey {
     mac: Hmac<Sha256>,
@@ -31,10 +31,10 @@
 }
 
 impl ChannelKey {
-    /// The key for frames from the side with nonce `sender` to the one with nonce `receiver`.
+    /// Creates the key for frames from the side with nonce `sender` to the side with nonce `receiver`.
     pub fn new(fleet: &FleetName, secret: &str, sender: &Nonce, receiver: &Nonce) -> Self {
-        let mut mac = Hmac::<Sha256>::new_from_slice(secret.as_bytes())
-            .expect("a keyed hash takes a key of any length");
+        let mut mac =
+            Hmac::<Sha256>::new_from_slice(secret.as_bytes()).expect("HMAC accepts keys of any length");
         mac.update(fleet.as_str().as_bytes());
         mac.update(&[0]);
         mac.update(sender);
@@ -54,7 +54,7 @@
 /// Appends a message to `buffer` as a frame.
 ///
 /// # Errors
-/// When the message cannot be encoded or is too large.
+/// Fails when the message cannot be encoded or exceeds [`MAXIMUM_FRAME_BYTES`].
 pub fn encode_frame<T: Encode<Binary>>(
     message: &T,
     key: &mut ChannelKey,
@@ -74,21 +74,20 @@
     Ok(())
 }
 
-/// Takes frames out of a growing buffer.
+/// Decodes frames from a receive buffer.
 pub struct FrameReader {
     key: ChannelKey,
 }
 
 impl FrameReader {
-    /// A reader of frames that were proved with `key`.
     pub fn new(key: ChannelKey) -> Self {
         Self { key }
     }
 
-    /// The next message in `buffer`; nothing when more bytes are needed.
+    /// Decodes the next message in `buffer`; `None` when the frame is incomplete.
     ///
     /// # Errors
-    /// [`ProtocolError`]; the connection is of no more use then.
+    /// [`ProtocolError`] for an invalid frame; the connection cannot be used afterwards.
     pub fn next<T>(&mut self, buffer: &mut BytesMut) -> Result<Option<T>, ProtocolError>
     where
         T: for<'de> Decode<'de, Binary, musli::alloc::Global>,
--- a/crates/sablebay-protocol/src/lib.rs
+++ b/crates/sablebay-protocol/src/lib.rs
@@ -1,5 +1,5 @@
-//! Messages on the wire and their codecs: HTTP with JSON to callers and back ends, frames in
-//! musli between nodes. No I/O.
+//! Wire messages and codecs: JSON over HTTP for callers and back ends, authenticated musli frames
+//! between nodes. Performs no I/O.
 
 pub mod backend;
 pub mod caller;
--- a/crates/sablebay-protocol/src/peer.rs
+++ b/crates/sablebay-protocol/src/peer.rs
@@ -1,5 +1,5 @@
-//! Messages between nodes. One connection carries messages both ways; requests are numbered and
-//! answered in any order.
+//! Messages between nodes. A connection carries messages in both directions; responses are matched
+//! to requests by number and may arrive in any order.
 
 use musli::{Decode, Encode};
 
@@ -14,57 +14,37 @@
 use sablebay_query::{Coverage, Work};
 use sablebay_tenants::quota::{QuotaGrant, QuotaRequest};
 
-/// The first message of each side: who it is.
+/// First message of each side.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Greeting {
-    /// The sender.
     pub info: MemberInfo,
 }
 
-/// One message on a connection.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum PeerMessage {
-    /// Who the sender is; before anything else.
+    /// Identity of the sender; precedes all other messages.
     Greeting(Greeting),
-    /// Membership and configuration.
+    /// Membership and fleet configuration.
     Fleet(FleetMessage),
-    /// A request, to be answered under its number.
-    Request {
-        /// The number.
-        number: u64,
-        /// The request.
-        request: PeerRequest,
-    },
-    /// The answer to a request.
-    Response {
-        /// The number of the request.
-        number: u64,
-        /// The answer.
-        response: PeerResponse,
-    },
-    /// The answer to a request is no longer wanted.
-    Cancel {
-        /// The number of the request.
-        number: u64,
-    },
-    /// A part of the answer to a request; more will come.
-    Progress {
-        /// The number of the request.
-        number: u64,
-        /// The part.
-        response: PeerResponse,
-    },
+    /// Request, answered with the same number.
+    Request { number: u64, request: PeerRequest },
+    /// Final response to the request of that number.
+    Response { number: u64, response: PeerResponse },
+    /// Cancels the request of that number.
+    Cancel { number: u64 },
+    /// Partial response to the request of that number; more responses follow.
+    Progress { number: u64, response: PeerResponse },
 }
 
-/// Where a node stands that asks for news of the catalogue, beside the number of a revision.
+/// Catalogue position of a requesting node, in addition to its revision number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RequesterPosition {
-    /// The stage of that revision's era.
+    /// Stage of the revision's era.
     pub stage: EraStage,
-    /// Up to where it knew the catalogue when it heard of that era.
+    /// Position of the requester when it learned of that era.
     pub known_before: CataloguePosition,
-    /// Up to where it knew the catalogue before it started, or before the source came back from an older copy, while it has yet
-    /// to learn what others knew then.
+    /// Position from before the requester started, or before the source was restored from an older copy.
+    /// Set until the requester has caught up with its peers.
     pub catch_up_from: Option<CataloguePosition>,
 }
 
@@ -73,226 +53,190 @@
 pub enum PeerRequest {
     /// Search some partitions of a service on the sender's behalf.
     PartialSearch(PartialSearch),
-    /// Which versions can these partitions be had in?
-    Versions {
-        /// The service.
-        service: ServiceId,
-        /// The partitions.
-        partitions: PartitionSet,
-    },
-    /// Record a claim.
+    /// Get the index versions in which these partitions are available.
+    Versions { service: ServiceId, partitions: PartitionSet },
+    /// Record a claim of a ticket.
     Claim(ClaimRequest),
-    /// Record an outcome.
-    RecordOutcome {
-        /// The ticket.
-        ticket: TicketId,
-        /// The claimant, whose word it is.
-        claimant: Claimant,
-        /// The outcome.
-        state: TicketState,
-    },
-    /// What is known of a ticket?
-    LookupTicket {
-        /// The ticket.
-        ticket: Ticket,
-    },
-    /// The node's own report, as JSON, for the admin API of another.
+    /// Record the outcome of an operation, as reported by its claimant.
+    RecordOutcome { ticket: TicketId, claimant: Claimant, state: TicketState },
+    /// Look up the recorded state of a ticket.
+    LookupTicket { ticket: Ticket },
+    /// Get the status report of the node, as JSON, for the admin API of the sender.
     Report,
-    /// What is in the catalogue that the sender does not have?
+    /// Get the catalogue changes that the sender lacks.
     Catalogue {
-        /// The version of the routing configuration that the sender has; 0 when none.
+        /// Routing configuration version of the sender; 0 if none.
         version: u64,
-        /// The number of the revision up to which the sender knows the replicas; 0 when none.
+        /// Replica revision number of the sender; 0 if none.
         replicas_at: u64,
-        /// How long the receiver may wait until it has something new, in milliseconds.
+        /// Maximum time for which the receiver may wait for a change, in milliseconds.
         wait_ms: u64,
-        /// Whether the sender takes steps between configurations, and fetches large answers in chunks.
+        /// Whether the sender accepts incremental configurations and fetches large responses in chunks.
         #[musli(default)]
         takes_documents: bool,
-        /// The rest of where the sender stands; nothing from a node of an earlier release, which knows numbers alone.
+        /// Remainder of the position of the sender; `None` from earlier releases, which send only numbers.
         #[musli(default)]
         requester: Option<RequesterPosition>,
     },
-    /// Ask one replica of each of some shards on the sender's behalf, and merge their answers.
+    /// Call one replica of each listed shard on the sender's behalf, and merge the responses.
     PartialGather(Box<PartialGather>),
-    /// What the sender knows of requests that back ends ended under. Sent only to members that say they share it.
+    /// Share notices about requests that crashed back ends. Sent only to members that advertise support.
     Quarantine {
-        /// What it knows.
         notices: Vec<QuarantineNotice>,
-        /// Whether every node is told the same.
+        /// Whether the notices are sent to all nodes.
         to_all_nodes: bool,
-        /// Whether the receiver's own knowledge is wanted.
+        /// Whether the receiver should respond with its own notices.
         compare: bool,
     },
-    /// May this run have the lease of its request? Sent to the node that keeps account of the request first.
+    /// Acquire the lease of a quarantined request for one run. Sent to the first owner of the request.
     QuarantineLease {
-        /// What the sender knows of the request.
         notice: QuarantineNotice,
-        /// The run, and how long it would keep others waiting.
+        /// The run and the lease duration.
         wanted: LeaseRequest,
     },
-    /// The run that had the lease of its request is over.
-    QuarantineLeaseEnd {
-        /// What the sender knows of the request.
-        notice: QuarantineNotice,
-        /// The run.
-        run: RunId,
-    },
-    /// May requests of a tenant run? Sent to the node that keeps its account, if it says that it keeps some.
+    /// Release the lease of a quarantined request after its run.
+    QuarantineLeaseEnd { notice: QuarantineNotice, run: RunId },
+    /// Acquire quota for requests of a tenant. Sent to the owner of its quota account, if the node
+    /// advertises that it owns accounts.
     Quota(QuotaRequest),
-    /// A chunk of a document that was offered to the sender.
+    /// Fetch one chunk of a document offered to the sender.
     DocumentChunk {
-        /// The document.
         digest: DocumentDigest,
-        /// The number of the chunk.
+        /// Index of the chunk.
         number: u64,
     },
 }
 
-/// A search of some partitions.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct PartialSearch {
-    /// The service.
     pub service: ServiceId,
-    /// The revision that the root planned with.
+    /// Configuration revision with which the root planned the query.
     pub revision: Revision,
-    /// The version to search at.
+    /// Index version to search.
     pub version: SnapshotVersion,
-    /// The partitions.
     pub partitions: PartitionSet,
-    /// Time left, in microseconds, when the request was sent.
+    /// Time to the deadline when the request was sent, in microseconds.
     pub remaining_us: u64,
-    /// Hits wanted at the most.
+    /// Maximum number of hits.
     pub limit: u32,
-    /// Their order.
     pub order: SortOrder,
-    /// The caller's query, as JSON text.
+    /// Query of the caller, as JSON text.
     pub query: String,
 }
 
-/// A request over shards whose records are merged, as one node hands some of its shards to another.
-/// Times are spans from when it was sent: the clocks of nodes differ.
+/// Fan-out over some shards of a request, delegated to another node. Times are relative to sending,
+/// since the clocks of nodes differ.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct PartialGather {
-    /// The caller's identifier of this attempt.
+    /// Caller's identifier of this attempt.
     pub request: Vec<u8>,
-    /// The method.
     pub method: String,
-    /// Path and query.
+    /// Path and query string.
     pub uri: String,
-    /// The headers, without those that concern one connection.
+    /// Headers without hop-by-hop headers.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// The body.
     pub body: Vec<u8>,
-    /// The name of the route; latencies are kept by it.
+    /// Route name; latencies are recorded by route.
     pub route: String,
-    /// The shards. The root's configuration names them; any replica of theirs will do.
+    /// Shards named by the root's configuration. Any of their replicas may be called.
     pub shards: Vec<ServiceName>,
-    /// The spare replica of each shard, which its last attempt is kept for: the root may send the
-    /// shard there too. Empty texts where there is none.
+    /// Spare replica of each shard, reserved for its last attempt; the root may also call it. An empty
+    /// string means no spare.
     pub spares: Vec<String>,
-    /// Records wanted at the most.
+    /// Maximum number of records.
     pub top: u32,
-    /// Replicas that each shard may be sent to.
+    /// Maximum number of replicas called for each shard.
     pub maximum_attempts: u32,
-    /// The route's target latency, in microseconds; 0 when there is none.
+    /// Target latency of the route, in microseconds; 0 if none.
     pub target_us: u64,
-    /// When a sign of life is due, in microseconds; 0: once the replicas are asked.
+    /// Time of the progress message, in microseconds; 0 to send it once the replicas are called.
     pub progress_us: u64,
-    /// When what is in is wanted, in microseconds.
+    /// Time at which the responses gathered so far are due, in microseconds.
     pub wanted_us: u64,
-    /// When the root gives the request up, in microseconds.
+    /// Time at which the root abandons the request, in microseconds.
     pub limit_us: u64,
-    /// How much longer the caller waits, in microseconds.
+    /// Time to the deadline of the caller, in microseconds.
     pub remaining_us: u64,
-    /// Whether another gatherer was asked before that may have sent the first call of each shard.
+    /// Whether an earlier gatherer may already have sent the first call of each shard.
     #[musli(default)]
     pub continued: bool,
-    /// What the sender knows that operators said of zones: a gatherer that has not heard of an
-    /// evacuation goes by this.
+    /// Zone notices known to the sender; they apply to a gatherer that has not yet received an evacuation.
     #[musli(default)]
     pub zones: Vec<ZoneNotice>,
-    /// What the sender knows of back ends that ended under this request.
+    /// Back-end crashes caused by this request, as known to the sender.
     #[musli(default)]
     pub quarantine: Option<QuarantineNotice>,
 }
 
-/// What a node gathered of the shards asked for since it last said something. Shards are positions
-/// in the list of the request.
+/// Results of a delegated fan-out since the previous message. Shards are indexes into the list of the
+/// request.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct GatheredPart {
-    /// Shards whose records are merged here, rising.
+    /// Shards whose records are merged into this part, ascending.
     pub answered: Vec<u32>,
-    /// What proves their answers to the caller, in the same order.
+    /// Receipts of their responses for the caller, in the same order.
     pub receipts: Vec<Vec<u8>>,
-    /// The greatest records of these answers, greatest first.
+    /// Top records of these responses, in descending order.
     pub records: Vec<u8>,
-    /// Shards that were given up.
+    /// Abandoned shards.
     pub closed: Vec<u32>,
-    /// Shards that were sent to a second replica.
+    /// Shards retried on a second replica.
     pub retried: Vec<u32>,
-    /// Shards at which work queues, of all that were asked for.
+    /// Number of requested shards with queued work.
     pub crowded: u32,
-    /// Calls to replicas so far.
+    /// Number of calls to replicas so far.
     pub calls: u32,
-    /// What is known here of back ends that ended under this request.
+    /// Back-end crashes caused by this request, as known to the gatherer.
     #[musli(default)]
     pub quarantine: Option<QuarantineNotice>,
 }
 
-/// The result of a partial search.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct PartialResult {
-    /// The version searched.
+    /// Searched index version.
     pub version: SnapshotVersion,
-    /// What was searched of the partitions asked for.
+    /// Searched part of the requested partitions.
     pub coverage: Coverage,
-    /// The hits as a JSON list, already merged and cut.
+    /// Hits as a JSON list, merged and truncated to the limit.
     pub hits: Vec<u8>,
-    /// What it took.
     pub work: Work,
-    /// Versions that all the partitions asked for can be had in.
+    /// Versions in which all requested partitions are available.
     pub versions: Vec<SnapshotVersion>,
-    /// Whether the node is leaving.
+    /// Whether the node is leaving the fleet.
     pub leaving: bool,
 }
 
-/// The answer to a request.
+/// Response to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum PeerResponse {
-    /// The result of a partial search.
     PartialSearch(Box<PartialResult>),
-    /// Versions.
+    /// Available versions.
     Versions(Vec<SnapshotVersion>),
-    /// The answer to a claim or a question about a ticket.
+    /// Answer to a claim or to a ticket lookup.
     Claim(ClaimAnswer),
-    /// An outcome was recorded, or not.
+    /// Whether the outcome was recorded.
     Recorded(bool),
-    /// A report, as JSON text.
+    /// Status report, as JSON text.
     Report(String),
-    /// The request was not run.
+    /// The request did not run.
     Refused(Refusal),
-    /// The part of the catalogue that was asked for.
+    /// Requested catalogue changes.
     Catalogue(Box<CatalogueSnapshot>),
-    /// Shards that were gathered.
     Gathered(Box<GatheredPart>),
-    /// What is known of requests that back ends ended under; nothing where that was not wanted.
+    /// Quarantine notices of the receiver; empty unless `compare` was set.
     Quarantine(Vec<QuarantineNotice>),
-    /// Whether a run has the lease of its request.
+    /// Result of a lease request.
     QuarantineLease {
-        /// Whether it has.
         granted: bool,
-        /// What is known of the request.
+        /// Quarantine state of the request, if known.
         notice: Option<QuarantineNotice>,
     },
-    /// How many of a tenant's requests may run.
+    /// Number of requests that the tenant may run.
     Quota(QuotaGrant),
-    /// A chunk of a document.
     DocumentChunk {
-        /// What it holds.
         #[musli(bytes)]
         content: Vec<u8>,
     },
-    /// The document is not here, or the chunk did not arrive here in time.
+    /// The document is unavailable, or the chunk was not received in time.
     NoDocumentChunk,
 }
--- a/crates/sablebay-protocol/tests/frames.rs
+++ b/crates/sablebay-protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames: what is written is read; anything else is turned away and nothing panics.
+//! Frames round-trip, and invalid input is rejected without a panic.
 
 use std::net::SocketAddr;
 
@@ -40,7 +40,7 @@
     buffer
 }
 
-/// Bytes that once were found to matter: kept, so that they are tried at every run.
+/// Regression corpus of malformed frames.
 const CORPUS: [&[u8]; 6] = [
     b"",
     &[0, 0, 0, 0],
@@ -70,13 +70,13 @@
         prop_assert_eq!(reader.next::<PeerMessage>(&mut buffer), Err(ProtocolError::WrongProof));
     }
 
-    /// What the wire decoder is given past the proof can be anything that a broken peer sends.
+    /// Guards against a decoder panic on malformed content in an authenticated frame.
     #[test]
     fn any_content_under_a_right_proof_is_answered(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = musli::wire::from_slice::<PeerMessage>(&bytes);
     }
 
-    /// Bodies from callers and lines from leaves: any text gets a value or an error.
+    /// Guards against a panic on malformed JSON from callers and leaves.
     #[test]
     fn any_json_text_is_answered(text in "[\\[\\]{}\",:a-z0-9.\\\\-]{0,120}") {
         let _ = serde_json::from_str::<QueryBody>(&text);
@@ -132,8 +132,8 @@
     assert!(matches!(read, Err(ProtocolError::FrameTooLarge { .. })));
 }
 
-/// Two releases talk during a rolling restart: the older one skips a field that it does not
-/// know, the newer one does without.
+/// During a rolling upgrade, the older release must skip unknown fields and the newer release must
+/// accept missing ones.
 #[test]
 fn a_field_that_only_one_release_knows_does_no_harm() {
     #[derive(Debug, PartialEq, Encode, Decode)]
@@ -153,7 +153,7 @@
     assert_eq!(new, New { number: 3, added: None });
 }
 
-/// A member as the release before nodes gathered for one another tells of itself.
+/// `MemberInfo` as encoded by releases without support for gathering.
 #[derive(Debug, Encode, Decode, PartialEq)]
 struct PreviousMemberInfo {
     key: InstanceKey,
@@ -176,8 +176,8 @@
         admin_address: address,
     };
     let read: MemberInfo = musli::wire::from_slice(&musli::wire::to_vec(&previous).unwrap()).unwrap();
-    assert!(!read.gathers, "such a node is not asked");
+    assert!(!read.gathers, "a node of that release must not be used as a gatherer");
     let current = MemberInfo { gathers: true, ..read };
     let read: PreviousMemberInfo = musli::wire::from_slice(&musli::wire::to_vec(&current).unwrap()).unwrap();
-    assert_eq!(read, previous, "and it reads a member of this release");
+    assert_eq!(read, previous, "the earlier release must decode the current format");
 }
