--- a/crates/sablebay-config/src/configuration.rs
+++ b/crates/sablebay-config/src/configuration.rs
@@ -1,4 +1,4 @@
-//! A whole configuration: everything that is in force under one revision.
+//! Validated configuration of one revision.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,32 +15,30 @@
 use crate::service::ServiceSettings;
 use crate::zone::evacuated_zones;
 
-/// Everything that is in force under one revision. Immutable; a query pins one for its life.
+/// Validated configuration of one revision. Immutable; a query uses the same one until it ends.
 #[derive(Clone, Debug, Serialize)]
 pub struct Configuration {
-    /// Revision and digest of the document that this was rendered from.
+    /// Version of the source document.
     pub version: Version,
-    /// The services.
     pub services: BTreeMap<ServiceId, Arc<ServiceSettings>>,
-    /// The zones whose leaves get nothing new.
+    /// Zones whose leaves receive no new calls.
     pub evacuated_zones: BTreeSet<ZoneName>,
-    /// The document, from which peers are sent deltas. Index maps and leaves are kept as its entries
-    /// alone: a node connects to few of the fleet's leaves, and reads just those.
+    /// Source document, used to compute deltas for peers. Index maps and leaves are parsed from it on
+    /// demand, since a node uses few of them.
     #[serde(skip)]
     pub document: Arc<Document>,
 }
 
 impl Configuration {
-    /// Parses and validates a document as the platform serves it.
+    /// Parses and validates a document from the platform.
     ///
     /// # Errors
-    /// [`ConfigurationError::Invalid`] with every finding.
+    /// [`ConfigurationError::Invalid`] with all findings.
     pub fn parse(file: &str, text: &str) -> Result<Self, ConfigurationError> {
         Self::parse_with_base(file, text, &Document::default())
     }
 
-    /// The same, for a text that is known to differ little from `like`, most often the document in
-    /// force: what both have alike is kept once.
+    /// Like [`Configuration::parse`], but shares the memory of entries that are unchanged from `base`.
     ///
     /// # Errors
     /// As [`Configuration::parse`].
@@ -49,7 +47,7 @@
         Ok(Self::new(document, services))
     }
 
-    /// Validates a document received from a peer, in parts, so that little memory is needed at once.
+    /// Validates a document from a peer in parts, which limits peak memory use.
     ///
     /// # Errors
     /// As [`Configuration::parse`].
@@ -67,10 +65,10 @@
         }
     }
 
-    /// The configuration after `delta`, reading again just what the delta can change.
+    /// Applies `delta`, and parses only the entries that it can affect.
     ///
     /// # Errors
-    /// [`ConfigurationError`] when the delta does not fit, or what results is not valid.
+    /// Fails when the delta does not match this version or its result is invalid.
     pub fn apply(&self, delta: &Delta) -> Result<Self, ConfigurationError> {
         let document = self.document.apply(delta)?;
         let affected = self.affected_entries(delta);
@@ -89,10 +87,10 @@
         Ok(next)
     }
 
-    /// An index with its leaves, read from the document.
+    /// Parses an index map and its leaves.
     ///
     /// # Errors
-    /// [`ConfigurationError::UnknownIndex`] when there is no such index.
+    /// [`ConfigurationError::UnknownIndex`] if there is no such index.
     pub fn index_layout(&self, index: &IndexId) -> Result<IndexLayout, ConfigurationError> {
         let key = EntryKey::new(EntryKind::Index, index.as_str());
         let closure = self.document.closure(&[key]);
@@ -104,17 +102,17 @@
         Ok(IndexLayout { map, leaves, source: closure.entries().cloned().collect() })
     }
 
-    /// Every index with its leaves.
+    /// Parses all index maps and their leaves.
     ///
     /// # Errors
-    /// As [`Configuration::index_layout`]; none for a configuration that was accepted.
+    /// As [`Configuration::index_layout`]; never fails for a valid configuration.
     pub fn index_layouts(&self) -> Result<Vec<IndexLayout>, ConfigurationError> {
         let indexes = self.document.entries().filter(|entry| entry.kind() == EntryKind::Index);
         indexes.map(|entry| self.index_layout(&IndexId::new(entry.name()))).collect()
     }
 
-    /// The entries whose rendering a delta can change: those in it, the instances of changed
-    /// templates and indexes, and the indexes that name removed leaves.
+    /// Returns the entries that a delta can affect: its own entries, instances of changed templates and
+    /// indexes, and indexes with removed leaves.
     fn affected_entries(&self, delta: &Delta) -> Vec<EntryKey> {
         let touched = || delta.changed.iter().map(|(key, _)| key).chain(&delta.removed);
         let mut affected: Vec<EntryKey> = delta.changed.iter().map(|(key, _)| key.clone()).collect();
--- a/crates/sablebay-config/src/document.rs
+++ b/crates/sablebay-config/src/document.rs
@@ -1,7 +1,7 @@
-//! A configuration as a set of entries: what nodes send each other.
+//! Configuration documents as sets of entries, in the form that nodes exchange.
 //!
-//! One entry is one template, instance, index or leaf. A delta names the entries that changed.
-//! The digest is a sum over the entries, so that it follows a delta without reading the rest.
+//! An entry is a template, instance, index, leaf or zone. The digest is a sum over the entries, so that
+//! a delta updates it without reading unchanged entries.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -16,7 +16,7 @@
 use crate::entry::{Entry, EntryKey, EntryKind, EntryStore};
 use crate::error::ConfigurationError;
 
-/// A digest over all entries of a document.
+/// Digest of all entries of a document.
 #[derive(
     Clone,
     Copy,
@@ -38,8 +38,8 @@
 #[musli(transparent)]
 pub struct Digest(pub u64);
 
-/// Revision and digest. Totally ordered: of two contents under one revision, the one with the
-/// higher digest wins, everywhere alike.
+/// Revision and digest. The total order resolves conflicting contents of one revision in the same way
+/// on all nodes: the higher digest wins.
 #[derive(
     Clone,
     Copy,
@@ -58,13 +58,11 @@
 )]
 #[display("{revision}/{digest}")]
 pub struct Version {
-    /// The revision.
     pub revision: Revision,
-    /// The digest over its content.
     pub digest: Digest,
 }
 
-/// All entries of one revision. Bodies are inline TOML tables.
+/// All entries of one revision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Document {
     revision: Revision,
@@ -72,21 +70,20 @@
     entries: EntryStore,
 }
 
-/// What changed between two versions.
+/// Difference between two document versions.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Delta {
-    /// The version it starts from.
+    /// Base version.
     pub from: Version,
-    /// The version it leads to.
+    /// Resulting version.
     pub to: Version,
-    /// Entries that are new or different, with their bodies.
+    /// Added or modified entries with their bodies.
     pub changed: Vec<(EntryKey, String)>,
-    /// Entries that are gone.
     pub removed: Vec<EntryKey>,
 }
 
 impl Delta {
-    /// Bytes of the names and bodies: the bulk of its size on the wire.
+    /// Total size of names and bodies, which approximates the encoded size.
     pub fn content_bytes(&self) -> usize {
         let changed: usize = self.changed.iter().map(|(key, body)| key.name.len() + body.len()).sum();
         changed + self.removed.iter().map(|key| key.name.len()).sum::<usize>()
@@ -94,38 +91,35 @@
 }
 
 impl Document {
-    /// A document from entries.
     pub fn new(revision: Revision, entries: impl IntoIterator<Item = (EntryKey, String)>) -> Self {
         let mut document = Self { revision, ..Self::default() };
         document.extend(entries);
         document
     }
 
-    /// Sets the revision.
     pub fn set_revision(&mut self, revision: Revision) {
         self.revision = revision;
     }
 
-    /// Adds entries, or replaces those that there are.
+    /// Adds or replaces entries.
     pub fn extend(&mut self, entries: impl IntoIterator<Item = (EntryKey, String)>) {
         for (key, body) in entries {
             self.set(Entry::new(key.kind, &key.name, &body));
         }
     }
 
-    /// Adds the entries in a parsed TOML table. Those that `like` has alike share its memory.
+    /// Adds the entries of a parsed TOML table. Entries equal to those of `base` share their memory.
     ///
     /// # Errors
-    /// The place of an entry that there is already, or of one that TOML's own values cannot hold; and
-    /// what is wrong with it.
+    /// Returns the position and a description of the first duplicate entry or unrepresentable value.
     pub fn add_table(&mut self, table: &DeTable<'_>, base: &Document) -> Result<(), (Range<usize>, String)> {
         for kind in EntryKind::ALL {
             let section = table.get(kind.section()).and_then(|section| section.get_ref().as_table());
             for (name, value) in section.into_iter().flatten() {
                 if self.entry(kind, name.get_ref()).is_some() {
-                    return Err((name.span(), format!("`{}` is there twice", name.get_ref())));
+                    return Err((name.span(), format!("duplicate entry `{}`", name.get_ref())));
                 }
-                // One entry at a time, so that the document never stands in memory as a second tree.
+                // Converts one entry at a time to avoid a second tree of the whole document in memory.
                 let body = toml::Value::deserialize(ValueDeserializer::from(value.clone()));
                 let body = body.map_err(|error| (value.span(), error.message().to_string()))?;
                 let entry = Entry::new(kind, name.get_ref(), &body.to_string());
@@ -136,27 +130,25 @@
         Ok(())
     }
 
-    /// Revision and digest.
     pub fn version(&self) -> Version {
         Version { revision: self.revision, digest: self.digest }
     }
 
-    /// How many entries of one kind there are.
+    /// Number of entries of a kind.
     pub fn count(&self, kind: EntryKind) -> usize {
         self.entries.iter().filter(|entry| entry.kind() == kind).count()
     }
 
-    /// Bytes of all names and bodies.
+    /// Total size of names and bodies, in bytes.
     pub fn content_bytes(&self) -> usize {
         self.entries.iter().map(Entry::content_bytes).sum()
     }
 
-    /// All entries, in no particular order.
+    /// Iterates over all entries in unspecified order.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.entries.iter()
     }
 
-    /// One entry.
     pub fn entry(&self, kind: EntryKind, name: &str) -> Option<&Entry> {
         self.entries.get(kind, name)
     }
@@ -175,7 +167,7 @@
         }
     }
 
-    /// What changed from `self` to `newer`.
+    /// Computes the delta from `self` to `newer`.
     pub fn delta_to(&self, newer: &Document) -> Delta {
         let changed = newer.entries.missing_from(&self.entries);
         let mut changed: Vec<_> = changed.map(|entry| (entry.key(), entry.body().to_string())).collect();
@@ -187,10 +179,10 @@
         Delta { from: self.version(), to: newer.version(), changed, removed }
     }
 
-    /// The document after `delta`.
+    /// Returns the document with `delta` applied.
     ///
     /// # Errors
-    /// When the delta starts from another version, or the result has not the digest it promised.
+    /// Fails when the base version or the digest of the result does not match the delta.
     pub fn apply(&self, delta: &Delta) -> Result<Document, ConfigurationError> {
         if delta.from != self.version() {
             return Err(ConfigurationError::BaseMismatch { delta_from: delta.from, current: self.version() });
@@ -212,17 +204,17 @@
         Ok(next)
     }
 
-    /// All entries by kind and name.
+    /// Returns all entries, ordered by kind and name.
     pub fn sorted(&self) -> Vec<&Entry> {
         self.entries.sorted()
     }
 
-    /// The document as TOML text.
+    /// Renders the document as TOML.
     pub fn to_text(&self) -> String {
         self.text_of(&self.sorted())
     }
 
-    /// Some of its entries as TOML text.
+    /// Renders some entries as TOML.
     pub fn text_of(&self, entries: &[&Entry]) -> String {
         let mut text = format!("revision = {}\n", self.revision);
         for kind in EntryKind::ALL {
@@ -235,7 +227,7 @@
         text
     }
 
-    /// The entries `roots` and all that they refer to, as a document that can be validated alone.
+    /// Returns a self-contained document of the entries `roots` and everything they refer to.
     pub fn closure(&self, roots: &[EntryKey]) -> Document {
         let mut closure = Self { revision: self.revision, ..Self::default() };
         let mut seen: BTreeSet<EntryKey> = BTreeSet::new();
@@ -252,21 +244,21 @@
         closure
     }
 
-    /// The entries that refer to one of `keys`.
+    /// Returns the entries of a kind that refer to any of `keys`.
     pub fn referring_to<'a>(
         &'a self,
         kind: EntryKind,
         keys: &'a [EntryKey],
     ) -> impl Iterator<Item = EntryKey> + 'a {
         let candidates = self.entries.iter().filter(move |entry| entry.kind() == kind);
-        // Most bodies are passed over without being read: they do not even hold the name.
+        // A substring search avoids parsing most bodies.
         let may_refer = |entry: &&Entry| keys.iter().any(|key| entry.body().contains(key.name.as_str()));
         let refers = |entry: &&Entry| references(entry).iter().any(|key| keys.contains(key));
         candidates.filter(may_refer).filter(refers).map(Entry::key)
     }
 }
 
-/// The entries that an entry refers to.
+/// Returns the keys of the entries to which an entry refers.
 fn references(entry: &Entry) -> Vec<EntryKey> {
     let kind = entry.kind();
     let Ok(table) = format!("entry = {}", entry.body()).parse::<toml::Table>() else {
--- a/crates/sablebay-config/src/entry.rs
+++ b/crates/sablebay-config/src/entry.rs
@@ -1,8 +1,7 @@
-//! The entries of a document, kept so that a fleet's whole configuration fits into little memory and
-//! a small change costs little.
+//! Compact copy-on-write storage for the entries of a document.
 //!
-//! An entry is one allocation. Entries lie in buckets by the hash of their key; a changed document
-//! shares every bucket that the change does not touch.
+//! Each entry is one allocation. Entries are stored in buckets by key hash; a modified copy shares the
+//! buckets without changes.
 
 use std::sync::Arc;
 
@@ -11,30 +10,26 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What an entry describes.
+/// Type of configuration object that an entry describes.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum EntryKind {
-    /// A template.
     Template,
-    /// An instance of a template: a service.
+    /// Service, as an instance of a template.
     Instance,
-    /// An index map.
     Index,
-    /// A leaf.
     Leaf,
-    /// What operators say of a zone.
+    /// Operator settings of a zone.
     Zone,
 }
 
 impl EntryKind {
-    /// Every kind.
     pub const ALL: [EntryKind; 5] =
         [EntryKind::Template, EntryKind::Instance, EntryKind::Index, EntryKind::Leaf, EntryKind::Zone];
 
-    /// The name of the kind's table in a document.
+    /// Name of the document table that contains entries of this kind.
     pub const fn section(self) -> &'static str {
         match self {
             EntryKind::Template => "templates",
@@ -46,70 +41,64 @@
     }
 }
 
-/// Names one entry of a document.
+/// Key of an entry in a document.
 #[derive(
     Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
 #[display("{}.{name}", kind.section())]
 pub struct EntryKey {
-    /// What the entry describes.
     pub kind: EntryKind,
-    /// Its name.
     pub name: String,
 }
 
 impl EntryKey {
-    /// The key of the entry `name` of `kind`.
     pub fn new(kind: EntryKind, name: &str) -> Self {
         Self { kind, name: name.to_string() }
     }
 }
 
-/// One entry of a document. Cloning it shares the text.
+/// Entry of a document. Clones share the text.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// The name, directly followed by the body.
+    /// Concatenation of name and body.
     text: Arc<str>,
     name_bytes: u32,
     kind: EntryKind,
 }
 
 impl Entry {
-    /// An entry; the body is an inline TOML table.
+    /// Creates an entry. The body must be an inline TOML table.
     pub fn new(kind: EntryKind, name: &str, body: &str) -> Self {
         let mut text = String::with_capacity(name.len() + body.len());
         text.push_str(name);
         text.push_str(body);
-        let name_bytes = u32::try_from(name.len()).expect("a document is far below 4 GiB");
+        let name_bytes = u32::try_from(name.len()).expect("entry name is shorter than 4 GiB");
         Self { text: Arc::from(text), name_bytes, kind }
     }
 
-    /// What the entry describes.
     pub fn kind(&self) -> EntryKind {
         self.kind
     }
 
-    /// The entry's name.
     pub fn name(&self) -> &str {
         &self.text[..self.name_bytes as usize]
     }
 
-    /// The entry's body: an inline TOML table.
+    /// Body as an inline TOML table.
     pub fn body(&self) -> &str {
         &self.text[self.name_bytes as usize..]
     }
 
-    /// The entry's key.
     pub fn key(&self) -> EntryKey {
         EntryKey::new(self.kind, self.name())
     }
 
-    /// Bytes of name and body.
+    /// Size of name and body, in bytes.
     pub fn content_bytes(&self) -> usize {
         self.text.len()
     }
 
-    /// A hash over kind, name and body.
+    /// Hash of kind, name and body.
     pub fn digest(&self) -> u64 {
         let mut bytes = Vec::with_capacity(self.text.len() + 2);
         bytes.push(self.kind as u8);
@@ -131,10 +120,9 @@
     }
 }
 
-/// How many buckets there are: at the two-year size a hundred entries lie in each.
 const BUCKETS: usize = 1_024;
 
-/// Entries by key, in buckets that are sorted by kind and name.
+/// Hash table of entries. Each bucket is sorted by kind and name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EntryStore {
     buckets: Vec<Arc<Vec<Entry>>>,
@@ -157,20 +145,19 @@
         (bucket, self.buckets[bucket].binary_search_by(|entry| entry.order().cmp(&(kind, name))))
     }
 
-    /// The entry with a key.
     pub fn get(&self, kind: EntryKind, name: &str) -> Option<&Entry> {
         let (bucket, position) = self.position(kind, name);
         position.ok().map(|at| &self.buckets[bucket][at])
     }
 
-    /// Adds an entry, and returns the one that it replaces.
+    /// Adds an entry and returns the one it replaces.
     pub fn insert(&mut self, entry: Entry) -> Option<Entry> {
         let (bucket, position) = self.position(entry.kind, entry.name());
         let entries = Arc::make_mut(&mut self.buckets[bucket]);
         match position {
             Ok(at) => Some(std::mem::replace(&mut entries[at], entry)),
             Err(at) => {
-                // One place at a time: a bucket's spare places would be kept for good.
+                // Avoids the unused capacity of amortized growth, since buckets are long-lived.
                 entries.reserve_exact(1);
                 entries.insert(at, entry);
                 None
@@ -178,25 +165,26 @@
         }
     }
 
-    /// Takes an entry out.
+    /// Removes and returns an entry.
     pub fn remove(&mut self, key: &EntryKey) -> Option<Entry> {
         let (bucket, position) = self.position(key.kind, &key.name);
         position.ok().map(|at| Arc::make_mut(&mut self.buckets[bucket]).remove(at))
     }
 
-    /// All entries, in no particular order.
+    /// Iterates over all entries in unspecified order.
     pub fn iter(&self) -> impl Iterator<Item = &Entry> {
         self.buckets.iter().flat_map(|bucket| bucket.iter())
     }
 
-    /// All entries by kind and name.
+    /// Returns all entries, ordered by kind and name.
     pub fn sorted(&self) -> Vec<&Entry> {
         let mut entries: Vec<&Entry> = self.iter().collect();
         entries.sort_unstable_by(|a, b| a.order().cmp(&b.order()));
         entries
     }
 
-    /// The entries that `other` has not, or has with another body. Shared buckets are passed over.
+    /// Returns the entries that are absent from `other` or have a different body there. Skips shared
+    /// buckets.
     pub fn missing_from<'a>(&'a self, other: &'a EntryStore) -> impl Iterator<Item = &'a Entry> {
         let pairs = self.buckets.iter().zip(&other.buckets);
         let differing = pairs.filter(|(own, theirs)| !Arc::ptr_eq(own, theirs));
--- a/crates/sablebay-config/src/error.rs
+++ b/crates/sablebay-config/src/error.rs
@@ -1,5 +1,3 @@
-//! Errors of this crate.
-
 use derive_more::{Display, Error};
 
 use sablebay_model::IndexId;
@@ -7,35 +5,30 @@
 use crate::document::{Digest, Version};
 use crate::finding::Finding;
 
-/// Why a configuration could not be taken.
+/// Reason for rejecting a configuration.
 #[derive(Clone, Debug, Display, Error, PartialEq)]
 pub enum ConfigurationError {
-    /// Validation found mistakes; all of them are listed.
+    /// Validation failed.
     #[display("{} findings", findings.len())]
     Invalid {
-        /// Every finding, in order of place.
+        /// All findings, ordered by position.
         findings: Vec<Finding>,
     },
-    /// A delta starts from another version than the one it is applied to.
-    #[display("the delta starts from {delta_from}, not from {current}")]
+    /// The base version of the delta is not the current version.
+    #[display("delta base is {delta_from}, but the current version is {current}")]
     BaseMismatch {
-        /// The version that the delta starts from.
+        /// Base version of the delta.
         delta_from: Version,
-        /// The version at hand.
         current: Version,
     },
-    /// There is no such index.
     #[display("there is no index `{index}`")]
-    UnknownIndex {
-        /// The index asked for.
-        index: IndexId,
-    },
-    /// The content that results from a delta has another digest than the delta promised.
-    #[display("the content has digest {actual}, not {expected}")]
+    UnknownIndex { index: IndexId },
+    /// The result of applying a delta does not have the digest that the delta states.
+    #[display("content digest is {actual}, expected {expected}")]
     DigestMismatch {
-        /// The digest promised.
+        /// Digest stated by the delta.
         expected: Digest,
-        /// The digest found.
+        /// Digest of the resulting content.
         actual: Digest,
     },
 }
--- a/crates/sablebay-config/src/finding.rs
+++ b/crates/sablebay-config/src/finding.rs
@@ -1,4 +1,4 @@
-//! Findings of validation, with their places.
+//! Validation findings with their positions.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -8,21 +8,20 @@
 use musli::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// One mistake in a configuration or settings file.
+/// Error in a configuration or settings file.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, Encode, Decode)]
 #[display("{file}:{line}:{column}: {message}{}", expectation(expected, nearest))]
 pub struct Finding {
-    /// The file's name as the caller gave it.
+    /// File name as passed by the caller.
     pub file: String,
-    /// The line, counted from 1.
+    /// Line, starting at 1.
     pub line: u32,
-    /// The column in characters, counted from 1.
+    /// Column in characters, starting at 1.
     pub column: u32,
-    /// What is wrong.
     pub message: String,
-    /// What was expected instead; empty when the message says it all.
+    /// Description of valid values; empty if the message suffices.
     pub expected: String,
-    /// The valid name nearest to the one given.
+    /// Valid name with the smallest edit distance to the given one.
     pub nearest: Option<String>,
 }
 
@@ -40,7 +39,7 @@
     text
 }
 
-/// Collects the findings of one file.
+/// Collects the findings for one file.
 pub struct Findings {
     file: String,
     line_starts: Vec<usize>,
@@ -49,7 +48,7 @@
 }
 
 impl Findings {
-    /// An empty collection for the file `file` with content `text`.
+    /// Creates an empty collection for the file `file` with content `text`.
     pub fn new(file: &str, text: &str) -> Self {
         let starts = text.match_indices('\n').map(|(position, _)| position + 1);
         Self {
@@ -65,7 +64,7 @@
         self.add_with_nearest(place, message, expected, None);
     }
 
-    /// Adds a finding that offers the nearest valid name.
+    /// Adds a finding that suggests the nearest valid name.
     pub fn add_with_nearest(
         &self,
         place: &Range<usize>,
@@ -84,7 +83,7 @@
         });
     }
 
-    /// Line and column of a byte offset, both counted from 1.
+    /// Line and column of a byte offset, both starting at 1.
     fn position(&self, offset: usize) -> (u32, u32) {
         let line = self.line_starts.partition_point(|start| *start <= offset).max(1);
         let start = self.line_starts[line - 1];
@@ -92,12 +91,11 @@
         (line as u32, before.chars().count() as u32 + 1)
     }
 
-    /// Whether nothing was found.
     pub fn is_empty(&self) -> bool {
         self.list.borrow().is_empty()
     }
 
-    /// All findings: by place, each one once.
+    /// Returns the findings without duplicates, ordered by position.
     pub fn into_sorted(self) -> Vec<Finding> {
         let mut list: Vec<Finding> = self.list.into_inner().into_iter().collect();
         list.sort_by(|a, b| (a.line, a.column, &a.message).cmp(&(b.line, b.column, &b.message)));
--- a/crates/sablebay-config/src/gateway_settings.rs
+++ b/crates/sablebay-config/src/gateway_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a node's gateway: the `[gateway]` table of its settings file.
+//! Gateway settings: the `[gateway]` table of the node settings.
 
 use std::net::SocketAddr;
 
@@ -6,61 +6,59 @@
 
 use crate::section::Section;
 
-/// The settings of a node's gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GatewaySettings {
-    /// Where callers connect. Required.
+    /// Listen address for callers. Required.
     pub caller_address: SocketAddr,
-    /// Where the node is asked whether it takes new connections. Required.
+    /// Listen address of the readiness check. Required.
     pub readiness_address: SocketAddr,
-    /// Where the catalogue of routes and replicas is read. Required.
+    /// Address of the catalogue source for routes and replicas. Required.
     pub catalogue_address: SocketAddr,
-    /// Extra calls to a service that the fleet may send for each request. Default 0.1.
+    /// Retry budget of the fleet for each service, as a fraction of requests. Default 0.1.
     pub retry_ratio: f64,
-    /// Extra calls to a service that the fleet may send in a window whatever the traffic. Default 10.
+    /// Retry budget of the fleet for each service in a window, independent of traffic. Default 10.
     pub retry_fixed: f64,
-    /// The window of these, in milliseconds. Default 10,000.
+    /// Window of the retry budget, in milliseconds. Default 10,000.
     pub retry_window_ms: u64,
-    /// How long a connection to a replica may take to open, in milliseconds. It should cover a few ways there
-    /// and back; a replica that takes longer is taken for lost, and nothing was sent to it. Default 100.
+    /// Timeout for connecting to a replica, in milliseconds. Should cover several round trips. No request is
+    /// sent when it expires. Default 100.
     pub connect_timeout_ms: u64,
-    /// The headers that tell one caller from another, in lower case. A request that comes again with another value of
-    /// one of them is another request. Default `authorization` and `cookie`.
+    /// Headers that identify the caller, in lower case. Requests that differ in one of them are treated as
+    /// different requests. Default `authorization` and `cookie`.
     pub caller_headers: Vec<String>,
-    /// How many times the requests a second that its service names a cold replica bears for a moment.
+    /// Burst capacity of a cold replica, as a multiple of the cold request rate configured for its service.
     /// Default 1.
     pub warm_up_overage: f64,
-    /// Requests in a second that a cold replica bears beyond that. Default 0.
+    /// Additional requests per second allowed to a cold replica. Default 0.
     pub warm_up_slack: f64,
-    /// How old the confirmation of the configuration may be for a request with a key to run, in milliseconds: a key
-    /// that was taken away is refused everywhere after that time, also by nodes that cannot read the source.
-    /// 0 where a node goes on by what it knows. Default 0.
+    /// Maximum age of the configuration confirmation for requests with a key, in milliseconds. Bounds the time
+    /// until all nodes reject a revoked key, including nodes that cannot reach the source. 0 disables the
+    /// limit. Default 0.
     pub revocation_limit_ms: u64,
-    /// The span in which a tenant's requests are counted against its quota, in milliseconds. Default 5,000.
+    /// Window of tenant quotas, in milliseconds. Default 5,000.
     pub quota_window_ms: u64,
-    /// The part of a quota by which all nodes together may exceed it in that span while they disagree.
-    /// Default 0.
+    /// Fraction of a quota by which the fleet may exceed it in a window while nodes disagree. Default 0.
     pub quota_overage: f64,
-    /// Requests beyond that, for each tenant. Default 0.
+    /// Additional requests allowed for each tenant. Default 0.
     pub quota_slack: f64,
-    /// Nodes that are assumed to share budgets and connections before any was met. Default 64.
+    /// Number of nodes assumed to share budgets and connections until nodes are discovered. Default 64.
     pub assumed_nodes: u32,
-    /// How long a starting node leaves the reading of the catalogue to others, in milliseconds.
-    /// Default 0.
+    /// Time for which a starting node waits for peers before it reads the catalogue source itself, in
+    /// milliseconds. Default 0.
     pub start_patience_ms: u64,
-    /// How long before a route's target latency an incomplete answer is given, in milliseconds.
-    /// It covers the way back to the caller. Default 13.
+    /// Time before the target latency of a route at which a partial response is sent, in milliseconds.
+    /// Covers the network latency to the caller. Default 13.
     pub partial_margin_ms: u64,
-    /// How long a stopping node still takes connections after it has called itself unready, in
+    /// Time for which a stopping node accepts connections after reporting that it is not ready, in
     /// milliseconds. Default 2,300.
     pub stop_linger_ms: u64,
-    /// How long a planned stop of the gateway may take, in milliseconds. Default 5,500.
+    /// Timeout of a graceful shutdown of the gateway, in milliseconds. Default 5,500.
     pub stop_timeout_ms: u64,
 }
 
 const ADDRESS: &str = "an IP address and port such as \"127.0.0.1:7000\"";
 
-/// The headers that tell callers apart when the settings name none.
+/// Default of `caller_headers`.
 const DEFAULT_CALLER_HEADERS: [&str; 2] = ["authorization", "cookie"];
 
 fn caller_headers(section: &Section<'_>) -> Vec<String> {
@@ -69,12 +67,11 @@
     if names.is_empty() {
         names.extend(DEFAULT_CALLER_HEADERS.map(str::to_string));
     }
-    // Nodes whose settings name them in another order agree all the same.
+    // Sorted so that nodes agree regardless of the order in their settings.
     names.sort_unstable();
     names
 }
 
-/// Reads the table; mistakes go to its findings.
 pub(crate) fn read_gateway(section: &Section<'_>) -> GatewaySettings {
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let settings = GatewaySettings {
@@ -99,9 +96,9 @@
         stop_timeout_ms: section.integer("stop_timeout_ms", 1..=3_600_000).unwrap_or(5_500),
     };
     for (key, expected) in [
-        ("caller_address", "where callers connect"),
-        ("readiness_address", "where the node is asked whether it is ready"),
-        ("catalogue_address", "where routes and replicas are read"),
+        ("caller_address", "the listen address for callers"),
+        ("readiness_address", "the listen address of the readiness check"),
+        ("catalogue_address", "the address of the catalogue source"),
     ] {
         section.missing(key, expected);
     }
--- a/crates/sablebay-config/src/index.rs
+++ b/crates/sablebay-config/src/index.rs
@@ -1,4 +1,4 @@
-//! Index maps and leaves.
+//! Index maps and leaf settings.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,56 +15,50 @@
 use crate::nearest::nearest_name;
 use crate::section::{Layer, Section};
 
-/// A set of partitions that is stored and searched together, and the leaves that hold it.
+/// Set of partitions that are stored and searched together, and the leaves with its replicas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Shard {
-    /// The partitions; disjoint from those of every other shard of the index.
+    /// Disjoint from the partitions of all other shards of the index.
     pub partitions: PartitionSet,
-    /// The leaves that hold a replica, in order of preference.
+    /// Leaves with a replica, in order of preference.
     pub leaves: Vec<LeafId>,
 }
 
-/// Which leaves hold which partitions of an index.
+/// Assignment of the partitions of an index to leaves.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct IndexMap {
-    /// The index.
     pub index: IndexId,
-    /// How many partitions the index has. Never changes during the index's life.
+    /// Number of partitions; fixed for the lifetime of the index.
     pub partitions: u32,
-    /// The shards. Together they hold each partition once.
+    /// Each partition belongs to exactly one shard.
     pub shards: Vec<Shard>,
 }
 
-/// An index with its leaves, as read from a document.
+/// Index map with the settings of its leaves, as read from a document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IndexLayout {
-    /// Which leaves hold what.
     pub map: IndexMap,
-    /// The leaves that the map names.
+    /// Leaves referenced by the map.
     pub leaves: BTreeMap<LeafId, Arc<LeafSettings>>,
-    /// The entries that this was read from.
+    /// Document entries from which the layout was read.
     pub(crate) source: Vec<Entry>,
 }
 
 impl IndexLayout {
-    /// Whether reading `document` would give the same.
+    /// Whether all source entries are unchanged in `document`.
     pub fn is_current(&self, document: &Document) -> bool {
         self.source.iter().all(|entry| document.entry(entry.kind(), entry.name()) == Some(entry))
     }
 }
 
-/// One leaf, as configured.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeafSettings {
-    /// The leaf.
     pub leaf: LeafId,
-    /// Where it listens.
     pub address: SocketAddr,
-    /// Its zone.
     pub zone: ZoneName,
-    /// Queries that it runs at once.
+    /// Maximum number of concurrent queries.
     pub slots: u32,
-    /// Connections that it takes, from the whole fleet together. Default 80.
+    /// Maximum number of connections from the whole fleet. Default 80.
     pub connections: u32,
 }
 
@@ -73,7 +67,6 @@
 const MAXIMUM_CONNECTIONS: u64 = 65_536;
 const DEFAULT_CONNECTIONS: u64 = 80;
 
-/// Reads one leaf.
 pub fn read_leaf(findings: &Findings, name: &str, place: &Range<usize>, keys: &Layer<'_>) -> LeafSettings {
     let section = Section::new(findings, format!("leaf `{name}`"), place.clone(), keys.clone());
     let address = section.parsed("address", "an IP address and port such as \"10.0.0.1:9000\"");
@@ -91,7 +84,7 @@
     leaf
 }
 
-/// Reads one index map. `known` are the leaves that are configured.
+/// Reads an index map. `known` contains the names of the configured leaves.
 pub fn read_index(
     findings: &Findings,
     name: &str,
@@ -102,7 +95,7 @@
     let title = format!("index `{name}`");
     let section = Section::new(findings, title.clone(), place.clone(), keys.clone());
     let partitions = section.integer("partitions", 1..=MAXIMUM_PARTITIONS);
-    section.missing("partitions", "how many partitions the index has");
+    section.missing("partitions", "the number of partitions of the index");
     let mut covered = PartitionSet::empty();
     let mut shards = Vec::new();
     for shard_section in section.sections("shards") {
@@ -121,7 +114,7 @@
         if let (Some(count), Some(highest)) = (partitions, set.highest())
             && u64::from(highest) >= count
         {
-            let message = format!("{title}: partition {highest} is over the index's {count} partitions");
+            let message = format!("{title}: partition {highest} is out of range for {count} partitions");
             findings.add(&where_given, message, format!("partitions from 0 to {}", count - 1));
         }
         covered = covered.union(&set);
@@ -158,7 +151,7 @@
         if leaves.contains(&leaf) {
             findings.add(
                 &place,
-                format!("{title}: leaf `{name}` is named twice in a shard"),
+                format!("{title}: leaf `{name}` is listed twice in a shard"),
                 "each leaf once",
             );
         }
--- a/crates/sablebay-config/src/lib.rs
+++ b/crates/sablebay-config/src/lib.rs
@@ -1,7 +1,7 @@
 //! Configuration of sablebay: node settings, templates, instances and index maps.
 //!
-//! Parsing and validation are pure functions from text to a value or to **all** findings with
-//! their places. Nothing here reads a file or a clock.
+//! Parsing and validation are pure functions from text to a value or to **all** findings with their
+//! positions. This crate performs no I/O and reads no clock.
 
 mod configuration;
 mod document;
--- a/crates/sablebay-config/src/nearest.rs
+++ b/crates/sablebay-config/src/nearest.rs
@@ -1,9 +1,9 @@
-//! Finding the known name that is nearest to a mistyped one.
+//! Suggestions for mistyped names.
 
-/// The largest edit distance at which a name is still offered.
+/// Maximum edit distance of a suggestion.
 const MAXIMUM_DISTANCE: usize = 3;
 
-/// The known name nearest to `given`, when one is near enough to be meant.
+/// Returns the known name with the smallest edit distance to `given`, up to a limit.
 pub fn nearest_name<'a>(given: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     known
         .into_iter()
@@ -13,7 +13,7 @@
         .map(|(_, name)| name)
 }
 
-/// The Levenshtein distance between two texts, counted in bytes.
+/// Levenshtein distance in bytes.
 fn edit_distance(left: &str, right: &str) -> usize {
     let right = right.as_bytes();
     let mut previous: Vec<usize> = (0..=right.len()).collect();
--- a/crates/sablebay-config/src/node_flags.rs
+++ b/crates/sablebay-config/src/node_flags.rs
@@ -1,6 +1,6 @@
-//! Node settings given as command-line flags.
+//! Node settings as command-line flags.
 
-/// Settings whose value is a text.
+/// Flags with a string value.
 const TEXT_FLAGS: [&str; 14] = [
     "node",
     "zone",
@@ -17,7 +17,7 @@
     "log-format",
     "log-target",
 ];
-/// Settings whose value is a number.
+/// Flags with a numeric value.
 const NUMBER_FLAGS: [&str; 5] = [
     "concurrency",
     "stop-timeout-ms",
@@ -25,19 +25,19 @@
     "platform-reads-per-second",
     "aggregators-per-service",
 ];
-/// The setting that may be given several times.
+/// Flag that may be repeated.
 const LIST_FLAG: &str = "peers";
 
-/// The flags, without their dashes.
+/// Returns the names of all flags, without leading dashes.
 pub fn node_flags() -> Vec<&'static str> {
     let all = TEXT_FLAGS.iter().chain(&NUMBER_FLAGS).chain(std::iter::once(&LIST_FLAG));
     all.copied().collect()
 }
 
-/// The overrides of settings that some flags ask for: each key, and its value in TOML.
+/// Converts flags to setting overrides: pairs of a key and its value in TOML.
 ///
-/// A flag given twice counts with its last value, except `peers`, which makes a list. Flags that
-/// are no settings are left out.
+/// The last value of a repeated flag applies, except that `peers` forms a list. Ignores flags that are
+/// not settings.
 pub fn overrides_from_flags(given: &[(String, String)]) -> Vec<(String, String)> {
     let mut overrides: Vec<(String, String)> = Vec::new();
     let mut peers = Vec::new();
--- a/crates/sablebay-config/src/node_settings.rs
+++ b/crates/sablebay-config/src/node_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one node: from a TOML file, or the same by flags.
+//! Node settings from a TOML file and command-line flags.
 
 use std::net::SocketAddr;
 
@@ -12,75 +12,72 @@
 use crate::gateway_settings::{GatewaySettings, read_gateway};
 use crate::section::{Section, check_name, layer};
 
-/// The form of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// One line of text a record.
+    /// One line of text per record.
     Text,
-    /// One JSON object a record.
+    /// One JSON object per record.
     Json,
 }
 
-/// Where log lines go.
+/// Destination of log output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogTarget {
-    /// Standard output, after the line with the bound addresses.
+    /// Standard output, following the line with the bound addresses.
     Stdout,
-    /// Standard error.
     Stderr,
 }
 
-/// The settings of one node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeSettings {
-    /// The node's name, unique in its fleet. Required.
+    /// Name of the node, unique in its fleet. Required.
     pub node: NodeId,
-    /// Its zone. Required.
+    /// Required.
     pub zone: ZoneName,
-    /// Its region. Default `default`.
+    /// Default `default`.
     pub region: RegionName,
-    /// The fleet it belongs to. Default `sablebay`.
+    /// Default `sablebay`.
     pub fleet: FleetName,
-    /// The key that peers prove to each other. Default: none, fit for loopback alone.
+    /// Shared key for authenticating peers. Default: none, which is safe only on loopback.
     #[serde(skip_serializing)]
     pub fleet_key: Option<String>,
-    /// Where callers connect. Default 127.0.0.1, any free port.
+    /// Listen address for callers. Default 127.0.0.1, any free port.
     pub caller_address: SocketAddr,
-    /// Where operators connect. Default 127.0.0.1, any free port.
+    /// Listen address of the admin API. Default 127.0.0.1, any free port.
     pub admin_address: SocketAddr,
-    /// Where peers connect. Default 127.0.0.1, any free port.
+    /// Listen address for peers. Default 127.0.0.1, any free port.
     pub peer_address: SocketAddr,
-    /// The address peers are told, when it differs from the one bound.
+    /// Address advertised to peers, if different from the bound address.
     pub advertised_peer_address: Option<SocketAddr>,
-    /// The platform's service. Default: none; configuration then comes from peers alone.
+    /// Address of the platform service. Default: none; configuration then comes only from peers.
     pub platform_address: Option<SocketAddr>,
-    /// Peers to start from.
+    /// Seed peers for joining the fleet.
     pub peers: Vec<SocketAddr>,
-    /// The token for state-changing admin calls. Without one they are refused off loopback.
+    /// Token for state-changing admin calls. Without a token, they are accepted only on loopback.
     #[serde(skip_serializing)]
     pub operator_token: Option<String>,
     /// `error`, `warn`, `info`, `debug` or `trace`. Default `info`.
     pub log_level: String,
-    /// Text or JSON lines. Default text.
+    /// Default `text`.
     pub log_format: LogFormat,
-    /// Where log lines go. Default `stderr`.
+    /// Default `stderr`.
     pub log_target: LogTarget,
-    /// The share of a processor core that the node may use. Nodes gather for others in proportion.
-    /// Default 1.
+    /// Number of processor cores available to the node, possibly fractional. Gathering for other nodes
+    /// is weighted by it. Default 1.
     pub core_share: f64,
-    /// Queries that run at once on this node, over all services. Default 4,096.
+    /// Maximum number of concurrent queries on this node, over all services. Default 4,096.
     pub concurrency: u32,
-    /// How long a planned stop may take, in milliseconds. Default 30,000.
+    /// Timeout of a graceful shutdown, in milliseconds. Default 30,000.
     pub stop_timeout_ms: u64,
     /// Probe period of the membership protocol, in milliseconds. Default 1,000.
     pub probe_period_ms: u64,
-    /// How often the fleet as a whole reads the platform, per second. Default 1.5.
+    /// Platform reads per second of the whole fleet. Default 1.5.
     pub platform_reads_per_second: f64,
-    /// Nodes that connect to the leaves of one service. Default 8.
+    /// Number of nodes that connect to the leaves of each service. Default 8.
     pub aggregators_per_service: u32,
-    /// The gateway, when the node has one. Default: none.
+    /// Gateway settings, if the node runs a gateway. Default: none.
     pub gateway: Option<GatewaySettings>,
 }
 
@@ -88,12 +85,12 @@
     [("error", "error"), ("warn", "warn"), ("info", "info"), ("debug", "debug"), ("trace", "trace")];
 
 impl NodeSettings {
-    /// Reads settings from the text of a TOML file, with some keys given by flags instead.
+    /// Parses a TOML settings file with overrides.
     ///
-    /// Each override is a key and its value in TOML. The file's own lines keep their places.
+    /// Each override is a key and its value in TOML. Findings keep their positions in the file.
     ///
     /// # Errors
-    /// [`ConfigurationError::Invalid`] with every finding.
+    /// [`ConfigurationError::Invalid`] with all findings.
     pub fn parse_with_overrides(
         file: &str,
         text: &str,
@@ -109,10 +106,10 @@
         Self::parse(file, &merged)
     }
 
-    /// Reads settings from the text of a TOML file.
+    /// Parses a TOML settings file.
     ///
     /// # Errors
-    /// [`ConfigurationError::Invalid`] with every finding.
+    /// [`ConfigurationError::Invalid`] with all findings.
     pub fn parse(file: &str, text: &str) -> Result<Self, ConfigurationError> {
         let findings = Findings::new(file, text);
         let (root, errors) = DeTable::parse_recoverable(text);
@@ -126,7 +123,7 @@
     }
 }
 
-/// The text with the overridden keys replaced by blanks, so that every other place stays.
+/// Replaces overridden keys and their values with spaces, which preserves the positions of all others.
 fn blank_keys(text: &str, overrides: &[(String, String)]) -> String {
     let (root, errors) = DeTable::parse_recoverable(text);
     let mut bytes = text.as_bytes().to_vec();
@@ -154,7 +151,9 @@
     for (text, place) in section.text_list("peers") {
         match text.parse() {
             Ok(address) => peers.push(address),
-            Err(_) => findings.add(&place, format!("settings: the peer \"{text}\" is no address"), ADDRESS),
+            Err(_) => {
+                findings.add(&place, format!("settings: the peer \"{text}\" is not an address"), ADDRESS)
+            }
         }
     }
     let settings = NodeSettings {
@@ -192,8 +191,8 @@
             check_name(findings, name, &section.place_of(key));
         }
     }
-    section.missing("node", "the node's name");
-    section.missing("zone", "the node's zone");
+    section.missing("node", "the name of the node");
+    section.missing("zone", "the zone of the node");
     section.finish();
     settings
 }
--- a/crates/sablebay-config/src/reader.rs
+++ b/crates/sablebay-config/src/reader.rs
@@ -1,7 +1,7 @@
-//! Reading a document: from a text, or from entries that a peer sent.
+//! Parses and validates documents, from text or from entries sent by a peer.
 //!
-//! Reading TOML with the places of all values takes some kilobytes for each leaf at once. A fleet's
-//! whole document therefore becomes one tree only when something is wrong with it.
+//! A TOML tree with positions is much larger than its text. Large documents are therefore parsed in
+//! parts, and as a whole only to report findings.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
@@ -22,22 +22,21 @@
 use crate::template::{Templates, check_templates, read_instance};
 use crate::zone::{check_zones, read_zone};
 
-/// The key of the document's revision.
 const REVISION: &str = "revision";
-/// Bytes of entries that are read at once.
+/// Approximate size of the parts of a large document.
 const PART_BYTES: usize = 64 * 1024;
 
-/// What services are checked against of an index.
+/// Properties of an index against which services are validated.
 struct IndexSummary {
     partitions: u32,
     minimum_replicas: usize,
 }
 
-/// What tables are checked against beyond themselves.
+/// Entries known from earlier parts, for validating references.
 #[derive(Default)]
 struct KnownEntries<'a> {
     leaves: BTreeSet<&'a str>,
-    /// The zones that leaves stand in, of a document that is read whole; nothing of a part of one.
+    /// Zones that contain leaves; `None` if the document does not contain all leaves.
     zones: Option<BTreeSet<ZoneName>>,
     indexes: BTreeMap<IndexId, IndexSummary>,
 }
@@ -51,7 +50,7 @@
     }
 }
 
-/// The tables of a document, not read yet.
+/// Unparsed tables of a document.
 struct Tables<'a> {
     revision: Revision,
     leaves: Vec<NamedTable<'a>>,
@@ -61,21 +60,20 @@
     instances: Vec<NamedTable<'a>>,
 }
 
-/// Reads a text, part by part if it is large, with the place of every finding in it. Entries that
-/// `like` has alike share its memory.
+/// Parses a text, in parts if it is large. Entries equal to those of `base` share their memory.
 ///
 /// # Errors
-/// [`ConfigurationError::Invalid`] with every finding.
+/// [`ConfigurationError::Invalid`] with all findings and their positions in the text.
 pub fn read(
     file: &str,
     text: &str,
     base: &Document,
 ) -> Result<(Document, Vec<ServiceSettings>), ConfigurationError> {
-    // A text that cannot be taken in parts is read again as a whole, which tells why and where.
+    // If parsing in parts fails, parsing the whole text yields findings with correct positions.
     read_split(file, text, base).map_or_else(|| read_whole(file, text, Some(BTreeSet::new())), Ok)
 }
 
-/// Reads a text in parts. Nothing when it is small, or when anything at all is amiss with a part.
+/// Parses a text in parts. Returns `None` if the text is small or any part is invalid.
 fn read_split(file: &str, text: &str, base: &Document) -> Option<(Document, Vec<ServiceSettings>)> {
     let parts = split_entries(text, PART_BYTES);
     if parts.len() < 2 {
@@ -105,8 +103,8 @@
     Some(Revision(value))
 }
 
-/// Reads a whole text at once. `zones` is there when it holds all leaves, so that zones can be checked against
-/// theirs.
+/// Parses a text as a whole. `zones` is set if the text contains all leaves, to validate zones against
+/// them.
 fn read_whole(
     file: &str,
     text: &str,
@@ -116,19 +114,19 @@
         let tables = read_tables(findings, root);
         let mut known = KnownEntries { leaves: names(&tables.leaves), zones, ..KnownEntries::default() };
         let services = validate(findings, &tables, &mut known);
-        // Nothing is made of a text with findings.
+        // `read_text` discards the document if there are findings.
         if !findings.is_empty() {
             return (Document::default(), services);
         }
         let mut document = Document::new(tables.revision, []);
         if let Err((place, reason)) = document.add_table(root, &Document::default()) {
-            findings.add(&place, format!("not a value: {reason}"), "");
+            findings.add(&place, format!("invalid entry: {reason}"), "");
         }
         (document, services)
     })
 }
 
-/// Reads the services of a small document that holds all they refer to.
+/// Parses the services of a small document that contains all referenced entries.
 ///
 /// # Errors
 /// As [`read`].
@@ -136,7 +134,7 @@
     read_whole(file, text, None).map(|(_, services)| services)
 }
 
-/// Reads the index maps and leaves of a small document.
+/// Parses the index maps and leaves of a small document.
 ///
 /// # Errors
 /// As [`read`].
@@ -154,10 +152,10 @@
     })
 }
 
-/// Validates the entries of a document part by part, and reads its services.
+/// Validates the entries of a document in parts, and returns its services.
 ///
 /// # Errors
-/// As [`read`]; places are those within the part.
+/// As [`read`], but positions are relative to the part.
 pub fn read_in_parts(file: &str, document: &Document) -> Result<Vec<ServiceSettings>, ConfigurationError> {
     let entries = document.sorted();
     let of_kind = |kind: EntryKind| entries.iter().copied().filter(move |entry| entry.kind() == kind);
@@ -168,7 +166,7 @@
     };
     let templates: Vec<&Entry> = of_kind(EntryKind::Template).collect();
     let mut services = Vec::new();
-    // In this order, since zones are those of leaves, indexes name leaves and services name indexes.
+    // Ordered by dependency: zones and indexes refer to leaves, services to indexes.
     for (kind, shared) in [
         (EntryKind::Leaf, &[] as &[&Entry]),
         (EntryKind::Zone, &[]),
@@ -185,7 +183,7 @@
     Ok(services)
 }
 
-/// Cuts entries into parts of about [`PART_BYTES`].
+/// Groups entries into parts of about [`PART_BYTES`].
 fn parts<'a, 'b>(entries: &'b [&'a Entry]) -> Vec<&'b [&'a Entry]> {
     let mut parts = Vec::new();
     let (mut start, mut bytes) = (0, 0);
@@ -210,7 +208,7 @@
     read_text(file, text, |findings, root| validate(findings, &read_tables(findings, root), known))
 }
 
-/// Validates every table, notes the indexes, and returns the services.
+/// Validates all tables, records leaf zones and indexes in `known`, and returns the services.
 fn validate(findings: &Findings, tables: &Tables<'_>, known: &mut KnownEntries<'_>) -> Vec<ServiceSettings> {
     for table in &tables.leaves {
         let leaf = read_leaf(findings, table.name, &table.place, &table.keys());
@@ -231,7 +229,7 @@
     services_of(findings, tables, known)
 }
 
-/// Parses a text and reads it; all findings or what was read.
+/// Parses a text as TOML and applies `read` to its root. Fails if there are any findings.
 fn read_text<T>(
     file: &str,
     text: &str,
@@ -251,7 +249,7 @@
 fn read_tables<'a>(findings: &'a Findings, root: &'a DeTable<'a>) -> Tables<'a> {
     let section = Section::new(findings, "document".to_string(), 0..0, layer(root));
     let revision = Revision(section.integer(REVISION, 1..=i64::MAX as u64).unwrap_or(0));
-    section.missing(REVISION, "the revision's number");
+    section.missing(REVISION, "the revision number");
     let tables = Tables {
         revision,
         leaves: section.named_tables(EntryKind::Leaf.section()),
@@ -283,7 +281,7 @@
     instances.map(read).collect()
 }
 
-/// Lets leaves of one zone share its name: there are few zones and very many leaves.
+/// Deduplicates zone names to save memory.
 fn share_zones(leaves: &mut [LeafSettings]) {
     let mut zones: BTreeSet<ZoneName> = BTreeSet::new();
     for leaf in leaves {
@@ -296,7 +294,7 @@
     }
 }
 
-/// Checks what a service asks of its index: that there is one, its partitions, its replicas.
+/// Validates the index, partitions and replica count of a service against its index map.
 fn check_against_index(
     findings: &Findings,
     settings: &ServiceSettings,
--- a/crates/sablebay-config/src/section.rs
+++ b/crates/sablebay-config/src/section.rs
@@ -1,4 +1,4 @@
-//! Reading typed values out of a TOML table, collecting a finding for each mistake.
+//! Typed access to TOML tables with a finding for each invalid value.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,30 +10,28 @@
 use crate::finding::Findings;
 use crate::nearest::nearest_name;
 
-/// A value with the place that it was given at.
+/// TOML value with its position.
 #[derive(Clone, Copy)]
 pub struct Place<'a> {
-    /// The value.
     pub value: &'a DeValue<'a>,
-    /// The byte range of the value.
+    /// Start of the byte range of the value.
     pub start: usize,
-    /// The end of that range.
+    /// End of the byte range of the value.
     pub end: usize,
-    /// The start of the key.
+    /// Start of the key.
     pub key_start: usize,
 }
 
 impl Place<'_> {
-    /// The byte range of the value.
+    /// Byte range of the value.
     pub fn range(&self) -> Range<usize> {
         self.start..self.end
     }
 }
 
-/// The keys of one table, or of several tables laid over each other.
+/// Keys of one table, or of several merged tables.
 pub type Layer<'a> = BTreeMap<&'a str, Place<'a>>;
 
-/// The keys of one table.
 pub fn layer<'a>(table: &'a DeTable<'a>) -> Layer<'a> {
     table.iter().map(|(key, value)| (key.get_ref().as_ref(), place(key.span().start, value))).collect()
 }
@@ -42,23 +40,22 @@
     Place { value: value.get_ref(), start: value.span().start, end: value.span().end, key_start }
 }
 
-/// A table with the name that it stands under.
+/// Table with its key.
 pub struct NamedTable<'a> {
-    /// The name.
     pub name: &'a str,
-    /// The place of the name.
+    /// Position of the name.
     pub place: Range<usize>,
     table: &'a DeTable<'a>,
 }
 
 impl<'a> NamedTable<'a> {
-    /// The table's keys. Made at each call: there are very many tables.
+    /// Builds the layer on each call, since keeping the layers of all tables would use too much memory.
     pub fn keys(&self) -> Layer<'a> {
         layer(self.table)
     }
 }
 
-/// A table that is being read: remembers which keys were asked for.
+/// Reader of one table. Tracks the keys that were read, so that unknown keys can be reported.
 pub struct Section<'a> {
     findings: &'a Findings,
     name: String,
@@ -66,12 +63,12 @@
     keys: Layer<'a>,
     known: RefCell<BTreeSet<&'static str>>,
     placeholders_allowed: bool,
-    /// Keys that come from elsewhere and are checked there: their mistakes are not reported twice.
+    /// Keys inherited from other tables, whose findings are reported there.
     inherited: BTreeSet<String>,
 }
 
 impl<'a> Section<'a> {
-    /// A section called `name` in messages.
+    /// Creates a reader; `name` identifies the table in messages.
     pub fn new(findings: &'a Findings, name: String, place: Range<usize>, keys: Layer<'a>) -> Self {
         Self {
             findings,
@@ -84,13 +81,13 @@
         }
     }
 
-    /// Lets `${name}` stand in place of any value: such a value is read as absent.
+    /// Accepts `${name}` placeholders for any value and treats them as absent.
     pub fn allow_placeholders(mut self) -> Self {
         self.placeholders_allowed = true;
         self
     }
 
-    /// Leaves mistakes in these keys to whoever checks the table that they come from.
+    /// Suppresses findings for keys that are inherited from other tables.
     pub fn with_inherited(mut self, keys: BTreeSet<String>) -> Self {
         self.inherited = keys;
         self
@@ -109,17 +106,17 @@
         }
     }
 
-    /// The place of the section's own header.
+    /// Position of the section header.
     pub fn place(&self) -> &Range<usize> {
         &self.place
     }
 
-    /// The place of a key's value, or of the section when the key is absent.
+    /// Position of the value of a key, or of the section if the key is absent.
     pub fn place_of(&self, key: &str) -> Range<usize> {
         self.keys.get(key).map_or(self.place.clone(), Place::range)
     }
 
-    /// The raw value of a key.
+    /// Returns the untyped value of a key; `None` if absent or a placeholder.
     pub fn raw(&self, key: &'static str) -> Option<Place<'a>> {
         self.known.borrow_mut().insert(key);
         let place = self.keys.get(key).copied()?;
@@ -134,17 +131,15 @@
         self.report(key, &place.range(), message, expected.as_ref(), None);
     }
 
-    /// A text.
     pub fn text(&self, key: &'static str) -> Option<&'a str> {
         let place = self.raw(key)?;
         let text = place.value.as_str();
         if text.is_none() {
-            self.wrong_type(key, &place, "a text in quotes");
+            self.wrong_type(key, &place, "a quoted string");
         }
         text
     }
 
-    /// A truth value.
     pub fn boolean(&self, key: &'static str) -> Option<bool> {
         let place = self.raw(key)?;
         let value = place.value.as_bool();
@@ -154,10 +149,10 @@
         value
     }
 
-    /// A whole number within `limits`.
+    /// Reads an integer within `limits`.
     pub fn integer(&self, key: &'static str, limits: RangeInclusive<u64>) -> Option<u64> {
         let place = self.raw(key)?;
-        let expected = format!("a whole number from {} to {}", limits.start(), limits.end());
+        let expected = format!("an integer from {} to {}", limits.start(), limits.end());
         let Some(number) = place.value.as_integer() else {
             self.wrong_type(key, &place, &expected);
             return None;
@@ -171,7 +166,7 @@
         value
     }
 
-    /// A number within `limits`, with or without a fraction.
+    /// Reads an integer or float within `limits`.
     pub fn number(&self, key: &'static str, limits: RangeInclusive<f64>) -> Option<f64> {
         let place = self.raw(key)?;
         let expected = format!("a number from {} to {}", limits.start(), limits.end());
@@ -191,7 +186,7 @@
         value
     }
 
-    /// One of several named choices.
+    /// Reads one of several named values.
     pub fn choice<T: Copy>(&self, key: &'static str, choices: &[(&'static str, T)]) -> Option<T> {
         let place = self.raw(key)?;
         let names: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
@@ -209,7 +204,7 @@
         found.map(|(_, value)| *value)
     }
 
-    /// A value in a text form of its own.
+    /// Reads a value that is parsed from a string.
     pub fn parsed<T: std::str::FromStr>(&self, key: &'static str, expected: &str) -> Option<T>
     where
         T::Err: std::fmt::Display,
@@ -226,13 +221,13 @@
         }
     }
 
-    /// A list of texts, each with its place.
+    /// Reads a list of strings with their positions.
     pub fn text_list(&self, key: &'static str) -> Vec<(&'a str, Range<usize>)> {
         let Some(place) = self.raw(key) else {
             return Vec::new();
         };
         let Some(array) = place.value.as_array() else {
-            self.wrong_type(key, &place, "a list of texts");
+            self.wrong_type(key, &place, "a list of strings");
             return Vec::new();
         };
         let mut texts = Vec::with_capacity(array.len());
@@ -240,15 +235,15 @@
             match item.get_ref().as_str() {
                 Some(text) => texts.push((text, item.span())),
                 None => {
-                    let message = format!("{}: an item of `{key}` is no text", self.name);
-                    self.findings.add(&item.span(), message, "a text in quotes");
+                    let message = format!("{}: an item of `{key}` is not a string", self.name);
+                    self.findings.add(&item.span(), message, "a quoted string");
                 }
             }
         }
         texts
     }
 
-    /// A table as a section, when there is one.
+    /// Reads a nested table.
     pub fn section(&self, key: &'static str) -> Option<Section<'a>> {
         let place = self.raw(key)?;
         let Some(table) = place.value.as_table() else {
@@ -259,7 +254,7 @@
         Some(Section::new(self.findings, name, place.range(), layer(table)))
     }
 
-    /// A list of tables, as sections.
+    /// Reads a list of tables.
     pub fn sections(&self, key: &'static str) -> Vec<Section<'a>> {
         let Some(place) = self.raw(key) else {
             return Vec::new();
@@ -276,7 +271,7 @@
                     sections.push(Section::new(self.findings, name, item.span(), layer(table)));
                 }
                 None => {
-                    let message = format!("{}: an item of `{key}` is no table", self.name);
+                    let message = format!("{}: an item of `{key}` is not a table", self.name);
                     self.findings.add(&item.span(), message, "a table");
                 }
             }
@@ -284,7 +279,7 @@
         sections
     }
 
-    /// A table of named tables.
+    /// Reads a table of tables.
     pub fn named_tables(&self, key: &'static str) -> Vec<NamedTable<'a>> {
         let Some(place) = self.raw(key) else {
             return Vec::new();
@@ -308,7 +303,7 @@
         tables
     }
 
-    /// Reports that a required key is absent.
+    /// Reports a required key that is absent.
     pub fn missing(&self, key: &str, expected: &str) {
         let present = self.keys.contains_key(key);
         if !present {
@@ -317,7 +312,7 @@
         }
     }
 
-    /// Ends the reading: each key that nobody asked for is a finding.
+    /// Reports all keys that were not read.
     pub fn finish(&self) {
         let known = self.known.borrow();
         for (key, place) in &self.keys {
@@ -334,15 +329,15 @@
     }
 }
 
-/// The parameter name in a `${name}` value.
+/// Returns the parameter name of a `${name}` value.
 pub fn placeholder<'a>(value: &'a DeValue<'a>) -> Option<&'a str> {
     value.as_str()?.strip_prefix("${")?.strip_suffix('}')
 }
 
-/// The longest name of a service, index, leaf, template, node or zone.
+/// Maximum length of the name of a service, index, leaf, template, node or zone.
 const MAXIMUM_NAME_LENGTH: usize = 64;
 
-/// Names go into tickets, URLs and file names: letters, digits, `-` and `_` alone are safe there.
+/// Reports names that are unsafe in tickets, URLs or file names.
 pub fn check_name(findings: &Findings, name: &str, place: &Range<usize>) {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
     if name.is_empty() || name.len() > MAXIMUM_NAME_LENGTH || !name.bytes().all(is_allowed) {
--- a/crates/sablebay-config/src/service.rs
+++ b/crates/sablebay-config/src/service.rs
@@ -1,4 +1,4 @@
-//! The settings of one service, as they are in force.
+//! Service settings.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,76 +6,73 @@
 
 use crate::section::Section;
 
-/// What wins when no index version has full coverage, or a deadline nears.
+/// Preference when no index version has full coverage, or when the deadline is near.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// Answer early with what there is.
+    /// Return a partial result early.
     Latency,
-    /// Plan again at another version, or wait until the deadline, for full coverage.
+    /// Replan at another version, or wait until the deadline, to reach full coverage.
     Coverage,
 }
 
-/// What a node does with new work while its configuration is unconfirmed.
+/// Handling of new requests while the configuration is unconfirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WhenUnconfirmed {
-    /// Serve; the answer shows how long ago the configuration was confirmed.
+    /// Serve, and report the age of the confirmation in the response.
     Serve,
     /// Refuse with `not_run`.
     Refuse,
 }
 
-/// How a query reaches the leaves.
+/// Topology of the fan-out to leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FanOut {
-    /// Directly when the index has few shards, through aggregators when it has many.
+    /// Direct for few shards, through aggregators for many.
     Auto,
-    /// Always directly.
+    /// Always direct.
     Direct,
     /// Always through aggregators.
     Tree,
 }
 
-/// The settings of one service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSettings {
-    /// The service.
     pub service: ServiceId,
-    /// The template it is an instance of, and the templates that one extends, nearest first.
+    /// Template of the service and its ancestors, nearest first.
     pub templates: Vec<String>,
-    /// The index that is searched.
     pub index: IndexId,
-    /// The partitions that are searched; all of the index by default.
+    /// Searched partitions. Default: all of the index.
     pub partitions: Option<PartitionSet>,
-    /// How many replicas of each shard are used. Default 1.
+    /// Number of replicas used for each shard. Default 1.
     pub replicas: u32,
-    /// Time for a whole query, in milliseconds, when the caller gives none. Default 300.
+    /// Default query deadline, in milliseconds, if the caller sets none. Default 300.
     pub deadline_ms: u64,
-    /// Latency or coverage first. Default latency.
+    /// Default `latency`.
     pub priority: Priority,
-    /// Whether to serve while unconfirmed. Default serve.
+    /// Default `serve`.
     pub when_unconfirmed: WhenUnconfirmed,
-    /// Whether a failed leaf query may be sent to another replica. Default true.
+    /// Whether failed leaf queries may be retried on another replica. Default true.
     pub retry_queries: bool,
     /// Whether slow leaf queries are hedged. Default true.
     pub hedge: bool,
-    /// The latency quantile after which a call is hedged. Default 0.975.
+    /// Latency quantile after which a call is hedged. Default 0.975.
     pub hedge_quantile: f64,
-    /// Hedges and retries allowed, in percent of first calls. Default 3.
+    /// Budget for hedges and retries, in percent of first calls. Default 3.
     pub extra_load_percent: f64,
-    /// Queries that run at once on one node. Default 64.
+    /// Maximum number of concurrent queries per node. Default 64.
     pub concurrency: u32,
-    /// Queries that wait for a free slot on one node. Default 64.
+    /// Maximum number of queued queries per node. Default 64.
     pub queue: u32,
-    /// How long a call waits for others to the same leaf, in microseconds. Default 0.
+    /// Time for which a call waits to be batched with others to the same leaf, in microseconds. Default 0.
     pub coalesce_us: u64,
-    /// Calls in one request to a leaf at the most. Default 32.
+    /// Maximum number of calls in a request to a leaf. Default 32.
     pub batch: u32,
-    /// Direct or through aggregators. Default auto.
+    /// Default `auto`.
     pub fan_out: FanOut,
-    /// How long a ticket can be used, in milliseconds. Default 60,000.
+    /// Validity period of tickets, in milliseconds. Default 60,000.
     pub ticket_lifetime_ms: u64,
 }
 
@@ -86,9 +83,7 @@
 const MAXIMUM_BATCH: u64 = 1_024;
 const MAXIMUM_TICKET_LIFETIME_MS: u64 = 3_600_000;
 
-/// Reads the settings of a service from its merged keys.
-///
-/// Findings go to the section; a value that is wrong is replaced by its default.
+/// Reads service settings from merged keys. Invalid values are reported and replaced with defaults.
 pub fn read_service(section: &Section<'_>, service: ServiceId, templates: Vec<String>) -> ServiceSettings {
     let settings = ServiceSettings {
         service,
--- a/crates/sablebay-config/src/split.rs
+++ b/crates/sablebay-config/src/split.rs
@@ -1,13 +1,12 @@
-//! Cuts a large TOML text into parts that can be parsed one after another.
+//! Splits a large TOML text into parts that can be parsed separately.
 //!
-//! A text is cut only in front of a table header that stands outside of strings, lists and comments,
-//! and only between two entries: `[indexes.a]` and the `[[indexes.a.shards]]` after it stay together.
-//! A cut in the wrong place can only make a part that does not parse or does not validate; the caller
-//! then reads the text as a whole.
+//! Splits only before table headers outside strings, lists and comments, and only between entries:
+//! `[indexes.a]` and the `[[indexes.a.shards]]` after it stay together. If a part fails to parse or
+//! validate, the caller must parse the whole text instead.
 
 use std::ops::Range;
 
-/// What the scan is in the middle of.
+/// Lexical context of the scanner.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ScanState {
     Plain,
@@ -22,7 +21,7 @@
     bytes: &'a [u8],
     at: usize,
     state: ScanState,
-    /// Open lists and inline tables.
+    /// Nesting depth of lists and inline tables.
     depth: usize,
 }
 
@@ -31,7 +30,7 @@
         self.bytes[self.at..].starts_with(text)
     }
 
-    /// Passes over one byte, or over one delimiter.
+    /// Advances by one byte, delimiter or escape sequence.
     fn step(&mut self) {
         let byte = self.bytes[self.at];
         let mut length = 1;
@@ -65,14 +64,14 @@
         self.at = (self.at + length).min(self.bytes.len());
     }
 
-    /// The end of the line that the scan is in.
+    /// Offset after the current line.
     fn line_end(&self) -> usize {
         let rest = &self.bytes[self.at..];
         rest.iter().position(|byte| *byte == b'\n').map_or(self.bytes.len(), |length| self.at + length + 1)
     }
 }
 
-/// The entry that a header line belongs to: the first two of its names.
+/// Entry of a header line: the first two components of its key.
 fn entry_of(header: &str) -> (&str, &str) {
     let names = header.trim_start_matches(['[', ' ', '\t']);
     let names = names.split(']').next().unwrap_or("");
@@ -80,7 +79,7 @@
     (names.next().unwrap_or(""), names.next().unwrap_or(""))
 }
 
-/// The positions at which another entry than the one before begins.
+/// Byte offsets at which entries start.
 fn entry_starts(text: &str) -> Vec<usize> {
     let mut scan = Scan { bytes: text.as_bytes(), at: 0, state: ScanState::Plain, depth: 0 };
     let mut starts = Vec::new();
@@ -105,7 +104,7 @@
     starts
 }
 
-/// Cuts a text between entries into parts of at least `part_bytes`, but for the last.
+/// Splits a text between entries into parts of at least `part_bytes`; the last may be shorter.
 pub fn split_entries(text: &str, part_bytes: usize) -> Vec<Range<usize>> {
     let mut parts = Vec::new();
     let mut start = 0;
--- a/crates/sablebay-config/src/template.rs
+++ b/crates/sablebay-config/src/template.rs
@@ -1,4 +1,4 @@
-//! Templates: inheritance, parameters, and laying an instance over its template.
+//! Template inheritance, parameters, and the merging of instances with templates.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
@@ -12,13 +12,13 @@
 use crate::section::{Layer, Place, Section, layer, placeholder};
 use crate::service::{ServiceSettings, read_service};
 
-/// The templates of a document by name: place of the name, and keys.
+/// Templates by name, with the position of the name and the keys.
 pub type Templates<'a> = BTreeMap<&'a str, (Range<usize>, Layer<'a>)>;
 
-/// Keys of a template or instance that are no settings of the service.
+/// Keys of templates and instances that are not service settings.
 const STRUCTURAL_KEYS: [&str; 3] = ["extends", "template", "parameters"];
 
-/// Checks each template by itself: its keys, its parent, cycles.
+/// Validates the keys and the inheritance chain of each template.
 pub fn check_templates(findings: &Findings, templates: &Templates<'_>) {
     for (name, (place, keys)) in templates {
         let title = format!("template `{name}`");
@@ -29,7 +29,7 @@
     }
 }
 
-/// A template and those it extends, nearest first. Stops at a cycle or an unknown name.
+/// Returns a template and its ancestors, nearest first. Stops at a cycle or an unknown name.
 fn inheritance_chain<'a>(findings: &Findings, templates: &Templates<'a>, start: &str) -> Vec<&'a str> {
     let mut names = Vec::new();
     let mut seen = BTreeSet::new();
@@ -43,14 +43,14 @@
         let Some(parent) = place.value.as_str() else {
             findings.add(
                 &place.range(),
-                format!("template `{name}`: `extends` is no text"),
+                format!("template `{name}`: `extends` is not a string"),
                 "a template's name",
             );
             break;
         };
         if seen.contains(parent) {
             let message = format!("template `{name}` extends `{parent}`, which leads back to it");
-            findings.add(&place.range(), message, "templates without a cycle");
+            findings.add(&place.range(), message, "an acyclic chain of templates");
             break;
         }
         if !templates.contains_key(parent) {
@@ -66,7 +66,7 @@
     findings.add_with_nearest(place, format!("there is no template `{name}`"), "a template's name", nearest);
 }
 
-/// Reads one instance: its template's keys, its own over them, parameters filled in.
+/// Reads an instance: merges its keys over those of its templates and substitutes parameters.
 pub fn read_instance<'a>(
     findings: &'a Findings,
     templates: &Templates<'a>,
@@ -108,7 +108,7 @@
     settings
 }
 
-/// Replaces each `${name}` by the instance's parameter of that name.
+/// Replaces `${name}` placeholders with the parameters of the instance.
 fn substitute_parameters<'a>(
     findings: &Findings,
     title: &str,
--- a/crates/sablebay-config/src/zone.rs
+++ b/crates/sablebay-config/src/zone.rs
@@ -1,4 +1,4 @@
-//! Zones: which of them are evacuated.
+//! Zone settings.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -11,7 +11,8 @@
 use crate::nearest::nearest_name;
 use crate::section::{Layer, NamedTable, Section};
 
-/// Reads what is said of one zone: whether it is evacuated, so that its leaves get nothing new.
+/// Reads a zone entry and returns whether the zone is evacuated. Leaves of an evacuated zone receive no
+/// new calls.
 pub fn read_zone(findings: &Findings, name: &str, place: &Range<usize>, keys: &Layer<'_>) -> bool {
     let section = Section::new(findings, format!("zone `{name}`"), place.clone(), keys.clone());
     section.missing("evacuated", "true or false");
@@ -20,7 +21,7 @@
     evacuated
 }
 
-/// Checks the zones against those that leaves stand in.
+/// Reports zones without leaves, and the evacuation of all zones with leaves.
 pub fn check_zones(findings: &Findings, tables: &[NamedTable<'_>], with_leaves: &BTreeSet<ZoneName>) {
     let mut evacuated = BTreeSet::new();
     for table in tables {
@@ -41,7 +42,7 @@
     }
 }
 
-/// The evacuated zones of a document that was accepted.
+/// Returns the evacuated zones of a validated document.
 pub fn evacuated_zones(document: &Document) -> BTreeSet<ZoneName> {
     let is_evacuated = |body: &str| {
         let table: Option<toml::Table> = format!("zone = {body}").parse().ok();
--- a/crates/sablebay-config/tests/documents.rs
+++ b/crates/sablebay-config/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Documents, deltas and digests, and text of any kind as a configuration.
+//! Documents, deltas, digests, and robustness against arbitrary input.
 
 use std::collections::BTreeMap;
 
@@ -27,8 +27,7 @@
 proptest! {
     #![proptest_config(settings(256))]
 
-    /// A delta leads exactly to the document it was made for, and the digest that follows it step
-    /// by step is the digest of the whole.
+    /// Guards against deltas or incremental digests that diverge from the target document.
     #[test]
     fn a_delta_leads_to_the_newer_document(
         old in proptest::collection::btree_map(0u8..20, 0u8..4, 0..12),
@@ -42,14 +41,14 @@
         prop_assert!(new.apply(&delta).is_err() || old == new);
     }
 
-    /// No text makes the parser panic.
+    /// Guards against parser panics on arbitrary text.
     #[test]
     fn any_text_is_answered_with_a_value_or_findings(text in "\\PC{0,200}") {
         let _ = Configuration::parse("any", &text);
     }
 
-    /// Texts near to a document make no panic either, and what is accepted can be sent to a peer
-    /// and read there as the same version.
+    /// Guards against panics on corrupted documents, and against accepted documents that a peer reads as a
+    /// different version.
     #[test]
     fn damaged_documents_are_answered_too(at in 0usize..400, with in "\\PC{0,6}") {
         let valid = "revision = 3\n[templates.t]\ndeadline_ms = 9\n[instances.s]\ntemplate = \"t\"\nindex = \"i\"\n\
@@ -75,7 +74,7 @@
     )
 }
 
-/// Applying a delta gives what reading the whole document gives.
+/// Applying a delta must give the same result as parsing the whole document.
 #[test]
 fn a_delta_renders_the_same_as_the_whole() {
     let versions = [
@@ -95,7 +94,7 @@
     }
 }
 
-/// A delta whose result would not be valid is not taken.
+/// Guards against accepting a delta with an invalid result.
 #[test]
 fn a_delta_that_breaks_the_configuration_is_rejected() {
     let current = Configuration::parse("whole", &valid_text(100, 1, true)).unwrap();
@@ -107,7 +106,7 @@
     assert!(current.apply(&delta).is_err());
 }
 
-/// What was read of an index stays in use until its map or one of its leaves changes.
+/// Guards against stale index layouts, and against rebuilding layouts that are unchanged.
 #[test]
 fn a_layout_is_current_until_its_index_or_leaves_change() {
     let before = Configuration::parse("whole", &valid_text(100, 1, false)).unwrap();
@@ -123,7 +122,7 @@
     assert!(before.index_layout(&IndexId::new("none")).is_err());
 }
 
-/// Enough text that it is read in several parts, in forms that a cut must not be misled by.
+/// Text large enough to be split, with headers inside strings, lists and comments.
 fn large_text() -> String {
     let mut text =
         String::from("revision = 1 # [leaves.not-a-header]\n[templates.t]\n[zones.z]\nevacuated = false\n");
@@ -143,7 +142,7 @@
     text
 }
 
-/// A large text gives the entries that the TOML library finds in it.
+/// Splitting must yield the same entries as parsing the whole text with the TOML library.
 #[test]
 fn a_text_read_in_parts_has_the_entries_of_the_whole() {
     let text = large_text();
@@ -157,37 +156,37 @@
     assert_eq!(*Configuration::parse("large", &text).unwrap().document, expected);
 }
 
-/// A mistake in a large text is found at its place in the whole, and so is an entry that is given
-/// twice in different parts.
+/// Findings in a split text must have positions in the whole text, and duplicate entries in different
+/// parts must be detected.
 #[test]
 fn findings_in_a_large_text_have_their_places() {
     let text = large_text();
     let broken = text.replace("[leaves.leaf-2000]\naddress = \"127", "[leaves.leaf-2000]\naddress = \"x127");
     let line = broken.lines().position(|line| line.contains("x127")).unwrap() as u32 + 1;
     let Err(ConfigurationError::Invalid { findings }) = Configuration::parse("large", &broken) else {
-        panic!("a wrong address is accepted");
+        panic!("an invalid address was accepted");
     };
     assert_eq!(findings.iter().map(|finding| finding.line).collect::<Vec<_>>(), [line], "{findings:?}");
     let duplicated = format!("{text}[leaves.leaf-7]\naddress = \"127.0.0.1:1\"\nzone = \"z\"\n");
     assert!(Configuration::parse("large", &duplicated).is_err());
 }
 
-/// A document that a peer sent is read in parts, with the same result as its whole text.
+/// Reading a document from a peer in parts must give the same result as parsing its text.
 #[test]
 fn parts_are_read_as_the_whole_is() {
     let text = large_text();
     let whole = Configuration::parse("whole", &text).unwrap();
-    assert!(whole.document.content_bytes() > 128 * 1024, "it takes several parts");
+    assert!(whole.document.content_bytes() > 128 * 1024, "the document must span several parts");
     let parts = Configuration::from_document((*whole.document).clone()).unwrap();
     assert_eq!((parts.version, &parts.services), (whole.version, &whole.services));
 
-    // What refers to an entry of another part that is not there is found.
+    // References to entries missing from other parts are reported.
     for missing in [EntryKey::new(EntryKind::Leaf, "leaf-7"), EntryKey::new(EntryKind::Index, "i39")] {
         let entries = whole.document.entries().filter(|entry| entry.key() != missing);
         let entries = entries.map(|entry| (entry.key(), entry.body().to_string()));
         let broken = Configuration::from_document(Document::new(Revision(2), entries));
         let Err(ConfigurationError::Invalid { findings }) = broken else {
-            panic!("{missing} is not missed");
+            panic!("the missing entry {missing} was not reported");
         };
         assert!(findings[0].message.contains(&missing.name), "{findings:?}");
     }
--- a/crates/sablebay-config/tests/validation.rs
+++ b/crates/sablebay-config/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Validation finds every mistake, with its place.
+//! Validation reports every error with its position.
 
 use sablebay_config::{Configuration, ConfigurationError, Finding, NodeSettings};
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// The findings for the sound document with one text replaced.
+/// Findings for the valid document with one text replaced.
 fn findings_after(from: &str, to: &str) -> Vec<Finding> {
     assert!(VALID_DOCUMENT.contains(from), "the document has no `{from}`");
     findings(&VALID_DOCUMENT.replace(from, to))
@@ -105,7 +105,7 @@
 #[test]
 fn cycles_in_templates_are_found() {
     let list = findings_after("[templates.base]\n", "[templates.base]\nextends = \"desk\"\n");
-    // One for each template of the cycle.
+    // One finding for each template of the cycle.
     assert_eq!(list.len(), 2, "{list:?}");
     assert!(list.iter().all(|finding| finding.message.contains("leads back")), "{list:?}");
 }
--- a/crates/sablebay-config/tests/zones.rs
+++ b/crates/sablebay-config/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Evacuated zones in a configuration: read, checked, and carried by deltas.
+//! Parsing, validation and delta transfer of evacuated zones.
 
 use sablebay_config::{Configuration, ConfigurationError, Finding};
 use sablebay_model::ZoneName;
@@ -28,7 +28,7 @@
 }
 
 fn parse(revision: u64, zones: &str) -> Configuration {
-    Configuration::parse("c.toml", &text(revision, zones)).expect("it is sound")
+    Configuration::parse("c.toml", &text(revision, zones)).expect("the configuration is valid")
 }
 
 fn findings(zones: &str) -> Vec<Finding> {
@@ -77,11 +77,14 @@
     let before = parse(1, "");
     let during = parse(2, "[zones.hall-a]\nevacuated = true");
     let after = parse(3, "[zones.hall-a]\nevacuated = false");
-    let updated = before.apply(&before.document.delta_to(&during.document)).expect("it fits");
+    let updated =
+        before.apply(&before.document.delta_to(&during.document)).expect("the delta matches the base");
     assert_eq!(evacuated(&updated), ["hall-a"]);
-    let updated = updated.apply(&updated.document.delta_to(&after.document)).expect("it fits");
+    let updated =
+        updated.apply(&updated.document.delta_to(&after.document)).expect("the delta matches the base");
     assert_eq!(evacuated(&updated), Vec::<&str>::new());
-    // A node that starts takes the whole document from a peer.
-    let started = Configuration::from_document((*during.document).clone()).expect("it is sound");
+    // A starting node receives the whole document from a peer.
+    let started =
+        Configuration::from_document((*during.document).clone()).expect("the configuration is valid");
     assert_eq!(evacuated(&started), ["hall-a"]);
 }
