--- a/crates/sablebay-config/src/lib.rs
+++ b/crates/sablebay-config/src/lib.rs
@@ -1,7 +1,7 @@
 //! Configuration of sablebay: node settings, templates, instances and index maps.
 //!
-//! Parsing and validation are pure functions from text to a value or to **all** findings with
-//! their places. Nothing here reads a file or a clock.
+//! Parsing and validation are pure functions from text to a value or to **all** findings with their
+//! positions. This crate performs no I/O and reads no clock.
 
 mod configuration;
 mod document;
@@ -28,6 +28,6 @@
 pub use gateway_settings::GatewaySettings;
 pub use index::{IndexLayout, IndexMap, LeafSettings, Shard};
 pub use nearest::nearest_name;
-pub use node_flags::{node_flags, overrides_of};
+pub use node_flags::{node_flags, overrides_from_flags};
 pub use node_settings::{LogFormat, LogTarget, NodeSettings};
 pub use service::{FanOut, Priority, ServiceSettings, WhenUnconfirmed};
--- a/crates/sablebay-config/src/reader.rs
+++ b/crates/sablebay-config/src/reader.rs
@@ -1,7 +1,7 @@
-//! Reading a document: from a text, or from entries that a peer sent.
+//! Parses and validates documents, from text or from entries sent by a peer.
 //!
-//! Reading TOML with the places of all values takes some kilobytes for each leaf at once. A fleet's
-//! whole document therefore becomes one tree only when something is wrong with it.
+//! A TOML tree with positions is much larger than its text. Large documents are therefore parsed in
+//! parts, and as a whole only to report findings.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
@@ -22,36 +22,35 @@
 use crate::template::{Templates, check_templates, read_instance};
 use crate::zone::{check_zones, read_zone};
 
-/// The key of the document's revision.
 const REVISION: &str = "revision";
-/// Bytes of entries that are read at once.
+/// Approximate size of the parts of a large document.
 const PART_BYTES: usize = 64 * 1024;
 
-/// What services are checked against of an index.
+/// Properties of an index against which services are validated.
 struct IndexSummary {
     partitions: u32,
-    fewest_replicas: usize,
+    minimum_replicas: usize,
 }
 
-/// What tables are checked against beyond themselves.
+/// Entries known from earlier parts, for validating references.
 #[derive(Default)]
-struct Known<'a> {
+struct KnownEntries<'a> {
     leaves: BTreeSet<&'a str>,
-    /// The zones that leaves stand in, of a document that is read whole; nothing of a part of one.
+    /// Zones that contain leaves; `None` if the document does not contain all leaves.
     zones: Option<BTreeSet<ZoneName>>,
     indexes: BTreeMap<IndexId, IndexSummary>,
 }
 
-impl Known<'_> {
-    fn note_index(&mut self, map: &IndexMap) {
+impl KnownEntries<'_> {
+    fn add_index(&mut self, map: &IndexMap) {
         let replicas = map.shards.iter().map(|shard| shard.leaves.len());
         let summary =
-            IndexSummary { partitions: map.partitions, fewest_replicas: replicas.min().unwrap_or(0) };
+            IndexSummary { partitions: map.partitions, minimum_replicas: replicas.min().unwrap_or(0) };
         self.indexes.insert(map.index.clone(), summary);
     }
 }
 
-/// The tables of a document, not read yet.
+/// Unparsed tables of a document.
 struct Tables<'a> {
     revision: Revision,
     leaves: Vec<NamedTable<'a>>,
@@ -61,22 +60,21 @@
     instances: Vec<NamedTable<'a>>,
 }
 
-/// Reads a text, part by part if it is large, with the place of every finding in it. Entries that
-/// `like` has alike share its memory.
+/// Parses a text, in parts if it is large. Entries equal to those of `base` share their memory.
 ///
 /// # Errors
-/// [`ConfigurationError::Invalid`] with every finding.
+/// [`ConfigurationError::Invalid`] with all findings and their positions in the text.
 pub fn read(
     file: &str,
     text: &str,
-    like: &Document,
+    base: &Document,
 ) -> Result<(Document, Vec<ServiceSettings>), ConfigurationError> {
-    // A text that cannot be taken in parts is read again as a whole, which tells why and where.
-    read_split(file, text, like).map_or_else(|| read_whole(file, text, Some(BTreeSet::new())), Ok)
+    // If parsing in parts fails, parsing the whole text yields findings with correct positions.
+    read_split(file, text, base).map_or_else(|| read_whole(file, text, Some(BTreeSet::new())), Ok)
 }
 
-/// Reads a text in parts. Nothing when it is small, or when anything at all is amiss with a part.
-fn read_split(file: &str, text: &str, like: &Document) -> Option<(Document, Vec<ServiceSettings>)> {
+/// Parses a text in parts. Returns `None` if the text is small or any part is invalid.
+fn read_split(file: &str, text: &str, base: &Document) -> Option<(Document, Vec<ServiceSettings>)> {
     let parts = split_entries(text, PART_BYTES);
     if parts.len() < 2 {
         return None;
@@ -93,7 +91,7 @@
                 return None;
             }
         }
-        document.add_table(table.get_ref(), like).ok()?;
+        document.add_table(table.get_ref(), base).ok()?;
     }
     let services = read_in_parts(file, &document).ok()?;
     Some((document, services))
@@ -105,8 +103,8 @@
     Some(Revision(value))
 }
 
-/// Reads a whole text at once. `zones` is there when it holds all leaves, so that zones can be checked against
-/// theirs.
+/// Parses a text as a whole. `zones` is set if the text contains all leaves, to validate zones against
+/// them.
 fn read_whole(
     file: &str,
     text: &str,
@@ -114,21 +112,21 @@
 ) -> Result<(Document, Vec<ServiceSettings>), ConfigurationError> {
     read_text(file, text, |findings, root| {
         let tables = read_tables(findings, root);
-        let mut known = Known { leaves: names(&tables.leaves), zones, ..Known::default() };
+        let mut known = KnownEntries { leaves: names(&tables.leaves), zones, ..KnownEntries::default() };
         let services = validate(findings, &tables, &mut known);
-        // Nothing is made of a text with findings.
+        // `read_text` discards the document if there are findings.
         if !findings.is_empty() {
             return (Document::default(), services);
         }
         let mut document = Document::new(tables.revision, []);
         if let Err((place, reason)) = document.add_table(root, &Document::default()) {
-            findings.add(&place, format!("not a value: {reason}"), "");
+            findings.add(&place, format!("invalid entry: {reason}"), "");
         }
         (document, services)
     })
 }
 
-/// Reads the services of a small document that holds all they refer to.
+/// Parses the services of a small document that contains all referenced entries.
 ///
 /// # Errors
 /// As [`read`].
@@ -136,7 +134,7 @@
     read_whole(file, text, None).map(|(_, services)| services)
 }
 
-/// Reads the index maps and leaves of a small document.
+/// Parses the index maps and leaves of a small document.
 ///
 /// # Errors
 /// As [`read`].
@@ -154,21 +152,21 @@
     })
 }
 
-/// Validates the entries of a document part by part, and reads its services.
+/// Validates the entries of a document in parts, and returns its services.
 ///
 /// # Errors
-/// As [`read`]; places are those within the part.
+/// As [`read`], but positions are relative to the part.
 pub fn read_in_parts(file: &str, document: &Document) -> Result<Vec<ServiceSettings>, ConfigurationError> {
     let entries = document.sorted();
     let of_kind = |kind: EntryKind| entries.iter().copied().filter(move |entry| entry.kind() == kind);
-    let mut known = Known {
+    let mut known = KnownEntries {
         leaves: of_kind(EntryKind::Leaf).map(Entry::name).collect(),
         zones: Some(BTreeSet::new()),
-        ..Known::default()
+        ..KnownEntries::default()
     };
     let templates: Vec<&Entry> = of_kind(EntryKind::Template).collect();
     let mut services = Vec::new();
-    // In this order, since zones are those of leaves, indexes name leaves and services name indexes.
+    // Ordered by dependency: zones and indexes refer to leaves, services to indexes.
     for (kind, shared) in [
         (EntryKind::Leaf, &[] as &[&Entry]),
         (EntryKind::Zone, &[]),
@@ -185,7 +183,7 @@
     Ok(services)
 }
 
-/// Cuts entries into parts of about [`PART_BYTES`].
+/// Groups entries into parts of about [`PART_BYTES`].
 fn parts<'a, 'b>(entries: &'b [&'a Entry]) -> Vec<&'b [&'a Entry]> {
     let mut parts = Vec::new();
     let (mut start, mut bytes) = (0, 0);
@@ -205,13 +203,13 @@
 fn read_part(
     file: &str,
     text: &str,
-    known: &mut Known<'_>,
+    known: &mut KnownEntries<'_>,
 ) -> Result<Vec<ServiceSettings>, ConfigurationError> {
     read_text(file, text, |findings, root| validate(findings, &read_tables(findings, root), known))
 }
 
-/// Validates every table, notes the indexes, and returns the services.
-fn validate(findings: &Findings, tables: &Tables<'_>, known: &mut Known<'_>) -> Vec<ServiceSettings> {
+/// Validates all tables, records leaf zones and indexes in `known`, and returns the services.
+fn validate(findings: &Findings, tables: &Tables<'_>, known: &mut KnownEntries<'_>) -> Vec<ServiceSettings> {
     for table in &tables.leaves {
         let leaf = read_leaf(findings, table.name, &table.place, &table.keys());
         if let Some(zones) = &mut known.zones {
@@ -226,12 +224,12 @@
     }
     for table in &tables.indexes {
         let map = read_index(findings, table.name, &table.place, &table.keys(), &known.leaves);
-        known.note_index(&map);
+        known.add_index(&map);
     }
     services_of(findings, tables, known)
 }
 
-/// Parses a text and reads it; all findings or what was read.
+/// Parses a text as TOML and applies `read` to its root. Fails if there are any findings.
 fn read_text<T>(
     file: &str,
     text: &str,
@@ -251,7 +249,7 @@
 fn read_tables<'a>(findings: &'a Findings, root: &'a DeTable<'a>) -> Tables<'a> {
     let section = Section::new(findings, "document".to_string(), 0..0, layer(root));
     let revision = Revision(section.integer(REVISION, 1..=i64::MAX as u64).unwrap_or(0));
-    section.missing(REVISION, "the revision's number");
+    section.missing(REVISION, "the revision number");
     let tables = Tables {
         revision,
         leaves: section.named_tables(EntryKind::Leaf.section()),
@@ -268,7 +266,7 @@
     tables.iter().map(|table| table.name).collect()
 }
 
-fn services_of(findings: &Findings, tables: &Tables<'_>, known: &Known<'_>) -> Vec<ServiceSettings> {
+fn services_of(findings: &Findings, tables: &Tables<'_>, known: &KnownEntries<'_>) -> Vec<ServiceSettings> {
     let templates = tables.templates.iter();
     let templates: Templates<'_> =
         templates.map(|table| (table.name, (table.place.clone(), table.keys()))).collect();
@@ -283,7 +281,7 @@
     instances.map(read).collect()
 }
 
-/// Lets leaves of one zone share its name: there are few zones and very many leaves.
+/// Deduplicates zone names to save memory.
 fn share_zones(leaves: &mut [LeafSettings]) {
     let mut zones: BTreeSet<ZoneName> = BTreeSet::new();
     for leaf in leaves {
@@ -296,7 +294,7 @@
     }
 }
 
-/// Checks what a service asks of its index: that there is one, its partitions, its replicas.
+/// Validates the index, partitions and replica count of a service against its index map.
 fn check_against_index(
     findings: &Findings,
     settings: &ServiceSettings,
@@ -322,7 +320,7 @@
             format!("instance `{name}`: partitions {partitions} are not all in `{}`", settings.index);
         findings.add(&place_of("partitions"), message, format!("partitions below {}", index.partitions));
     }
-    let fewest = index.fewest_replicas;
+    let fewest = index.minimum_replicas;
     if settings.replicas as usize > fewest {
         let message = format!(
             "instance `{name}`: {} replicas are asked for, but a shard of `{}` has {fewest} leaves",
--- a/crates/sablebay-config/src/template.rs
+++ b/crates/sablebay-config/src/template.rs
@@ -1,4 +1,4 @@
-//! Templates: inheritance, parameters, and laying an instance over its template.
+//! Template inheritance, parameters, and the merging of instances with templates.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
@@ -12,25 +12,25 @@
 use crate::section::{Layer, Place, Section, layer, placeholder};
 use crate::service::{ServiceSettings, read_service};
 
-/// The templates of a document by name: place of the name, and keys.
+/// Templates by name, with the position of the name and the keys.
 pub type Templates<'a> = BTreeMap<&'a str, (Range<usize>, Layer<'a>)>;
 
-/// Keys of a template or instance that are no settings of the service.
+/// Keys of templates and instances that are not service settings.
 const STRUCTURAL_KEYS: [&str; 3] = ["extends", "template", "parameters"];
 
-/// Checks each template by itself: its keys, its parent, cycles.
+/// Validates the keys and the inheritance chain of each template.
 pub fn check_templates(findings: &Findings, templates: &Templates<'_>) {
     for (name, (place, keys)) in templates {
         let title = format!("template `{name}`");
         let section = Section::new(findings, title, place.clone(), keys.clone()).allow_placeholders();
         section.raw("extends");
         read_service(&section, ServiceId::new(name), Vec::new());
-        chain(findings, templates, name);
+        inheritance_chain(findings, templates, name);
     }
 }
 
-/// A template and those it extends, nearest first. Stops at a cycle or an unknown name.
-fn chain<'a>(findings: &Findings, templates: &Templates<'a>, start: &str) -> Vec<&'a str> {
+/// Returns a template and its ancestors, nearest first. Stops at a cycle or an unknown name.
+fn inheritance_chain<'a>(findings: &Findings, templates: &Templates<'a>, start: &str) -> Vec<&'a str> {
     let mut names = Vec::new();
     let mut seen = BTreeSet::new();
     let mut next = start;
@@ -43,30 +43,30 @@
         let Some(parent) = place.value.as_str() else {
             findings.add(
                 &place.range(),
-                format!("template `{name}`: `extends` is no text"),
+                format!("template `{name}`: `extends` is not a string"),
                 "a template's name",
             );
             break;
         };
         if seen.contains(parent) {
             let message = format!("template `{name}` extends `{parent}`, which leads back to it");
-            findings.add(&place.range(), message, "templates without a cycle");
+            findings.add(&place.range(), message, "an acyclic chain of templates");
             break;
         }
         if !templates.contains_key(parent) {
-            unknown_template(findings, templates, &place.range(), parent);
+            report_unknown_template(findings, templates, &place.range(), parent);
         }
         next = parent;
     }
     names
 }
 
-fn unknown_template(findings: &Findings, templates: &Templates<'_>, place: &Range<usize>, name: &str) {
+fn report_unknown_template(findings: &Findings, templates: &Templates<'_>, place: &Range<usize>, name: &str) {
     let nearest = nearest_name(name, templates.keys().copied());
     findings.add_with_nearest(place, format!("there is no template `{name}`"), "a template's name", nearest);
 }
 
-/// Reads one instance: its template's keys, its own over them, parameters filled in.
+/// Reads an instance: merges its keys over those of its templates and substitutes parameters.
 pub fn read_instance<'a>(
     findings: &'a Findings,
     templates: &Templates<'a>,
@@ -76,9 +76,11 @@
 ) -> ServiceSettings {
     let title = format!("instance `{name}`");
     let names = match own.get("template").and_then(|place| place.value.as_str()) {
-        Some(template) if templates.contains_key(template) => chain(findings, templates, template),
+        Some(template) if templates.contains_key(template) => {
+            inheritance_chain(findings, templates, template)
+        }
         Some(template) => {
-            unknown_template(findings, templates, &own["template"].range(), template);
+            report_unknown_template(findings, templates, &own["template"].range(), template);
             Vec::new()
         }
         None => {
@@ -98,7 +100,7 @@
         |key: &&str, place: &Place<'_>| !own.contains_key(key) && placeholder(place.value).is_none();
     let inherited = merged.iter().filter(|(key, place)| is_inherited(key, place));
     let inherited = inherited.map(|(key, _)| (*key).to_string()).collect();
-    fill_parameters(findings, &title, place, own, &mut merged);
+    substitute_parameters(findings, &title, place, own, &mut merged);
     let section = Section::new(findings, title, place.clone(), merged).with_inherited(inherited);
     let names = names.into_iter().map(str::to_string).collect();
     let settings = read_service(&section, ServiceId::new(name), names);
@@ -106,8 +108,8 @@
     settings
 }
 
-/// Replaces each `${name}` by the instance's parameter of that name.
-fn fill_parameters<'a>(
+/// Replaces `${name}` placeholders with the parameters of the instance.
+fn substitute_parameters<'a>(
     findings: &Findings,
     title: &str,
     place: &Range<usize>,
--- a/crates/sablebay-gateway/src/peer_catalogue.rs
+++ b/crates/sablebay-gateway/src/peer_catalogue.rs
@@ -10,7 +10,7 @@
 use sablebay_fleet::{FleetPart, SETTLING_TIME};
 use sablebay_model::Micros;
 use sablebay_node::{Lane, PeerFailure};
-use sablebay_protocol::peer::{AskerStanding, PeerRequest, PeerResponse};
+use sablebay_protocol::peer::{PeerRequest, PeerResponse, RequesterPosition};
 
 use crate::context::Context;
 use crate::document_fetch::fetch_document;
@@ -212,8 +212,7 @@
     });
     let replicas_at = position.at;
     let stage = replicas_at.stage();
-    let standing =
-        Some(AskerStanding { stage, known_before: position.known_before, learns_from: catch_up_from });
+    let requester = Some(RequesterPosition { stage, known_before: position.known_before, catch_up_from });
     // A peer that has caught up answers at once; one that has not cannot help.
     let wait = if catch_up_from.is_some() { Duration::ZERO } else { update_wait(context, rotation) };
     let request = PeerRequest::Catalogue {
@@ -221,7 +220,7 @@
         replicas_at: replicas_at.revision().number(),
         wait_ms: wait.as_millis() as u64,
         takes_documents: true,
-        standing,
+        requester,
     };
     let until = tokio::time::Instant::now() + wait + RESPONSE_MARGIN;
     let answer = context.node.peers.request(peer.address, Lane::Control, request, until).await;
--- a/crates/sablebay-node/src/catalogue_answer.rs
+++ b/crates/sablebay-node/src/catalogue_answer.rs
@@ -4,7 +4,7 @@
 
 use sablebay_catalogue::{CatalogueSnapshot, CatalogueView, DocumentOffer, PeerPosition};
 use sablebay_model::{InstanceKey, Micros};
-use sablebay_protocol::peer::AskerStanding;
+use sablebay_protocol::peer::RequesterPosition;
 
 use crate::catalogue_store::LargeUpdate;
 use crate::shared::Shared;
@@ -20,7 +20,7 @@
     /// Number of the revision up to which the peer knows the replicas; 0 when none.
     pub number: u64,
     /// The rest of the peer's position; absent from older releases, which send revision numbers only.
-    pub standing: Option<AskerStanding>,
+    pub requester: Option<RequesterPosition>,
     /// How long the peer waits for an update.
     pub wait: Duration,
     /// Whether the peer accepts configuration steps and fetches large updates in chunks.
@@ -30,18 +30,18 @@
 impl CatalogueRequest {
     /// Whether the peer is catching up and this node has caught up: the peer is answered at once.
     fn is_catch_up_ready(&self, view: &CatalogueView, now: Micros) -> bool {
-        self.standing.is_some_and(|standing| standing.learns_from.is_some()) && view.has_caught_up(now)
+        self.requester.is_some_and(|requester| requester.catch_up_from.is_some()) && view.has_caught_up(now)
     }
 
     /// The position from which the peer needs updates.
     fn position(&self, view: &CatalogueView, now: Micros) -> PeerPosition {
-        let Some(standing) = self.standing else {
+        let Some(requester) = self.requester else {
             // An older release names no era. Assuming the current one avoids sending the full listing each time.
             return view.replicas_at().stage().at(self.number).into();
         };
-        let at = standing.stage.at(self.number);
-        let at = standing.learns_from.filter(|_| view.has_caught_up(now)).unwrap_or(at);
-        PeerPosition { at, known_before: standing.known_before }
+        let at = requester.stage.at(self.number);
+        let at = requester.catch_up_from.filter(|_| view.has_caught_up(now)).unwrap_or(at);
+        PeerPosition { at, known_before: requester.known_before }
     }
 }
 
--- a/crates/sablebay-node/src/leaf_client/batch.rs
+++ b/crates/sablebay-node/src/leaf_client/batch.rs
@@ -96,11 +96,7 @@
     let permit = context.pool.permit();
     tokio::pin!(permit);
     loop {
-        tokio::select! {
-            biased;
-            permit = &mut permit => return permit,
-            Some(command) = commands.recv() => handle_command(context, command, waiting),
-        }
+        tokio::select! { biased; permit = &mut permit => return permit, Some(command) = commands.recv() => handle_command(context, command, waiting), }
     }
 }
 
@@ -198,7 +194,7 @@
             return Err(ExchangeFailure::Broken);
         }
     }
-    context.pool.give_back(lease);
+    context.pool.release(lease);
     Ok(())
 }
 
--- a/crates/sablebay-node/src/quarantine_store.rs
+++ b/crates/sablebay-node/src/quarantine_store.rs
@@ -168,13 +168,13 @@
         }
     }
 
-    /// Merges notices of another node; `to_everyone` means that it sent them to all nodes.
-    pub fn merge_notices(&self, from: &str, notices: &[QuarantineNotice], to_everyone: bool, now: Micros) {
+    /// Merges notices of another node; `to_all_nodes` means that it sent them to all nodes.
+    pub fn merge_notices(&self, from: &str, notices: &[QuarantineNotice], to_all_nodes: bool, now: Micros) {
         let mut changed_state = false;
         let mut known = self.known.lock();
         for notice in notices {
             let before = known.status(&notice.digest, now);
-            changed_state |= known.merge_notice(notice, to_everyone, now);
+            changed_state |= known.merge_notice(notice, to_all_nodes, now);
             log_status_change(&known, &notice.digest, before, from, now);
         }
         drop(known);
--- a/crates/sablebay-protocol/tests/frames.rs
+++ b/crates/sablebay-protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames: what is written is read; anything else is turned away and nothing panics.
+//! Frames round-trip, and invalid input is rejected without a panic.
 
 use std::net::SocketAddr;
 
@@ -40,7 +40,7 @@
     buffer
 }
 
-/// Bytes that once were found to matter: kept, so that they are tried at every run.
+/// Regression corpus of malformed frames.
 const CORPUS: [&[u8]; 6] = [
     b"",
     &[0, 0, 0, 0],
@@ -70,13 +70,13 @@
         prop_assert_eq!(reader.next::<PeerMessage>(&mut buffer), Err(ProtocolError::WrongProof));
     }
 
-    /// What the wire decoder is given past the proof can be anything that a broken peer sends.
+    /// Guards against a decoder panic on malformed content in an authenticated frame.
     #[test]
     fn any_content_under_a_right_proof_is_answered(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = musli::wire::from_slice::<PeerMessage>(&bytes);
     }
 
-    /// Bodies from callers and lines from leaves: any text gets a value or an error.
+    /// Guards against a panic on malformed JSON from callers and leaves.
     #[test]
     fn any_json_text_is_answered(text in "[\\[\\]{}\",:a-z0-9.\\\\-]{0,120}") {
         let _ = serde_json::from_str::<QueryBody>(&text);
@@ -87,11 +87,11 @@
     #[test]
     fn frames_are_read_however_they_are_cut(numbers in proptest::collection::vec(any::<u64>(), 1..6), cut in 1usize..30) {
         let messages: Vec<PeerMessage> = numbers.iter().map(|number| cancel(*number)).collect();
-        let whole = frames(&messages);
+        let encoded = frames(&messages);
         let mut reader = FrameReader::new(key("fleet", "secret"));
         let mut buffer = BytesMut::new();
         let mut read = Vec::new();
-        for part in whole.chunks(cut) {
+        for part in encoded.chunks(cut) {
             buffer.extend_from_slice(part);
             while let Some(message) = reader.next::<PeerMessage>(&mut buffer).unwrap() {
                 read.push(message);
@@ -117,8 +117,8 @@
         let mut buffer = frames(&[cancel(1)]);
         assert_eq!(reader.next::<PeerMessage>(&mut buffer), Err(ProtocolError::WrongProof));
     }
-    let once = frames(&[cancel(1)]);
-    let mut replayed = BytesMut::from(&[&once[..], &once[..]].concat()[..]);
+    let encoded = frames(&[cancel(1)]);
+    let mut replayed = BytesMut::from(&[&encoded[..], &encoded[..]].concat()[..]);
     let mut reader = FrameReader::new(key("fleet", "secret"));
     assert_eq!(reader.next(&mut replayed), Ok(Some(cancel(1))));
     assert_eq!(reader.next::<PeerMessage>(&mut replayed), Err(ProtocolError::WrongProof));
@@ -132,8 +132,8 @@
     assert!(matches!(read, Err(ProtocolError::FrameTooLarge { .. })));
 }
 
-/// Two releases talk during a rolling restart: the older one skips a field that it does not
-/// know, the newer one does without.
+/// During a rolling upgrade, the older release must skip unknown fields and the newer release must
+/// accept missing ones.
 #[test]
 fn a_field_that_only_one_release_knows_does_no_harm() {
     #[derive(Debug, PartialEq, Encode, Decode)]
@@ -153,9 +153,9 @@
     assert_eq!(new, New { number: 3, added: None });
 }
 
-/// A member as the release before nodes gathered for one another tells of itself.
+/// `MemberInfo` as encoded by releases without support for gathering.
 #[derive(Debug, Encode, Decode, PartialEq)]
-struct MemberOfThen {
+struct PreviousMemberInfo {
     key: InstanceKey,
     zone: ZoneName,
     region: RegionName,
@@ -167,7 +167,7 @@
 #[test]
 fn a_member_of_the_release_before_is_read_as_one_that_does_not_gather() {
     let address: SocketAddr = "127.0.0.1:1".parse().unwrap();
-    let then = MemberOfThen {
+    let previous = PreviousMemberInfo {
         key: InstanceKey { node: NodeId::new("n1"), incarnation: Incarnation::from_start(1, 2) },
         zone: ZoneName::new("a"),
         region: RegionName::new("r"),
@@ -175,9 +175,9 @@
         caller_address: address,
         admin_address: address,
     };
-    let read: MemberInfo = musli::wire::from_slice(&musli::wire::to_vec(&then).unwrap()).unwrap();
-    assert!(!read.gathers, "such a node is not asked");
-    let now = MemberInfo { gathers: true, ..read };
-    let read: MemberOfThen = musli::wire::from_slice(&musli::wire::to_vec(&now).unwrap()).unwrap();
-    assert_eq!(read, then, "and it reads a member of this release");
+    let read: MemberInfo = musli::wire::from_slice(&musli::wire::to_vec(&previous).unwrap()).unwrap();
+    assert!(!read.gathers, "a node of that release must not be used as a gatherer");
+    let current = MemberInfo { gathers: true, ..read };
+    let read: PreviousMemberInfo = musli::wire::from_slice(&musli::wire::to_vec(&current).unwrap()).unwrap();
+    assert_eq!(read, previous, "the earlier release must decode the current format");
 }
