--- a/crates/sablebay-bench/src/soak/checker.rs
+++ b/crates/sablebay-bench/src/soak/checker.rs
@@ -142,7 +142,7 @@
             if answer.retry_after.is_some_and(|seconds| seconds >= HELD_BACK_S) {
                 state.held_back.push(id.to_string());
             }
-            if answer.promises_not_run() {
+            if answer.guarantees_not_run() {
                 state.counts.promised_not_run += 1;
                 state.not_run.insert(id.to_string());
             }
--- a/crates/sablebay-bench/src/soak/deployment.rs
+++ b/crates/sablebay-bench/src/soak/deployment.rs
@@ -184,13 +184,13 @@
             shard: SINGLE_SEED + COPIES + copy,
             zone: ZONES[0].to_string(),
         };
-        let behaviour = LeafBehaviour::EndsOn(FATAL_PATH);
+        let behaviour = LeafBehaviour::CrashOn(FATAL_PATH);
         Ok(RestartingLeaf::start(identity, behaviour, FRAGILE_PAUSE, self.store.registry()).await?)
     }
 
     /// How often back ends ended under a request.
     pub fn fragile_ended(&self) -> u32 {
-        self.fragile.iter().map(RestartingLeaf::ended).sum()
+        self.fragile.iter().map(RestartingLeaf::crash_count).sum()
     }
 
     async fn start_places(&mut self, folder: PathBuf) -> Result<(), BenchError> {
@@ -356,8 +356,8 @@
                 self.store.set_mode(*mode);
                 self.ends_after(*time, Ending::Store);
             }
-            Fault::ForgetHistory => self.store.forget_history(),
-            Fault::KeepCopy => self.store.keep_copy(),
+            Fault::ForgetHistory => self.store.compact_history(),
+            Fault::KeepCopy => self.store.take_backup(),
             Fault::Return(away) => {
                 self.store.set_mode(StoreMode::Refusing);
                 self.ends_after(*away, Ending::Return);
@@ -422,14 +422,14 @@
             Ending::Heal(way) => self.proxy(way).set(Faults::default()),
             Ending::Store => self.store.set_mode(StoreMode::Serving),
             Ending::Return => {
-                self.store.return_from_copy();
+                self.store.restore_backup();
                 self.store.set_mode(StoreMode::Serving);
-                for (number, key) in self.store.lost().into_iter().enumerate() {
+                for (number, key) in self.store.lost_keys().into_iter().enumerate() {
                     let after = WRITE_AGAIN_PERIOD * (number as u32 % WRITE_AGAIN_TURNS);
                     self.ends_after(after, Ending::WriteAgain(key));
                 }
             }
-            Ending::WriteAgain(key) => self.store.write_again(&key),
+            Ending::WriteAgain(key) => self.store.rewrite_lost(&key),
             Ending::Leaf(position) => self.leaves[position].leaf.behave(LeafBehaviour::Answer),
         }
         Ok(())
@@ -443,23 +443,23 @@
         for (_, ending) in std::mem::take(&mut self.endings) {
             self.end(ending).await?;
         }
-        self.store.write_all_again();
+        self.store.rewrite_all_lost();
         self.wait_ready().await
     }
 
     /// The store keeps a copy of what it holds.
     pub fn keep_copy(&self) {
-        self.store.keep_copy();
+        self.store.take_backup();
     }
 
     /// The store comes back with its copy; nobody has written again.
     pub fn come_back(&self) {
-        self.store.return_from_copy();
+        self.store.restore_backup();
     }
 
     /// All writers of the store write again what was lost.
     pub fn write_all_again(&self) {
-        self.store.write_all_again();
+        self.store.rewrite_all_lost();
     }
 
     /// A back end of the set of shards in force leaves: it says so, and another takes its place.
@@ -486,7 +486,7 @@
 
     /// The operator takes a zone back.
     pub fn take_back(&self, zone: &str) {
-        self.store.take_back(&ZoneName::new(zone));
+        self.store.lift_evacuation(&ZoneName::new(zone));
     }
 
     /// Requests that arrived at the back ends of a zone.
--- a/crates/sablebay-bench/src/soak/load.rs
+++ b/crates/sablebay-bench/src/soak/load.rs
@@ -92,7 +92,7 @@
     let mut attempt = 0;
     while !stopping.load(Ordering::Acquire) {
         let call = CallerCall {
-            patience: PATIENCE,
+            timeout: PATIENCE,
             ..CallerCall::get(HOST, FATAL_PATH, &format!("fatal-{attempt}"))
         };
         let call = checker.shows(call, Some(STEADY_KEY));
@@ -113,7 +113,7 @@
 ) {
     let once = method == Method::POST;
     let body = if once { b"an order".to_vec() } else { Vec::new() };
-    let call = CallerCall { method, body, patience: PATIENCE, ..CallerCall::get(HOST, path, id) };
+    let call = CallerCall { method, body, timeout: PATIENCE, ..CallerCall::get(HOST, path, id) };
     let call = call.with_header(TENANT, HeaderValue::from_static(FORGED_TENANT));
     let call = checker.shows(call, key);
     checker.sent(id, once);
--- a/crates/sablebay-bench/src/soak/tenants.rs
+++ b/crates/sablebay-bench/src/soak/tenants.rs
@@ -106,7 +106,7 @@
     /// What is wrong with a request as a back end got it.
     pub fn judge(&self, call: &LeafCall, shown: &ShownKey) -> Option<(Promise, String)> {
         let id = &call.id;
-        if call.shows_key {
+        if call.has_key {
             return Some((Promise::Identity, format!("{id} came to a back end with its caller's key")));
         }
         if call.tenants.iter().any(|tenant| tenant == FORGED_TENANT) || call.tenants.len() > 1 {
--- a/crates/sablebay-bench/src/soak/tenants_tests.rs
+++ b/crates/sablebay-bench/src/soak/tenants_tests.rs
@@ -29,7 +29,7 @@
     LeafCall {
         id: "r".to_string(),
         tenants: tenants.iter().map(|tenant| tenant.to_string()).collect(),
-        shows_key: false,
+        has_key: false,
         ran: true,
         at,
     }
@@ -79,7 +79,7 @@
         assert_eq!(noticed(key, &tenants, 5.0), Some(Promise::Identity), "{key:?} {tenants:?}");
     }
     let start = Instant::now();
-    let with_key = LeafCall { shows_key: true, ..call(&["a"], start) };
+    let with_key = LeafCall { has_key: true, ..call(&["a"], start) };
     let verdict = history(start).judge(&with_key, &ShownKey { key: Some(KEY), at: start });
     assert_eq!(verdict.map(|(promise, _)| promise), Some(Promise::Identity));
 }
--- a/crates/sablebay/tests/platform/at_most_once.rs
+++ b/crates/sablebay/tests/platform/at_most_once.rs
@@ -33,7 +33,7 @@
                 let answer = node.caller.call(&call).await.expect("an answer");
                 let runs = deployment.runs_of(&id);
                 assert!(runs <= 1, "{id} ran {runs} times");
-                if answer.promises_not_run() {
+                if answer.guarantees_not_run() {
                     assert_eq!(runs, 0, "{id} was said not to have run");
                 }
                 if answer.status.is_success() {
--- a/crates/sablebay/tests/platform/catalogue.rs
+++ b/crates/sablebay/tests/platform/catalogue.rs
@@ -89,7 +89,7 @@
     draining.phase = ReplicaPhase::Draining;
     deployment.store.announce(&draining);
     deployment.store.remove(&deployment.shards[0].replica.id);
-    deployment.store.forget_history();
+    deployment.store.compact_history();
     deployment.store.set_mode(StoreMode::Serving);
     let mut number = 0;
     eventually("the replicas that left get no work", || {
--- a/crates/sablebay/tests/platform/evacuation.rs
+++ b/crates/sablebay/tests/platform/evacuation.rs
@@ -58,7 +58,7 @@
         in_zone.map(|leaf| leaf.record().open_connections).sum::<u64>() == 0
     })
     .await;
-    deployment.store.take_back(&zone(EVACUATED));
+    deployment.store.lift_evacuation(&zone(EVACUATED));
     eventually("the zone gets requests again", || async {
         some_requests(&node, "after").await;
         deployment.arrivals_in(EVACUATED) > before
@@ -74,7 +74,7 @@
     for leaf in deployment.leaves() {
         leaf.behave(LeafBehaviour::Slow(Duration::from_secs(3)));
     }
-    let call = CallerCall { patience: Duration::from_secs(60), ..CallerCall::get(HOST, UNSAFE_PATH, "slow") };
+    let call = CallerCall { timeout: Duration::from_secs(60), ..CallerCall::get(HOST, UNSAFE_PATH, "slow") };
     let caller = node.caller;
     let asked = tokio::spawn(async move { caller.call(&call).await.expect("an answer") });
     eventually("the request runs", || async { deployment.runs_of("slow") == 1 }).await;
@@ -112,13 +112,13 @@
     node.wait_ready().await;
     deployment.store.set_mode(StoreMode::Refusing);
     deployment.store.evacuate(&zone(EVACUATED));
-    deployment.store.forget_history();
+    deployment.store.compact_history();
     deployment.store.set_mode(StoreMode::Serving);
     until_empty(&deployment, &node, "during").await;
     let before = deployment.arrivals_in(EVACUATED);
     deployment.store.set_mode(StoreMode::Refusing);
-    deployment.store.take_back(&zone(EVACUATED));
-    deployment.store.forget_history();
+    deployment.store.lift_evacuation(&zone(EVACUATED));
+    deployment.store.compact_history();
     deployment.store.set_mode(StoreMode::Serving);
     eventually("the zone gets requests again", || async {
         some_requests(&node, "after").await;
@@ -195,7 +195,7 @@
         leaf.behave(LeafBehaviour::Cold(BEARS_PER_S));
     }
     let before = deployment.arrivals_in(EVACUATED);
-    deployment.store.take_back(&zone(EVACUATED));
+    deployment.store.lift_evacuation(&zone(EVACUATED));
     // The nodes prefer back ends of their own zone, and there are far more requests than these bear.
     eventually("the zone gets requests again", || async {
         tokio::join!(
@@ -207,6 +207,6 @@
     })
     .await;
     for leaf in returning() {
-        assert!(!leaf.record().fell_over, "{} got more than it bears", leaf.replica.id);
+        assert!(!leaf.record().overloaded, "{} got more than it bears", leaf.replica.id);
     }
 }
--- a/crates/sablebay/tests/platform/gathering.rs
+++ b/crates/sablebay/tests/platform/gathering.rs
@@ -69,7 +69,7 @@
         id: &'static str,
     ) -> tokio::task::JoinHandle<sablebay_platform_standin::CallerAnswer> {
         let caller = self.root.caller;
-        let call = CallerCall { patience: Duration::from_secs(60), ..CallerCall::get(HOST, GATHER_PATH, id) };
+        let call = CallerCall { timeout: Duration::from_secs(60), ..CallerCall::get(HOST, GATHER_PATH, id) };
         let asked = tokio::spawn(async move { caller.call(&call).await.expect("an answer") });
         let runs = || async { self.deployment.runs_of(id) >= u32::from(SHARDS) };
         eventually("each shard runs the request", runs).await;
--- a/crates/sablebay/tests/platform/life.rs
+++ b/crates/sablebay/tests/platform/life.rs
@@ -20,7 +20,7 @@
     let calls: Vec<_> = (0..4)
         .map(|number| {
             let call = CallerCall {
-                patience: Duration::from_secs(30),
+                timeout: Duration::from_secs(30),
                 ..CallerCall::get(HOST, SAFE_PATH, &format!("r-{number}"))
             };
             tokio::spawn(async move { caller.call(&call).await })
--- a/crates/sablebay/tests/platform/odd_answers.rs
+++ b/crates/sablebay/tests/platform/odd_answers.rs
@@ -94,7 +94,7 @@
     }
     let answer = node.get(GATHER_PATH, "r-1").await;
     assert_eq!(answer.status.as_u16(), 502, "one of four is in, and two are needed");
-    assert!(!answer.promises_not_run());
+    assert!(!answer.guarantees_not_run());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -111,7 +111,7 @@
     // may run, so that nothing is promised unless every shard has said that it did not.
     let gathered = node.get(GATHER_PATH, "r-2").await;
     assert!(matches!(gathered.status.as_u16(), 502 | 503));
-    assert_eq!(gathered.retry_after.is_some(), gathered.promises_not_run());
+    assert_eq!(gathered.retry_after.is_some(), gathered.guarantees_not_run());
     assert_eq!(deployment.runs_of("r-2"), 0);
 }
 
--- a/crates/sablebay/tests/platform/overload.rs
+++ b/crates/sablebay/tests/platform/overload.rs
@@ -26,7 +26,7 @@
             continue;
         }
         refused += 1;
-        assert!(answer.promises_not_run(), "{}", answer.status);
+        assert!(answer.guarantees_not_run(), "{}", answer.status);
         assert_eq!(deployment.runs_of(&id), 0, "what is refused has not run");
         let retry_after = answer.retry_after.expect("a refusal says when to come back");
         assert!(retry_after > 0.0 && retry_after < 5.0 / 3.0, "{retry_after}");
--- a/crates/sablebay/tests/platform/quarantine.rs
+++ b/crates/sablebay/tests/platform/quarantine.rs
@@ -47,7 +47,7 @@
             shard,
             zone: "zone-a".to_string(),
         };
-        let leaf = RestartingLeaf::start(identity, LeafBehaviour::EndsOn(FATAL), RESTART, store.registry());
+        let leaf = RestartingLeaf::start(identity, LeafBehaviour::CrashOn(FATAL), RESTART, store.registry());
         leaves.push(leaf.await.expect("a back end"));
     }
     leaves
@@ -81,7 +81,7 @@
     }
 
     fn ended(&self) -> u32 {
-        self.leaves.iter().map(RestartingLeaf::ended).sum()
+        self.leaves.iter().map(RestartingLeaf::crash_count).sum()
     }
 
     fn arrivals(&self) -> usize {
@@ -130,7 +130,7 @@
     assert!(fleet.ended() >= 3, "it ends back ends");
     assert!(late <= LATE_ATTEMPTS, "{late} attempts reached back ends, {} ended", fleet.ended());
     let last = answers.last().expect("an answer");
-    assert!(last.promises_not_run(), "a request that is not tried says so: {}", last.status);
+    assert!(last.guarantees_not_run(), "a request that is not tried says so: {}", last.status);
     let near = fleet.nodes[0].get("/all/fatally", "near-miss").await;
     check_gathered(&near, "near-miss");
 }
@@ -175,7 +175,7 @@
     let (answers, late) = fleet.attempt("/all/fatal", 9).await;
     assert!(fleet.ended() >= 3, "it ends back ends");
     assert!(late < LATE_ATTEMPTS, "{late} attempts reached back ends, {} ended", fleet.ended());
-    assert!(answers.last().expect("an answer").promises_not_run());
+    assert!(answers.last().expect("an answer").guarantees_not_run());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -189,7 +189,7 @@
     eventually("it is told", || async { knows(&admin) }).await;
     let before = fleet.arrivals();
     let answer = fresh.get("/all/fatal", "at-the-fresh-one").await;
-    assert!(answer.promises_not_run());
+    assert!(answer.guarantees_not_run());
     assert_eq!(fleet.arrivals(), before);
     fleet.nodes.push(fresh);
 }
--- a/crates/sablebay/tests/platform/returning_store.rs
+++ b/crates/sablebay/tests/platform/returning_store.rs
@@ -47,7 +47,7 @@
         for node in &nodes {
             node.wait_ready().await;
         }
-        deployment.store.keep_copy();
+        deployment.store.take_backup();
         let fleet = Self { deployment, nodes };
         // Lost with the return: the counter stands higher than the copy's by these.
         fleet.deployment.store.raise_revision(8);
@@ -84,7 +84,7 @@
     /// before anybody can read again.
     fn come_back(&self, meanwhile: impl FnOnce(&Deployment)) {
         self.deployment.store.set_mode(StoreMode::Refusing);
-        self.deployment.store.return_from_copy();
+        self.deployment.store.restore_backup();
         meanwhile(&self.deployment);
         self.deployment.store.set_mode(StoreMode::Serving);
     }
@@ -112,9 +112,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_configuration_below_the_revision_known_before_the_return_is_in_force() {
     let fleet = Fleet::start().await;
-    let known = fleet.deployment.store.at();
+    let known = fleet.deployment.store.position();
     fleet.come_back(|deployment| {
-        deployment.store.write_all_again();
+        deployment.store.rewrite_all_lost();
         assert!(deployment.store.publish(&configuration(3)) < known.1);
         deployment.store.raise_revision(40);
     });
@@ -130,7 +130,7 @@
     fleet.deployment.store.publish(&configuration(3));
     fleet.until_in_force(3).await;
     fleet.come_back(|deployment| {
-        deployment.store.write_all_again();
+        deployment.store.rewrite_all_lost();
         deployment.store.announce(&Replica { phase: ReplicaPhase::Draining, ..leaving.replica.clone() });
     });
     fleet.until_without_work(leaving).await;
@@ -195,7 +195,7 @@
             node.get(SAFE_PATH, &format!("evacuated-{number}-{call}")).await;
         }
     }
-    fleet.deployment.store.write_all_again();
+    fleet.deployment.store.rewrite_all_lost();
     fleet.until_settled().await;
     for (number, node) in fleet.nodes.iter().enumerate() {
         for call in 0..20 {
@@ -215,7 +215,7 @@
     fleet.until_in_force(3).await;
     fleet.come_back(|deployment| deployment.store.raise_revision(40));
     fleet.until_in_era(3).await;
-    fleet.deployment.store.write_all_again();
+    fleet.deployment.store.rewrite_all_lost();
     fleet.deployment.store.publish(&configuration(4));
     fleet.until_in_force(4).await;
 }
@@ -228,7 +228,7 @@
 async fn a_return_costs_the_store_no_listing_a_node() {
     let fleet = Fleet::start_of(12).await;
     let before = fleet.deployment.store.listings();
-    fleet.come_back(|deployment| deployment.store.write_all_again());
+    fleet.come_back(|deployment| deployment.store.rewrite_all_lost());
     fleet.until_in_era(2).await;
     fleet.until_settled().await;
     let listings = fleet.deployment.store.listings() - before;
--- a/crates/sablebay/tests/platform/revocation.rs
+++ b/crates/sablebay/tests/platform/revocation.rs
@@ -305,18 +305,18 @@
     let deployment = deployment().await;
     let first = start("node-1", deployment.store.address, &[]);
     wait_for_key(&first).await;
-    deployment.store.keep_copy();
+    deployment.store.take_backup();
     let since = take_keys_away(&deployment);
     eventually("the key is known for gone", || async {
         status(first.caller, "old", "gone").await == Some(401)
     })
     .await;
-    deployment.store.return_from_copy();
+    deployment.store.restore_backup();
     let second = start("node-2", deployment.store.address, &[first.peers]);
     let alone = start("node-3", deployment.store.address, &[]);
     let written_again = async {
         tokio::time::sleep(Duration::from_millis(2_000)).await;
-        deployment.store.write_all_again();
+        deployment.store.rewrite_all_lost();
     };
     let (one, two, three, ()) = tokio::join!(
         ask(first.caller, "old", "first", since, LIMIT + BEYOND),
--- a/crates/sablebay/tests/platform/store_eras.rs
+++ b/crates/sablebay/tests/platform/store_eras.rs
@@ -23,12 +23,12 @@
         let deployment = Deployment::start().await;
         let node = NodeProcess::start("node-1", deployment.store.address, &[]);
         node.wait_ready().await;
-        deployment.store.name_eras(naming);
+        deployment.store.set_era_naming(naming);
         deployment.store.publish(&configuration(2));
         let outdated = metric(&node, OUTDATED);
         eventually("answers are refused", || async { metric(&node, OUTDATED) >= outdated + 3 }).await;
         assert_eq!(version_of(&node), 1, "{naming:?}");
-        deployment.store.name_eras(EraNaming::Own);
+        deployment.store.set_era_naming(EraNaming::Own);
         until_in_force(&node, 2).await;
     }
 }
@@ -36,13 +36,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_that_has_never_named_an_era_is_followed() {
     let deployment = Deployment::start().await;
-    deployment.store.name_eras(EraNaming::Missing);
+    deployment.store.set_era_naming(EraNaming::Missing);
     let node = NodeProcess::start("node-1", deployment.store.address, &[]);
     node.wait_ready().await;
     deployment.store.publish(&configuration(2));
     until_in_force(&node, 2).await;
     // From now on it names them: that is a later era.
-    deployment.store.name_eras(EraNaming::Own);
+    deployment.store.set_era_naming(EraNaming::Own);
     deployment.store.publish(&configuration(3));
     until_in_force(&node, 3).await;
     assert_eq!(metric(&node, "sablebay_gateway_source_era"), 1);
@@ -57,17 +57,17 @@
         replica.id = sablebay_catalogue::ReplicaId::new(format!("i-more-{number}"));
         deployment.store.announce(&replica);
     }
-    deployment.store.keep_copy();
+    deployment.store.take_backup();
     deployment.store.publish(&configuration(2));
     let node = NodeProcess::start("node-1", deployment.store.address, &[]);
     until_in_force(&node, 2).await;
     deployment.store.set_mode(StoreMode::Refusing);
     deployment.store.publish(&configuration(3));
-    deployment.store.forget_history();
-    deployment.store.return_between_pages();
+    deployment.store.compact_history();
+    deployment.store.restore_between_pages();
     deployment.store.set_mode(StoreMode::Serving);
     eventually("the return is noticed", || async { metric(&node, RETURNED) >= 1 }).await;
-    deployment.store.write_all_again();
+    deployment.store.rewrite_all_lost();
     until_in_force(&node, 3).await;
     assert_eq!(metric(&node, "sablebay_gateway_source_era"), 2);
 }
--- a/crates/sablebay/tests/platform/tenants.rs
+++ b/crates/sablebay/tests/platform/tenants.rs
@@ -73,7 +73,7 @@
     for call in &calls {
         let names: Vec<&str> = call.tenants.iter().map(String::as_str).collect();
         assert_eq!(names, tenant.into_iter().collect::<Vec<_>>(), "{id}");
-        assert!(!call.shows_key, "{id} came with its caller's key");
+        assert!(!call.has_key, "{id} came with its caller's key");
     }
     calls.len()
 }
@@ -280,7 +280,7 @@
     let order = CallerCall {
         method: Method::POST,
         body: b"an order".to_vec(),
-        patience: PATIENCE,
+        timeout: PATIENCE,
         ..CallerCall::get(HOST, UNSAFE_PATH, "order").with_key("b-1")
     };
     let asked = tokio::spawn(async move { caller.call(&order).await.expect("an answer") });
