--- a/crates/sablebay/tests/check_routing.rs
+++ b/crates/sablebay/tests/check_routing.rs
@@ -27,7 +27,7 @@
         "route r2: the share 2 is not between 0 and 1",
         "route r2: there is no service c",
         "route r2: an answer would hold no records",
-        "route r3: it goes nowhere",
+        "route r3: it has no destination",
         "route r3: another route has its host and prefix",
         "service b: it takes no connections",
     ] {
