--- a/crates/sablebay/src/admin_client.rs
+++ b/crates/sablebay/src/admin_client.rs
@@ -15,7 +15,7 @@
 /// Where the admin API is looked for.
 const DEFAULT_ADDRESS: &str = "127.0.0.1:7300";
 /// How long a node has to answer.
-const PATIENCE: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 /// The header with the operator's token.
 const TOKEN_HEADER: &str = "sablebay-operator-token";
 /// The environment variable with the operator's token.
@@ -35,8 +35,8 @@
     /// When the address is none.
     pub fn from_arguments(arguments: &Arguments) -> Result<Self, UsageError> {
         let text = arguments.value("admin").unwrap_or(DEFAULT_ADDRESS);
-        let wrong = |_| UsageError::new(format!("--admin is `{text}`, not an IP address and port"));
-        let address = text.parse().map_err(wrong)?;
+        let invalid = |_| UsageError::new(format!("--admin is `{text}`, not an IP address and port"));
+        let address = text.parse().map_err(invalid)?;
         let token = arguments.value("token").map(str::to_string);
         Ok(Self {
             address,
@@ -47,7 +47,7 @@
 
     /// Sends a request. On failure prints why and returns nothing.
     pub async fn send(&self, method: Method, path: &str, body: Vec<u8>) -> Option<Bytes> {
-        match tokio::time::timeout(PATIENCE, self.exchange(method, path, body)).await {
+        match tokio::time::timeout(REQUEST_TIMEOUT, self.exchange(method, path, body)).await {
             Ok(Some((status, body))) if status.is_success() => Some(body),
             Ok(Some((status, body))) => {
                 eprintln!("sablebay: {} answered {status}: {}", self.address, String::from_utf8_lossy(&body));
--- a/crates/sablebay/src/arguments.rs
+++ b/crates/sablebay/src/arguments.rs
@@ -49,7 +49,7 @@
 }
 
 /// What a command accepts.
-pub struct Accepted<'a> {
+pub struct AcceptedArguments<'a> {
     /// The command's help.
     pub help: &'static str,
     /// Options with a value, without their dashes.
@@ -57,7 +57,7 @@
     /// Options without a value.
     pub switches: &'a [&'a str],
     /// Whether words without dashes are taken.
-    pub words: bool,
+    pub positionals: bool,
 }
 
 /// What was given.
@@ -66,7 +66,7 @@
     options: BTreeMap<String, Vec<String>>,
     switches: Vec<String>,
     /// Words without dashes.
-    pub words: Vec<String>,
+    pub positionals: Vec<String>,
 }
 
 impl Arguments {
@@ -74,7 +74,10 @@
     ///
     /// # Errors
     /// A mistake; a mistyped option is named with the nearest one.
-    pub fn read(mut parser: lexopt::Parser, accepted: &Accepted<'_>) -> Result<Option<Self>, UsageError> {
+    pub fn read(
+        mut parser: lexopt::Parser,
+        accepted: &AcceptedArguments<'_>,
+    ) -> Result<Option<Self>, UsageError> {
         let mut arguments = Self::default();
         while let Some(argument) = parser.next()? {
             match argument {
@@ -95,7 +98,7 @@
                     arguments.options.entry(name).or_default().push(value);
                 }
                 Long(name) => return Err(unknown_option(name, accepted)),
-                Value(word) if accepted.words => arguments.words.push(word.string()?),
+                Value(positional) if accepted.positionals => arguments.positionals.push(positional.string()?),
                 other => return Err(other.unexpected().into()),
             }
         }
@@ -126,12 +129,12 @@
         let Some(text) = self.value(name) else {
             return Ok(None);
         };
-        let wrong = |_| UsageError::new(format!("--{name} is `{text}`, not {expected}"));
-        text.parse().map(Some).map_err(wrong)
+        let invalid = |_| UsageError::new(format!("--{name} is `{text}`, not {expected}"));
+        text.parse().map(Some).map_err(invalid)
     }
 }
 
-fn unknown_option(name: &str, accepted: &Accepted<'_>) -> UsageError {
+fn unknown_option(name: &str, accepted: &AcceptedArguments<'_>) -> UsageError {
     let known: Vec<&str> = accepted.options.iter().chain(accepted.switches).copied().collect();
     let message = format!("there is no option `--{name}`");
     match nearest_name(name, known.iter().copied()) {
--- a/crates/sablebay/src/command/check.rs
+++ b/crates/sablebay/src/command/check.rs
@@ -9,7 +9,7 @@
 use sablebay_config::{Configuration, ConfigurationError, Finding, NodeSettings, ServiceSettings};
 
 use crate::CommandResult;
-use crate::arguments::{Accepted, Arguments, UsageError};
+use crate::arguments::{AcceptedArguments, Arguments, UsageError};
 use crate::output::print_line;
 
 const HELP: &str = "\
@@ -36,20 +36,20 @@
 
 /// Runs the command.
 pub fn run(parser: lexopt::Parser) -> CommandResult {
-    let accepted = Accepted {
+    let accepted = AcceptedArguments {
         help: HELP,
         options: &[],
         switches: &["settings", "routing", "render", "json"],
-        words: true,
+        positionals: true,
     };
     let Some(arguments) = Arguments::read(parser, &accepted)? else {
         return Ok(ExitCode::SUCCESS);
     };
-    if arguments.words.is_empty() {
+    if arguments.positionals.is_empty() {
         return Err(UsageError::new("check needs a file; see --help"));
     }
     let mut all_valid = true;
-    for file in &arguments.words {
+    for file in &arguments.positionals {
         let text = std::fs::read_to_string(file)
             .map_err(|error| UsageError::new(format!("cannot read {file}: {error}")))?;
         let result = check_file(file, &text, &arguments);
--- a/crates/sablebay/src/command/config.rs
+++ b/crates/sablebay/src/command/config.rs
@@ -6,7 +6,7 @@
 
 use crate::CommandResult;
 use crate::admin_client::{AdminClient, block_on};
-use crate::arguments::{Accepted, Arguments, UsageError};
+use crate::arguments::{AcceptedArguments, Arguments, UsageError};
 use crate::output::print_line;
 
 const HELP: &str = "\
@@ -24,11 +24,11 @@
 
 /// Runs the command.
 pub fn run(parser: lexopt::Parser) -> CommandResult {
-    let accepted = Accepted {
+    let accepted = AcceptedArguments {
         help: HELP,
         options: &["admin", "service", "candidate"],
         switches: &["json"],
-        words: false,
+        positionals: false,
     };
     let Some(arguments) = Arguments::read(parser, &accepted)? else {
         return Ok(ExitCode::SUCCESS);
--- a/crates/sablebay/src/command/demo.rs
+++ b/crates/sablebay/src/command/demo.rs
@@ -17,7 +17,7 @@
 };
 
 use crate::CommandResult;
-use crate::arguments::{Accepted, Arguments};
+use crate::arguments::{AcceptedArguments, Arguments};
 
 const HELP: &str = "\
 Runs a platform, the leaves of an order desk and three nodes in this process, over real TCP:
@@ -30,7 +30,7 @@
 const DESK: &str = "order-desk-1";
 const LIMIT: usize = 5;
 const SEED: u64 = 7;
-const READY_PATIENCE: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Serialize, Default)]
 struct Totals {
@@ -47,18 +47,18 @@
 
 /// Runs the command.
 pub fn run(parser: lexopt::Parser) -> CommandResult {
-    let accepted = Accepted { help: HELP, options: &[], switches: &[], words: false };
+    let accepted = AcceptedArguments { help: HELP, options: &[], switches: &[], positionals: false };
     if Arguments::read(parser, &accepted)?.is_none() {
         return Ok(ExitCode::SUCCESS);
     }
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    let ended = runtime.map_err(DemoError::from).and_then(|runtime| runtime.block_on(demonstrate()));
-    match ended {
+    let result = runtime.map_err(DemoError::from).and_then(|runtime| runtime.block_on(run_demo()));
+    match result {
         Ok(totals) => {
-            let fine =
+            let succeeded =
                 totals.violations == 0 && totals.operations_run_twice == 0 && totals.operations_done > 0;
             println!("{}", serde_json::to_string(&totals).unwrap_or_default());
-            Ok(if fine { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+            Ok(if succeeded { ExitCode::SUCCESS } else { ExitCode::FAILURE })
         }
         Err(error) => {
             eprintln!("sablebay: the demo failed: {error}");
@@ -67,7 +67,7 @@
     }
 }
 
-async fn demonstrate() -> Result<Totals, DemoError> {
+async fn run_demo() -> Result<Totals, DemoError> {
     let deployment = order_desks();
     let mut leaves = deployment.start_leaves(SEED).await?;
     println!(
@@ -83,22 +83,22 @@
 
     let mut totals = Totals::default();
     let services = deployment.service_names();
-    let load = ask(&nodes, &services, 200).await;
-    report("4. Queries through every node", &load, &mut totals);
+    let load = run_queries(&nodes, &services, 200).await;
+    record_and_print("4. Queries through every node", &load, &mut totals);
 
     show_one_answer(&nodes).await;
     run_operation(&nodes, &mut totals).await;
 
     let leaving = nodes.remove(0);
     let (name, started) = (leaving.addresses.node.clone(), Instant::now());
-    let (stopped, load) = tokio::join!(leaving.stop(), ask(&nodes, &services, 200));
+    let (stopped, load) = tokio::join!(leaving.stop(), run_queries(&nodes, &services, 200));
     let how = if stopped { "with nothing cut" } else { "by its time limit" };
     println!("7. {name} was drained and stopped {how} in {} ms, under load.", started.elapsed().as_millis());
-    report("   Queries through the other two meanwhile", &load, &mut totals);
+    record_and_print("   Queries through the other two meanwhile", &load, &mut totals);
 
-    lose_leaf(&mut leaves);
-    let load = ask(&nodes, &services, 200).await;
-    report("8. A leaf was lost; its replica answers. Queries", &load, &mut totals);
+    remove_leaf(&mut leaves);
+    let load = run_queries(&nodes, &services, 200).await;
+    record_and_print("8. A leaf was lost; its replica answers. Queries", &load, &mut totals);
 
     totals.operations_run_twice = leaves.operations_run_twice();
     for node in nodes {
@@ -139,7 +139,7 @@
 async fn wait_until_ready(node: &Node) -> Result<(), DemoError> {
     let client = CallerClient::new(node.addresses.caller_address);
     let started = Instant::now();
-    while started.elapsed() < READY_PATIENCE {
+    while started.elapsed() < READY_TIMEOUT {
         let answer = client.send(http::Method::GET, "/readyz", "").await;
         let members = node.shared.fleet.lock().members().present_count();
         if answer.is_some_and(|(status, _)| status.is_success()) && members == 2 {
@@ -150,7 +150,7 @@
     Err(format!("{} is not ready", node.addresses.node).into())
 }
 
-async fn ask(nodes: &[Node], services: &[String], queries: u64) -> LoadSummary {
+async fn run_queries(nodes: &[Node], services: &[String], queries: u64) -> LoadSummary {
     const RATE: f64 = 200.0;
     run_load(LoadOptions {
         nodes: Arc::new(Mutex::new(nodes.iter().map(|node| node.addresses.caller_address).collect())),
@@ -167,7 +167,7 @@
     .await
 }
 
-fn report(title: &str, load: &LoadSummary, totals: &mut Totals) {
+fn record_and_print(title: &str, load: &LoadSummary, totals: &mut Totals) {
     println!(
         "{title}: {} asked, {} answered, {} with full coverage; p50 {:.1} ms, p99 {:.1} ms, extra load {:.1} %.",
         load.queries,
@@ -202,7 +202,7 @@
         return;
     };
     let submissions = clients.iter().map(|client| client.operation(DESK, Some(&ticket), None));
-    let mut words: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut outcome_counts: BTreeMap<&str, usize> = BTreeMap::new();
     let mut running: Vec<std::pin::Pin<Box<dyn Future<Output = OperationOutcome> + Send + '_>>> = Vec::new();
     for submission in submissions {
         running.push(Box::pin(submission));
@@ -210,20 +210,22 @@
     let (first, second, third) = (running.remove(0), running.remove(0), running.remove(0));
     let outcomes = tokio::join!(first, second, third);
     for outcome in [outcomes.0, outcomes.1, outcomes.2] {
-        let word = match outcome {
+        let label = match outcome {
             OperationOutcome::Done { .. } => "done",
             OperationOutcome::NotRun { .. } => "not run",
             OperationOutcome::Unknown { .. } => "claimed elsewhere",
         };
-        *words.entry(word).or_default() += 1;
+        *outcome_counts.entry(label).or_default() += 1;
     }
-    totals.operations_done = words.get("done").copied().unwrap_or(0);
-    println!("6. One order was submitted through all three nodes at once under one ticket: {words:?}.");
+    totals.operations_done = outcome_counts.get("done").copied().unwrap_or(0);
+    println!(
+        "6. One order was submitted through all three nodes at once under one ticket: {outcome_counts:?}."
+    );
     if let Some(state) = clients[2].ticket_state(&ticket).await {
         println!("   Asked later, another node says of the ticket: {}.", state.state);
     }
 }
 
-fn lose_leaf(leaves: &mut RunningLeaves) {
+fn remove_leaf(leaves: &mut RunningLeaves) {
     leaves.leaves.remove(&format!("{DESK}-leaf-1"));
 }
--- a/crates/sablebay/src/command/drain.rs
+++ b/crates/sablebay/src/command/drain.rs
@@ -9,7 +9,7 @@
 
 use crate::CommandResult;
 use crate::admin_client::{AdminClient, block_on};
-use crate::arguments::{Accepted, Arguments};
+use crate::arguments::{AcceptedArguments, Arguments};
 use crate::output::print_line;
 
 const HELP: &str = "\
@@ -25,8 +25,12 @@
 
 /// Runs the command.
 pub fn run(parser: lexopt::Parser) -> CommandResult {
-    let accepted =
-        Accepted { help: HELP, options: &["admin", "token"], switches: &["undo", "wait"], words: false };
+    let accepted = AcceptedArguments {
+        help: HELP,
+        options: &["admin", "token"],
+        switches: &["undo", "wait"],
+        positionals: false,
+    };
     let Some(arguments) = Arguments::read(parser, &accepted)? else {
         return Ok(ExitCode::SUCCESS);
     };
--- a/crates/sablebay/src/command/release.rs
+++ b/crates/sablebay/src/command/release.rs
@@ -8,7 +8,7 @@
 
 use crate::CommandResult;
 use crate::admin_client::{AdminClient, block_on};
-use crate::arguments::{Accepted, Arguments, UsageError};
+use crate::arguments::{AcceptedArguments, Arguments, UsageError};
 use crate::output::print_line;
 
 const HELP: &str = "\
@@ -24,11 +24,12 @@
 
 /// Runs the command.
 pub fn run(parser: lexopt::Parser) -> CommandResult {
-    let accepted = Accepted { help: HELP, options: &["admin", "token"], switches: &[], words: true };
+    let accepted =
+        AcceptedArguments { help: HELP, options: &["admin", "token"], switches: &[], positionals: true };
     let Some(arguments) = Arguments::read(parser, &accepted)? else {
         return Ok(ExitCode::SUCCESS);
     };
-    let [text] = arguments.words.as_slice() else {
+    let [text] = arguments.positionals.as_slice() else {
         return Err(UsageError::new("release needs one digest; see --help"));
     };
     let digest: RequestDigest = text.parse().map_err(|error| UsageError::new(format!("{error}")))?;
--- a/crates/sablebay/src/command/serve.rs
+++ b/crates/sablebay/src/command/serve.rs
@@ -18,9 +18,9 @@
 use sablebay_platform::{PlatformBackends, PlatformCallers, StoreCatalogue};
 
 use crate::CommandResult;
-use crate::arguments::{Accepted, Arguments, UsageError};
+use crate::arguments::{AcceptedArguments, Arguments, UsageError};
 
-use reload::{LOOK_PERIOD, SettingsFile};
+use reload::{POLL_INTERVAL, SettingsFile};
 
 const HELP: &str = "\
 Runs a node.
@@ -46,7 +46,7 @@
 pub fn run(parser: lexopt::Parser) -> CommandResult {
     let mut options = node_flags();
     options.extend(["settings", "ready-fd"]);
-    let accepted = Accepted { help: HELP, options: &options, switches: &[], words: false };
+    let accepted = AcceptedArguments { help: HELP, options: &options, switches: &[], positionals: false };
     let Some(arguments) = Arguments::read(parser, &accepted)? else {
         return Ok(ExitCode::SUCCESS);
     };
@@ -185,13 +185,13 @@
         log::error!("node: signals cannot be watched; the planned stop is not available.");
         return std::future::pending().await;
     };
-    let mut look = tokio::time::interval(LOOK_PERIOD);
+    let mut poll = tokio::time::interval(POLL_INTERVAL);
     loop {
         tokio::select! {
             _ = terminate.recv() => return,
             _ = interrupt.recv() => return,
             _ = hang_up.recv() => file.reload(node, gateway, log_control, true),
-            _ = look.tick() => file.reload(node, gateway, log_control, false),
+            _ = poll.tick() => file.reload(node, gateway, log_control, false),
         }
     }
 }
--- a/crates/sablebay/src/command/serve/reload.rs
+++ b/crates/sablebay/src/command/serve/reload.rs
@@ -11,7 +11,7 @@
 use sablebay_node::{LogControl, Node};
 
 /// How often the settings file is looked at without a signal.
-pub const LOOK_PERIOD: Duration = Duration::from_secs(2);
+pub const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The settings file and what it held when it was last read.
 pub struct SettingsFile {
@@ -34,7 +34,13 @@
 
     /// Reads the file again, and takes what changed into use. A file with mistakes changes nothing:
     /// each finding is logged.
-    pub fn reload(&mut self, node: &Node, gateway: Option<&Gateway>, log_control: &LogControl, asked: bool) {
+    pub fn reload(
+        &mut self,
+        node: &Node,
+        gateway: Option<&Gateway>,
+        log_control: &LogControl,
+        requested: bool,
+    ) {
         let Some(path) = self.path.clone() else {
             return;
         };
@@ -46,7 +52,7 @@
             }
         };
         if text == self.text {
-            if asked {
+            if requested {
                 log::info!("settings: read again; nothing changed.");
             }
             return;
@@ -78,7 +84,7 @@
         if let (Some(gateway), Some(changed)) = (gateway, settings.gateway.clone()) {
             gateway.reload(changed, &settings.peers);
         }
-        if addresses(&settings) != addresses(&self.in_force) {
+        if restart_only_settings(&settings) != restart_only_settings(&self.in_force) {
             log::warn!("settings: changed names and addresses are in force from the next start on.");
         }
         log::info!("settings: changed settings are in force.");
@@ -87,7 +93,7 @@
 }
 
 /// The settings that need a new start.
-fn addresses(settings: &NodeSettings) -> impl PartialEq {
+fn restart_only_settings(settings: &NodeSettings) -> impl PartialEq {
     let gateway = settings.gateway.as_ref();
     (
         settings.node.clone(),
--- a/crates/sablebay/src/command/status.rs
+++ b/crates/sablebay/src/command/status.rs
@@ -11,7 +11,7 @@
 
 use crate::CommandResult;
 use crate::admin_client::{AdminClient, block_on};
-use crate::arguments::{Accepted, Arguments};
+use crate::arguments::{AcceptedArguments, Arguments};
 use crate::output::print_line;
 
 const HELP: &str = "\
@@ -34,7 +34,12 @@
 
 /// Runs the command.
 pub fn run(parser: lexopt::Parser) -> CommandResult {
-    let accepted = Accepted { help: HELP, options: &["admin"], switches: &["json", "watch"], words: false };
+    let accepted = AcceptedArguments {
+        help: HELP,
+        options: &["admin"],
+        switches: &["json", "watch"],
+        positionals: false,
+    };
     let Some(arguments) = Arguments::read(parser, &accepted)? else {
         return Ok(ExitCode::SUCCESS);
     };
@@ -100,7 +105,7 @@
     print_tenants(status);
     print_quarantine(status);
     print_services(status);
-    print_troubles(status);
+    print_problems(status);
 }
 
 /// Which zones are evacuated, and how many nodes know it: all must, before a zone counts as empty.
@@ -137,40 +142,40 @@
             format!("{}/{}", catalogue.era, catalogue.replicas_at)
         ));
     }
-    print_last_version(&known);
-    print_source_return(&known);
+    print_outdated_routes(&known);
+    print_source_restore(&known);
 }
 
 /// Whether the catalogue's source came back from an older copy lately, and who has not heard of it.
-fn print_source_return(known: &[(&String, &CatalogueReport)]) {
+fn print_source_restore(known: &[(&String, &CatalogueReport)]) {
     let era = known.iter().map(|(_, catalogue)| catalogue.era).max().unwrap_or_default();
-    let before: Vec<_> = known.iter().filter(|(_, catalogue)| catalogue.era < era).collect();
-    for (node, catalogue) in &before {
+    let outdated: Vec<_> = known.iter().filter(|(_, catalogue)| catalogue.era < era).collect();
+    for (node, catalogue) in &outdated {
         print_line(&format!("{node} knows era {} of the catalogue's source, others {era}", catalogue.era));
     }
     let unsettled = known.iter().filter(|(_, catalogue)| catalogue.era == era && !catalogue.settled);
-    let kept: Vec<_> = unsettled.map(|(_, catalogue)| catalogue.kept).collect();
-    if let Some(most) = kept.iter().max() {
+    let retained: Vec<_> = unsettled.map(|(_, catalogue)| catalogue.kept).collect();
+    if let Some(most) = retained.iter().max() {
         print_line(&format!(
             "the source began era {era} lately: {} nodes keep up to {most} replicas and zones that it does not confirm",
-            kept.len()
+            retained.len()
         ));
     }
 }
 
 /// Which node has the oldest routes, where not all have the same.
-fn print_last_version(known: &[(&String, &CatalogueReport)]) {
+fn print_outdated_routes(known: &[(&String, &CatalogueReport)]) {
     let newest = known.iter().map(|(_, catalogue)| catalogue.version).max().unwrap_or_default();
     let behind: Vec<_> = known.iter().filter(|(_, catalogue)| catalogue.version < newest).collect();
     let Some((node, catalogue)) = behind.iter().min_by_key(|(_, catalogue)| catalogue.version) else {
         return;
     };
-    let aware = match (catalogue.heard_version, catalogue.behind_ms) {
+    let announced = match (catalogue.heard_version, catalogue.behind_ms) {
         (Some(heard), Some(ms)) => format!("it heard of version {heard}, {ms} ms ago of a newer one"),
         _ => "it has heard of no newer one".to_string(),
     };
     print_line(&format!(
-        "{} of {} nodes have older routes than version {newest}; the last is {node} with version {}: {aware}",
+        "{} of {} nodes have older routes than version {newest}; the last is {node} with version {}: {announced}",
         behind.len(),
         known.len(),
         catalogue.version
@@ -279,7 +284,7 @@
     }
 }
 
-fn print_troubles(status: &FleetStatus) {
+fn print_problems(status: &FleetStatus) {
     let mut seen = Vec::new();
     for node in &status.nodes {
         for rejection in &node.rejections {
--- a/crates/sablebay/src/command/trace.rs
+++ b/crates/sablebay/src/command/trace.rs
@@ -5,7 +5,7 @@
 use serde_json::{Map, Value};
 
 use crate::CommandResult;
-use crate::arguments::{Accepted, Arguments, UsageError};
+use crate::arguments::{AcceptedArguments, Arguments, UsageError};
 use crate::output::print_line;
 
 const HELP: &str = "\
@@ -22,9 +22,9 @@
 ";
 
 /// Lines about what a node believed that are shown by default.
-const DEFAULT_BEFORE: usize = 8;
+const DEFAULT_CONTEXT: usize = 8;
 /// Beginnings of messages about what a node believes, by the part that writes them.
-const BELIEF_PARTS: [&str; 10] = [
+const STATE_PREFIXES: [&str; 10] = [
     "catalogue:",
     "configuration:",
     "fleet:",
@@ -62,8 +62,8 @@
         self.text("request") == request
     }
 
-    fn is_belief(&self) -> bool {
-        BELIEF_PARTS.iter().any(|part| self.text("message").starts_with(part))
+    fn is_state_change(&self) -> bool {
+        STATE_PREFIXES.iter().any(|prefix| self.text("message").starts_with(prefix))
     }
 
     /// Time, level and message, then the fields in the order of their names.
@@ -80,19 +80,20 @@
 /// The lines of one log that belong to the story of a request, in the order that they were written;
 /// empty when the log does not name it. Where several nodes write to one file, their lines are told
 /// apart by the prefix without its numbers.
-fn story(text: &str, request: &str, before: usize) -> Vec<String> {
+fn related_lines(text: &str, request: &str, before: usize) -> Vec<String> {
     let lines: Vec<LogLine> = text.lines().filter_map(LogLine::parse).collect();
     let mut shown: Vec<usize> = Vec::new();
-    for (place, line) in lines.iter().enumerate().filter(|(_, line)| line.is_about(request)) {
+    for (position, line) in lines.iter().enumerate().filter(|(_, line)| line.is_about(request)) {
         let writer = writer_of(&line.prefix);
-        let earlier = (0..place).rev();
-        let beliefs = earlier.filter(|at| lines[*at].is_belief() && writer_of(&lines[*at].prefix) == writer);
-        shown.extend(beliefs.take(before));
-        shown.push(place);
+        let earlier = (0..position).rev();
+        let state_changes =
+            earlier.filter(|at| lines[*at].is_state_change() && writer_of(&lines[*at].prefix) == writer);
+        shown.extend(state_changes.take(before));
+        shown.push(position);
     }
     shown.sort_unstable();
     shown.dedup();
-    shown.into_iter().map(|place| lines[place].render()).collect()
+    shown.into_iter().map(|position| lines[position].render()).collect()
 }
 
 /// The words of a prefix that are no numbers: a node's name stays, a time goes.
@@ -103,22 +104,22 @@
 
 /// Runs the command.
 pub fn run(parser: lexopt::Parser) -> CommandResult {
-    let accepted = Accepted { help: HELP, options: &["before"], switches: &[], words: true };
+    let accepted = AcceptedArguments { help: HELP, options: &["before"], switches: &[], positionals: true };
     let Some(arguments) = Arguments::read(parser, &accepted)? else {
         return Ok(ExitCode::SUCCESS);
     };
-    let [request, files @ ..] = arguments.words.as_slice() else {
+    let [request, files @ ..] = arguments.positionals.as_slice() else {
         return Err(UsageError::new("trace needs a request's id and a file; see --help"));
     };
     if files.is_empty() {
         return Err(UsageError::new("trace needs a file; see --help"));
     }
-    let before = arguments.parsed("before", "a number of lines")?.unwrap_or(DEFAULT_BEFORE);
+    let before = arguments.parsed("before", "a number of lines")?.unwrap_or(DEFAULT_CONTEXT);
     let mut found = false;
     for file in files {
         let bytes =
             std::fs::read(file).map_err(|error| UsageError::new(format!("cannot read {file}: {error}")))?;
-        let lines = story(&String::from_utf8_lossy(&bytes), request, before);
+        let lines = related_lines(&String::from_utf8_lossy(&bytes), request, before);
         if lines.is_empty() {
             continue;
         }
--- a/crates/sablebay/src/main.rs
+++ b/crates/sablebay/src/main.rs
@@ -42,12 +42,12 @@
 const USAGE_EXIT_CODE: u8 = 2;
 
 fn run() -> CommandResult {
-    let mut words = std::env::args_os().skip(1);
-    let Some(name) = words.next().and_then(|word| word.into_string().ok()) else {
+    let mut raw_arguments = std::env::args_os().skip(1);
+    let Some(name) = raw_arguments.next().and_then(|argument| argument.into_string().ok()) else {
         eprint!("{USAGE}");
         return Ok(ExitCode::from(USAGE_EXIT_CODE));
     };
-    let rest = lexopt::Parser::from_args(words);
+    let rest = lexopt::Parser::from_args(raw_arguments);
     match name.as_str() {
         "serve" => command::serve::run(rest),
         "check" => command::check::run(rest),
--- a/crates/sablebay/tests/at_most_once.rs
+++ b/crates/sablebay/tests/at_most_once.rs
@@ -38,7 +38,7 @@
     for node in &cluster.nodes {
         let mut state = node.client().ticket_state(&ticket).await.unwrap();
         let started = std::time::Instant::now();
-        while state.state == "claimed" && started.elapsed() < common::PATIENCE {
+        while state.state == "claimed" && started.elapsed() < common::EVENT_TIMEOUT {
             state = node.client().ticket_state(&ticket).await.unwrap();
         }
         assert_eq!(state.state, "done");
--- a/crates/sablebay/tests/check_routing.rs
+++ b/crates/sablebay/tests/check_routing.rs
@@ -36,10 +36,10 @@
 }
 
 #[test]
-fn a_right_one_is_fine_and_what_is_no_document_is_said() {
-    let right = r#"{"Version": 3, "Services": [{"Name": "a", "MaxConnections": 4}], "Routes": [
+fn a_valid_document_passes_and_a_malformed_one_is_reported() {
+    let valid = r#"{"Version": 3, "Services": [{"Name": "a", "MaxConnections": 4}], "Routes": [
         {"Name": "r1", "Hostname": "h", "PathPrefix": "/x/", "Type": "safe", "Backend": "a"}], "New": 1}"#;
-    assert_eq!(check(right).0, Some(0));
+    assert_eq!(check(valid).0, Some(0));
     let (code, text) = check("{\"Version\": 3, \"Routes\": 7}");
     assert_eq!(code, Some(1));
     assert!(text.contains("line 1 column"), "{text}");
--- a/crates/sablebay/tests/command_line.rs
+++ b/crates/sablebay/tests/command_line.rs
@@ -3,12 +3,12 @@
 
 use std::process::{Command, Output};
 
-fn sablebay(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_sablebay")).args(words).output().expect("the binary runs")
+fn sablebay(arguments: &[&str]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_sablebay")).args(arguments).output().expect("the binary runs")
 }
 
-fn bench(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_sablebay-bench")).args(words).output().expect("the binary runs")
+fn bench(arguments: &[&str]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_sablebay-bench")).args(arguments).output().expect("the binary runs")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -132,7 +132,7 @@
 /// Log lines as an operator sees them: a time, a level, a prefix, and nothing that the encoder
 /// could not make sense of.
 #[test]
-fn log_lines_are_whole() {
+fn log_lines_are_complete() {
     for format in ["text", "json"] {
         let mut child = Command::new(env!("CARGO_BIN_EXE_sablebay"))
             .args(["serve", "--node", "n", "--zone", "z", "--log-format", format])
--- a/crates/sablebay/tests/common/mod.rs
+++ b/crates/sablebay/tests/common/mod.rs
@@ -17,7 +17,7 @@
 /// The one that is searched through aggregators.
 pub const PORTAL: &str = "portal";
 /// How long an event may take before a test gives up on it.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Two services over twelve leaves; one is searched directly, one through aggregators.
 pub fn small_deployment(priority: &str, median_us: f64) -> Deployment {
@@ -78,7 +78,7 @@
         if let Some(report) = report.filter(&condition) {
             return report;
         }
-        assert!(started.elapsed() < PATIENCE, "node {node}: {what} did not happen");
+        assert!(started.elapsed() < EVENT_TIMEOUT, "node {node}: {what} did not happen");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/sablebay/tests/configuration.rs
+++ b/crates/sablebay/tests/configuration.rs
@@ -55,15 +55,15 @@
     // Longer than the freshness lease of the woken node.
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let client = cluster.nodes[2].client();
-    let asking = async {
+    let pending_query = async {
         // Sent while the node is frozen, so that it is the first thing it sees.
         client.query(DESK, 7, 5, Some(10_000), &CORPUS).await
     };
-    let waking = async {
+    let resumption = async {
         tokio::time::sleep(Duration::from_millis(200)).await;
         cluster.nodes[2].resume();
     };
-    let (outcome, ()) = tokio::join!(asking, waking);
+    let (outcome, ()) = tokio::join!(pending_query, resumption);
     match outcome {
         QueryOutcome::Answered(answer) => {
             assert_eq!(answer.revision, revision, "served under an old revision")
@@ -92,7 +92,7 @@
     let client = cluster.nodes[0].client();
     let started = std::time::Instant::now();
     while !refused(&client.query(DESK, 1, 5, None, &CORPUS).await) {
-        assert!(started.elapsed() < common::PATIENCE, "it never refused");
+        assert!(started.elapsed() < common::EVENT_TIMEOUT, "it never refused");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     let served = client.query(common::PORTAL, 1, 5, None, &CORPUS).await;
@@ -103,7 +103,7 @@
     cluster.wait_until_ready(3).await.unwrap();
     let started = std::time::Instant::now();
     while refused(&client.query(DESK, 1, 5, None, &CORPUS).await) {
-        assert!(started.elapsed() < common::PATIENCE, "it never served again");
+        assert!(started.elapsed() < common::EVENT_TIMEOUT, "it never served again");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
--- a/crates/sablebay/tests/interfaces.rs
+++ b/crates/sablebay/tests/interfaces.rs
@@ -116,9 +116,10 @@
 async fn a_node_is_drained_and_taken_back() {
     let cluster = start(small_deployment("latency", 1_000.0)).await;
     let admin = cluster.nodes[0].admin_address.to_string();
-    let sablebay = |words: &[&str]| {
-        let output = std::process::Command::new(env!("CARGO_BIN_EXE_sablebay")).args(words).output().unwrap();
-        assert!(output.status.success(), "{words:?}: {}", String::from_utf8_lossy(&output.stderr));
+    let sablebay = |arguments: &[&str]| {
+        let output =
+            std::process::Command::new(env!("CARGO_BIN_EXE_sablebay")).args(arguments).output().unwrap();
+        assert!(output.status.success(), "{arguments:?}: {}", String::from_utf8_lossy(&output.stderr));
         String::from_utf8_lossy(&output.stdout).into_owned()
     };
     assert!(sablebay(&["drain", "--admin", &admin, "--wait"]).contains("draining, 0 in flight"));
@@ -154,11 +155,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn strangers_among_peers_are_turned_away() {
     let cluster = start(small_deployment("latency", 1_000.0)).await;
-    let stranger = tokio::net::TcpStream::connect(cluster.nodes[0].peer_address).await.unwrap();
-    let mut stranger = stranger;
-    tokio::io::AsyncWriteExt::write_all(&mut stranger, &[7; 16]).await.unwrap();
+    let connection = tokio::net::TcpStream::connect(cluster.nodes[0].peer_address).await.unwrap();
+    let mut connection = connection;
+    tokio::io::AsyncWriteExt::write_all(&mut connection, &[7; 16]).await.unwrap();
     let frame = [&[0, 0, 0, 32][..], &[9; 32][..]].concat();
-    tokio::io::AsyncWriteExt::write_all(&mut stranger, &frame).await.unwrap();
+    tokio::io::AsyncWriteExt::write_all(&mut connection, &frame).await.unwrap();
     let admin = CallerClient::new(cluster.nodes[0].admin_address);
     let started = std::time::Instant::now();
     loop {
@@ -166,7 +167,7 @@
         if String::from_utf8_lossy(&body).contains("sablebay_frames_wrong_proof 1") {
             return;
         }
-        assert!(started.elapsed() < common::PATIENCE, "the stranger was not counted");
+        assert!(started.elapsed() < common::EVENT_TIMEOUT, "the stranger was not counted");
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     }
 }
--- a/crates/sablebay/tests/leaving_back_ends.rs
+++ b/crates/sablebay/tests/leaving_back_ends.rs
@@ -13,11 +13,11 @@
     cluster.leaves.leaves[leaf].state.calls.load(Ordering::Relaxed)
 }
 
-async fn wait_until_all_know(cluster: &ProcessCluster, leaf: &str) {
+async fn wait_until_known_to_all(cluster: &ProcessCluster, leaf: &str) {
     for node in 0..cluster.nodes.len() {
-        let knows =
+        let lists_leaf =
             |report: &sablebay_node::NodeReport| report.leaving_leaves.iter().any(|name| name == leaf);
-        wait_for_report(cluster, node, "the word about the leaf", knows).await;
+        wait_for_report(cluster, node, "the word about the leaf", lists_leaf).await;
     }
 }
 
@@ -31,7 +31,7 @@
     let mut options = common::load_options(&cluster, 100.0, 1.0, 1);
     options.nodes = std::sync::Arc::new(parking_lot::Mutex::new(vec![cluster.nodes[0].caller_address]));
     sablebay_standin::run_load(options).await;
-    wait_until_all_know(&cluster, LEAF).await;
+    wait_until_known_to_all(&cluster, LEAF).await;
     let before = calls(&cluster, LEAF);
     let load = load(&cluster, 100.0, 1.0, 2).await;
     assert_eq!(calls(&cluster, LEAF), before, "the leaf got new work");
@@ -49,7 +49,7 @@
     cluster.remove_node(2).0.kill();
     cluster.add_node().await.unwrap();
     cluster.wait_until_ready(3).await.unwrap();
-    wait_until_all_know(&cluster, LEAF).await;
+    wait_until_known_to_all(&cluster, LEAF).await;
     let before = calls(&cluster, LEAF);
     let load = load(&cluster, 100.0, 1.0, 3).await;
     assert_eq!(calls(&cluster, LEAF), before, "the leaf got new work");
--- a/crates/sablebay/tests/not_run.rs
+++ b/crates/sablebay/tests/not_run.rs
@@ -17,13 +17,13 @@
 /// Submits operations one by one under tickets; what callers were told, by ticket.
 async fn submit(cluster: &ProcessCluster, count: usize) -> BTreeMap<String, OperationOutcome> {
     let client = cluster.nodes[0].client();
-    let mut told = BTreeMap::new();
+    let mut reported = BTreeMap::new();
     for _ in 0..count {
         let Some(ticket) = client.ticket(DESK).await else { continue };
         let outcome = client.operation(DESK, Some(&ticket), Some(DEADLINE_MS)).await;
-        told.insert(ticket, outcome);
+        reported.insert(ticket, outcome);
     }
-    told
+    reported
 }
 
 fn id(ticket: &str) -> &str {
@@ -31,9 +31,9 @@
 }
 
 /// How many were told "not run"; none of them ran.
-fn assert_not_run_is_true(cluster: &ProcessCluster, told: &BTreeMap<String, OperationOutcome>) -> usize {
+fn assert_not_run_is_true(cluster: &ProcessCluster, reported: &BTreeMap<String, OperationOutcome>) -> usize {
     let ran = cluster.leaves.operations();
-    let not_run = told.iter().filter(|(_, outcome)| matches!(outcome, OperationOutcome::NotRun { .. }));
+    let not_run = reported.iter().filter(|(_, outcome)| matches!(outcome, OperationOutcome::NotRun { .. }));
     let mut count = 0;
     for (ticket, outcome) in not_run {
         assert_eq!(ran.get(id(ticket)), None, "{ticket} ran, and its caller was told {outcome:?}");
@@ -42,7 +42,7 @@
     count
 }
 
-fn every_leaf(cluster: &ProcessCluster, change: impl Fn(&mut sablebay_standin::LeafFaults)) {
+fn change_faults_of_all_leaves(cluster: &ProcessCluster, change: impl Fn(&mut sablebay_standin::LeafFaults)) {
     for leaf in cluster.leaves.leaves.values() {
         change(&mut leaf.state.faults.lock());
     }
@@ -51,32 +51,35 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn when_back_ends_refuse() {
     let cluster = start(small_deployment("latency", 2_000.0)).await;
-    every_leaf(&cluster, |faults| faults.shedding = true);
-    let told = submit(&cluster, 5).await;
-    assert_eq!(assert_not_run_is_true(&cluster, &told), 5, "{told:?}");
+    change_faults_of_all_leaves(&cluster, |faults| faults.shedding = true);
+    let reported = submit(&cluster, 5).await;
+    assert_eq!(assert_not_run_is_true(&cluster, &reported), 5, "{reported:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn when_back_ends_are_gone() {
     let mut cluster = start(small_deployment("latency", 2_000.0)).await;
-    let whole = submit(&cluster, 2).await;
-    assert!(whole.values().all(|outcome| matches!(outcome, OperationOutcome::Done { .. })), "{whole:?}");
+    let baseline = submit(&cluster, 2).await;
+    assert!(
+        baseline.values().all(|outcome| matches!(outcome, OperationOutcome::Done { .. })),
+        "{baseline:?}"
+    );
     cluster.leaves.leaves.retain(|name, _| !name.starts_with(DESK));
-    let told = submit(&cluster, 5).await;
-    assert_eq!(assert_not_run_is_true(&cluster, &told), 5, "{told:?}");
+    let reported = submit(&cluster, 5).await;
+    assert_eq!(assert_not_run_is_true(&cluster, &reported), 5, "{reported:?}");
 }
 
 /// A back end that took the operation and gave no word: the caller must not be told "not run".
 #[tokio::test(flavor = "multi_thread")]
 async fn a_back_end_that_gives_no_word_makes_it_unknown() {
     let cluster = start(small_deployment("latency", 2_000.0)).await;
-    every_leaf(&cluster, |faults| faults.black_hole = true);
-    let told = submit(&cluster, 3).await;
-    assert_eq!(assert_not_run_is_true(&cluster, &told), 0);
+    change_faults_of_all_leaves(&cluster, |faults| faults.black_hole = true);
+    let reported = submit(&cluster, 3).await;
+    assert_eq!(assert_not_run_is_true(&cluster, &reported), 0);
     let unknown = |outcome: &OperationOutcome| {
         matches!(outcome, OperationOutcome::Unknown { reason: Some(Reason::BackEndFailed) })
     };
-    assert!(told.values().all(unknown), "{told:?}");
+    assert!(reported.values().all(unknown), "{reported:?}");
     assert_eq!(cluster.leaves.operations().len(), 3);
 }
 
@@ -84,13 +87,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_false_not_run_is_noticed_when_the_mechanism_is_off() {
     let cluster = start_with(small_deployment("latency", 2_000.0), Some("unknown-outcomes")).await;
-    every_leaf(&cluster, |faults| faults.black_hole = true);
-    let told = submit(&cluster, 3).await;
+    change_faults_of_all_leaves(&cluster, |faults| faults.black_hole = true);
+    let reported = submit(&cluster, 3).await;
     let ran = cluster.leaves.operations();
     let is_false = |(ticket, outcome): (&String, &OperationOutcome)| {
         matches!(outcome, OperationOutcome::NotRun { .. }) && ran.contains_key(id(ticket))
     };
-    assert_eq!(told.iter().filter(|entry| is_false(*entry)).count(), 3, "{told:?}");
+    assert_eq!(reported.iter().filter(|entry| is_false(*entry)).count(), 3, "{reported:?}");
 }
 
 /// Connections to the back ends break after the operation was sent: the answer is lost, not the
@@ -126,10 +129,10 @@
             proxy.set(Faults::default());
         }
     };
-    let (told, ()) = tokio::join!(submit(&cluster, 30), resets);
-    assert_not_run_is_true(&cluster, &told);
+    let (reported, ()) = tokio::join!(submit(&cluster, 30), resets);
+    assert_not_run_is_true(&cluster, &reported);
     let ran = cluster.leaves.operations();
-    for (ticket, outcome) in &told {
+    for (ticket, outcome) in &reported {
         if matches!(outcome, OperationOutcome::Done { .. }) {
             assert_eq!(ran.get(id(ticket)), Some(&1), "{ticket} is called done and did not run once");
         }
--- a/crates/sablebay/tests/planned_stop.rs
+++ b/crates/sablebay/tests/planned_stop.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{PATIENCE, load_options, small_deployment, start};
+use common::{EVENT_TIMEOUT, load_options, small_deployment, start};
 use sablebay_bench::{ProcessCluster, RunOptions, run_experiment};
 use sablebay_standin::run_load;
 
@@ -14,7 +14,7 @@
         if let Some(status) = node.exited() {
             return status;
         }
-        assert!(started.elapsed() < PATIENCE, "{} does not stop", node.name);
+        assert!(started.elapsed() < EVENT_TIMEOUT, "{} does not stop", node.name);
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
--- a/crates/sablebay/tests/trace.rs
+++ b/crates/sablebay/tests/trace.rs
@@ -3,11 +3,15 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-fn trace(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_sablebay")).arg("trace").args(words).output().expect("the command runs")
+fn trace(arguments: &[&str]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_sablebay"))
+        .arg("trace")
+        .args(arguments)
+        .output()
+        .expect("the command runs")
 }
 
-fn written(folder: &tempfile::TempDir, name: &str, text: &str) -> PathBuf {
+fn write_log(folder: &tempfile::TempDir, name: &str, text: &str) -> PathBuf {
     let path = folder.path().join(name);
     std::fs::write(&path, text).expect("the log is written");
     path
@@ -28,11 +32,11 @@
 "#;
 
 #[test]
-fn the_lines_of_a_request_come_with_what_its_node_believed() {
+fn request_lines_come_with_the_preceding_state_changes() {
     let folder = tempfile::tempdir().expect("a folder");
-    let first = written(&folder, "first.log", FIRST);
-    let second = written(&folder, "second.log", SECOND);
-    let empty = written(&folder, "empty.log", "");
+    let first = write_log(&folder, "first.log", FIRST);
+    let second = write_log(&folder, "second.log", SECOND);
+    let empty = write_log(&folder, "empty.log", "");
     let paths = [&first, &second, &empty].map(|path| path.to_str().expect("a path").to_string());
     let output = trace(&["abc", &paths[0], &paths[1], &paths[2]]);
     assert!(output.status.success());
@@ -51,9 +55,9 @@
 }
 
 #[test]
-fn what_is_not_found_or_not_given_is_said() {
+fn unknown_requests_and_missing_arguments_fail() {
     let folder = tempfile::tempdir().expect("a folder");
-    let log = written(&folder, "first.log", FIRST);
+    let log = write_log(&folder, "first.log", FIRST);
     let path = log.to_str().expect("a path");
     assert_eq!(trace(&["nobody", path]).status.code(), Some(1));
     assert_eq!(trace(&["abc"]).status.code(), Some(2));
--- a/crates/sablebay/tests/true_coverage.rs
+++ b/crates/sablebay/tests/true_coverage.rs
@@ -14,15 +14,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn when_every_replica_of_a_shard_is_lost_the_gap_is_named() {
     let mut cluster = start(small_deployment("latency", 2_000.0)).await;
-    let whole = load(&cluster, 100.0, 0.5, 1).await;
-    assert_eq!(whole.full, whole.queries, "{whole:?}");
+    let baseline = load(&cluster, 100.0, 0.5, 1).await;
+    assert_eq!(baseline.full, baseline.queries, "{baseline:?}");
     for leaf in ["desk-leaf-1", "desk-leaf-2", "portal-leaf-3", "portal-leaf-4"] {
         cluster.leaves.leaves.remove(leaf);
     }
-    let gapped = load(&cluster, 50.0, 1.0, 2).await;
-    assert_eq!(gapped.violations, []);
-    assert!(gapped.answered > 0);
-    assert_eq!(gapped.full, 0, "an answer claims partitions that nobody holds any more");
+    let incomplete = load(&cluster, 50.0, 1.0, 2).await;
+    assert_eq!(incomplete.violations, []);
+    assert!(incomplete.answered > 0);
+    assert_eq!(incomplete.full, 0, "an answer claims partitions that nobody holds any more");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -69,7 +69,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn through_a_cut_and_a_pause_at_once() {
     let cluster = start(small_deployment("latency", 2_000.0)).await;
-    let trouble = async {
+    let fault_injection = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         cluster.proxies[0].set(Faults::cut());
         cluster.nodes[1].pause();
@@ -77,7 +77,7 @@
         cluster.nodes[1].resume();
         cluster.proxies[0].set(Faults::default());
     };
-    let (load, ()) = tokio::join!(load(&cluster, 60.0, 2.5, 5), trouble);
+    let (load, ()) = tokio::join!(load(&cluster, 60.0, 2.5, 5), fault_injection);
     assert_eq!(load.violations, []);
     assert!(load.answered > 0);
 }
