--- a/crates/sablebay/src/admin_client.rs
+++ b/crates/sablebay/src/admin_client.rs
@@ -12,16 +12,16 @@
 
 use crate::arguments::{Arguments, UsageError};
 
-/// Where the admin API is looked for.
+/// Default address of the admin API.
 const DEFAULT_ADDRESS: &str = "127.0.0.1:7300";
-/// How long a node has to answer.
+/// Limit for one request, including the connection.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// The header with the operator's token.
+/// Header that carries the operator's token.
 const TOKEN_HEADER: &str = "sablebay-operator-token";
-/// The environment variable with the operator's token.
+/// Environment variable with the operator's token, used without `--token`.
 pub const TOKEN_VARIABLE: &str = "SABLEBAY_OPERATOR_TOKEN";
 
-/// A client of one node's admin API.
+/// HTTP client for the admin API of one node.
 pub struct AdminClient {
     address: SocketAddr,
     pool: ConnectionPool,
@@ -29,10 +29,10 @@
 }
 
 impl AdminClient {
-    /// The client that the arguments ask for.
+    /// Creates a client from `--admin` and `--token`.
     ///
     /// # Errors
-    /// When the address is none.
+    /// If `--admin` is not an IP address and port.
     pub fn from_arguments(arguments: &Arguments) -> Result<Self, UsageError> {
         let text = arguments.value("admin").unwrap_or(DEFAULT_ADDRESS);
         let invalid = |_| UsageError::new(format!("--admin is `{text}`, not an IP address and port"));
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Sends a request. On failure prints why and returns nothing.
+    /// Sends a request and returns the body of a successful response. Prints any failure and returns `None`.
     pub async fn send(&self, method: Method, path: &str, body: Vec<u8>) -> Option<Bytes> {
         match tokio::time::timeout(REQUEST_TIMEOUT, self.exchange(method, path, body)).await {
             Ok(Some((status, body))) if status.is_success() => Some(body),
@@ -54,7 +54,7 @@
                 None
             }
             Ok(None) | Err(_) => {
-                eprintln!("sablebay: no node answers at {}", self.address);
+                eprintln!("sablebay: no response from {}", self.address);
                 None
             }
         }
@@ -78,12 +78,12 @@
     }
 }
 
-/// Runs a command's asynchronous part.
+/// Runs a future to completion on a single-threaded runtime.
 pub fn block_on(future: impl Future<Output = ExitCode>) -> ExitCode {
     match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime.block_on(future),
         Err(error) => {
-            eprintln!("sablebay: the runtime does not start: {error}");
+            eprintln!("sablebay: cannot start the async runtime: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/sablebay/src/arguments.rs
+++ b/crates/sablebay/src/arguments.rs
@@ -1,4 +1,4 @@
-//! Command-line arguments: one way to read them for every command.
+//! Command-line parsing shared by all commands.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,7 +9,7 @@
 
 use crate::output::print;
 
-/// A mistake on the command line.
+/// An invalid command line.
 #[derive(Debug, PartialEq, Eq)]
 pub struct UsageError {
     message: String,
@@ -22,16 +22,15 @@
 }
 
 impl UsageError {
-    /// A mistake described by one sentence.
     pub fn new(message: impl Into<String>) -> Self {
         Self { message: message.into() }
     }
 
-    /// A command that does not exist, with the nearest that does.
+    /// Reports an unknown command and suggests the most similar one.
     pub fn unknown_command(given: &str) -> Self {
         const COMMANDS: [&str; 8] =
             ["serve", "check", "status", "config", "drain", "release", "trace", "demo"];
-        Self::new(with_nearest(format!("there is no command `{given}`"), given, &COMMANDS))
+        Self::new(with_nearest(format!("unknown command `{given}`"), given, &COMMANDS))
     }
 }
 
@@ -48,32 +47,31 @@
     }
 }
 
-/// What a command accepts.
+/// Arguments that a command accepts.
 pub struct AcceptedArguments<'a> {
-    /// The command's help.
+    /// Text printed for `--help`.
     pub help: &'static str,
-    /// Options with a value, without their dashes.
+    /// Names of options with a value, without the leading dashes.
     pub options: &'a [&'a str],
-    /// Options without a value.
+    /// Names of options without a value.
     pub switches: &'a [&'a str],
-    /// Whether words without dashes are taken.
+    /// Whether positional arguments are accepted.
     pub positionals: bool,
 }
 
-/// What was given.
+/// Parsed command-line arguments.
 #[derive(Debug, Default)]
 pub struct Arguments {
     options: BTreeMap<String, Vec<String>>,
     switches: Vec<String>,
-    /// Words without dashes.
     pub positionals: Vec<String>,
 }
 
 impl Arguments {
-    /// Reads the arguments. Nothing when help or the version was asked for and printed.
+    /// Parses the arguments. Returns `None` after printing the help or the version on request.
     ///
     /// # Errors
-    /// A mistake; a mistyped option is named with the nearest one.
+    /// For unknown options, with a suggestion if one is similar, and for missing values.
     pub fn read(
         mut parser: lexopt::Parser,
         accepted: &AcceptedArguments<'_>,
@@ -105,26 +103,25 @@
         Ok(Some(arguments))
     }
 
-    /// Whether a switch was given.
     pub fn has(&self, name: &str) -> bool {
         self.switches.iter().any(|given| given == name)
     }
 
-    /// The last value of an option.
+    /// Last value given for an option.
     pub fn value(&self, name: &str) -> Option<&str> {
         self.options.get(name).and_then(|values| values.last()).map(String::as_str)
     }
 
-    /// Every option with its values, repeated ones one by one.
+    /// All options as name and value; repeated options yield several pairs.
     pub fn given_options(&self) -> Vec<(String, String)> {
         let pairs = self.options.iter().flat_map(|(name, values)| values.iter().map(move |v| (name, v)));
         pairs.map(|(name, value)| (name.clone(), value.clone())).collect()
     }
 
-    /// The last value of an option, parsed.
+    /// Last value given for an option, parsed. `expected` describes the valid form in the error message.
     ///
     /// # Errors
-    /// When it is not of the form expected.
+    /// If the value cannot be parsed.
     pub fn parsed<T: std::str::FromStr>(&self, name: &str, expected: &str) -> Result<Option<T>, UsageError> {
         let Some(text) = self.value(name) else {
             return Ok(None);
@@ -136,7 +133,7 @@
 
 fn unknown_option(name: &str, accepted: &AcceptedArguments<'_>) -> UsageError {
     let known: Vec<&str> = accepted.options.iter().chain(accepted.switches).copied().collect();
-    let message = format!("there is no option `--{name}`");
+    let message = format!("unknown option `--{name}`");
     match nearest_name(name, known.iter().copied()) {
         Some(nearest) => UsageError::new(format!("{message}; did you mean `--{nearest}`?")),
         None => UsageError::new(format!("{message}; see --help")),
--- a/crates/sablebay/src/bin/sablebay-bench.rs
+++ b/crates/sablebay/src/bin/sablebay-bench.rs
@@ -1,6 +1,6 @@
-//! `sablebay-bench`: the emulator of what sablebay serves, and its experiments.
+//! `sablebay-bench`: emulated search services and experiments on them.
 
-/// The product's allocator, so that what is measured here is what runs there.
+/// The same allocator as in `sablebay`, so that measurements apply to its nodes.
 #[global_allocator]
 static ALLOCATOR: sablebay_bench::CountingAllocator<mimalloc::MiMalloc> =
     sablebay_bench::CountingAllocator(mimalloc::MiMalloc);
--- a/crates/sablebay/src/command.rs
+++ b/crates/sablebay/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! Subcommands of `sablebay`.
 
 pub mod check;
 pub mod config;
--- a/crates/sablebay/src/command/check.rs
+++ b/crates/sablebay/src/command/check.rs
@@ -1,4 +1,4 @@
-//! `sablebay check`: validates configuration files, and renders what would be in force.
+//! `sablebay check`: validates configuration files offline and renders the resulting service settings.
 
 use std::process::ExitCode;
 
@@ -13,16 +13,16 @@
 use crate::output::print_line;
 
 const HELP: &str = "\
-Validates configuration files, offline, and prints every finding with its place.
+Validates configuration files offline and prints each finding with its file, line and column.
 
 Usage: sablebay check [--settings | --routing] [--render] [--json] FILE ...
 
-  --settings  the files are nodes' settings, not configurations
-  --routing   the files are routing configurations of the users' platform, as JSON
-  --render    print each service as it will be in force
-  --json      print one JSON object a file
+  --settings  the files are node settings instead of configurations
+  --routing   the files are routing configurations of the platform, as JSON
+  --render    print the resulting settings of each service
+  --json      print one JSON object per file
 
-Exit codes: 0 no findings, 1 findings, 2 usage.
+Exit codes: 0 no findings, 1 findings, 2 usage error.
 ";
 
 #[derive(Serialize)]
@@ -34,7 +34,6 @@
     services: Option<Vec<ServiceSettings>>,
 }
 
-/// Runs the command.
 pub fn run(parser: lexopt::Parser) -> CommandResult {
     let accepted = AcceptedArguments {
         help: HELP,
@@ -46,7 +45,7 @@
         return Ok(ExitCode::SUCCESS);
     };
     if arguments.positionals.is_empty() {
-        return Err(UsageError::new("check needs a file; see --help"));
+        return Err(UsageError::new("check requires a file; see --help"));
     }
     let mut all_valid = true;
     for file in &arguments.positionals {
@@ -60,7 +59,7 @@
 }
 
 fn check_routing(file: &str, text: &str) -> FileResult {
-    // A finding of a document is placed by the name of its route or service.
+    // Messages name the route or service; the validation provides no line numbers.
     let finding = |message| Finding {
         file: file.to_string(),
         line: 1,
--- a/crates/sablebay/src/command/config.rs
+++ b/crates/sablebay/src/command/config.rs
@@ -1,4 +1,4 @@
-//! `sablebay config`: shows what is in force, or tries a candidate against it.
+//! `sablebay config`: shows the configuration in force, or checks a candidate against it.
 
 use std::process::ExitCode;
 
@@ -10,19 +10,18 @@
 use crate::output::print_line;
 
 const HELP: &str = "\
-Shows what is in force, as JSON.
+Shows the configuration in force, as JSON.
 
 Usage: sablebay config [--admin ADDRESS] [--service NAME | --candidate FILE]
 
   --admin ADDRESS   the admin API of any node (default 127.0.0.1:7300)
-  --service NAME    one service: its settings, and how it behaves over the whole fleet
-  --candidate FILE  validate a file against what is in force, and show what it would change;
-                    nothing is changed: operators publish to the platform
+  --service NAME    show the settings and fleet-wide statistics of one service
+  --candidate FILE  validate a file against the configuration in force and show the differences;
+                    the file is not applied: configurations are published on the platform
 
-Exit codes: 0 fine, 1 findings or failure, 2 usage.
+Exit codes: 0 success, 1 findings or failure, 2 usage error.
 ";
 
-/// Runs the command.
 pub fn run(parser: lexopt::Parser) -> CommandResult {
     let accepted = AcceptedArguments {
         help: HELP,
@@ -35,7 +34,7 @@
     };
     let client = AdminClient::from_arguments(&arguments)?;
     let (method, path, body) = match (arguments.value("service"), arguments.value("candidate")) {
-        (Some(_), Some(_)) => return Err(UsageError::new("give --service or --candidate, not both")),
+        (Some(_), Some(_)) => return Err(UsageError::new("--service conflicts with --candidate")),
         (Some(service), None) => (Method::GET, format!("/v1/services/{service}"), Vec::new()),
         (None, Some(file)) => {
             let text = std::fs::read(file)
@@ -54,7 +53,7 @@
 
 fn print_answer(body: &[u8]) -> ExitCode {
     let Ok(answer) = serde_json::from_slice::<serde_json::Value>(body) else {
-        eprintln!("sablebay: the answer is not JSON");
+        eprintln!("sablebay: the response is not valid JSON");
         return ExitCode::FAILURE;
     };
     print_line(&format!("{answer:#}"));
--- a/crates/sablebay/src/command/demo.rs
+++ b/crates/sablebay/src/command/demo.rs
@@ -1,4 +1,4 @@
-//! `sablebay demo`: everything in one process, over real TCP, explained step by step.
+//! `sablebay demo`: runs a platform, leaves and three nodes in one process, connected over TCP.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,9 +20,9 @@
 use crate::arguments::{AcceptedArguments, Arguments};
 
 const HELP: &str = "\
-Runs a platform, the leaves of an order desk and three nodes in this process, over real TCP:
-asks queries, runs an operation, drains a node, loses a leaf. Each step is printed; the last line
-is one JSON object.
+Runs a platform, the leaves of several order desks and three nodes in this process, connected over
+TCP: sends queries, runs an operation, drains a node, stops a leaf. Each step is printed; the last
+line is a JSON object with the totals.
 
 Usage: sablebay demo
 ";
@@ -45,7 +45,6 @@
 
 type DemoError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Runs the command.
 pub fn run(parser: lexopt::Parser) -> CommandResult {
     let accepted = AcceptedArguments { help: HELP, options: &[], switches: &[], positionals: false };
     if Arguments::read(parser, &accepted)?.is_none() {
@@ -79,7 +78,7 @@
     platform.state.publish(&deployment.document(1, &leaves.addresses()))?;
     println!("2. The platform serves revision 1 of the configuration.");
     let mut nodes = start_nodes(platform.address).await?;
-    println!("3. Three nodes in three zones have found each other, and the configuration.");
+    println!("3. Three nodes in three zones have discovered each other and loaded the configuration.");
 
     let mut totals = Totals::default();
     let services = deployment.service_names();
@@ -92,13 +91,13 @@
     let leaving = nodes.remove(0);
     let (name, started) = (leaving.addresses.node.clone(), Instant::now());
     let (stopped, load) = tokio::join!(leaving.stop(), run_queries(&nodes, &services, 200));
-    let how = if stopped { "with nothing cut" } else { "by its time limit" };
+    let how = if stopped { "with all requests completed" } else { "at its stop timeout" };
     println!("7. {name} was drained and stopped {how} in {} ms, under load.", started.elapsed().as_millis());
     record_and_print("   Queries through the other two meanwhile", &load, &mut totals);
 
     remove_leaf(&mut leaves);
     let load = run_queries(&nodes, &services, 200).await;
-    record_and_print("8. A leaf was lost; its replica answers. Queries", &load, &mut totals);
+    record_and_print("8. A leaf was stopped; its replica answers. Queries", &load, &mut totals);
 
     totals.operations_run_twice = leaves.operations_run_twice();
     for node in nodes {
@@ -108,7 +107,7 @@
     Ok(totals)
 }
 
-/// The order desks of Tepung Raya.
+/// The order desk services of the example deployment `tepung-raya`.
 fn order_desks() -> Deployment {
     let mut deployment = Deployment::tepung_raya();
     deployment.services.retain(|service| service.name.starts_with("order-desk"));
@@ -169,7 +168,7 @@
 
 fn record_and_print(title: &str, load: &LoadSummary, totals: &mut Totals) {
     println!(
-        "{title}: {} asked, {} answered, {} with full coverage; p50 {:.1} ms, p99 {:.1} ms, extra load {:.1} %.",
+        "{title}: {} sent, {} answered, {} with full coverage; p50 {:.1} ms, p99 {:.1} ms, extra load {:.1} %.",
         load.queries,
         load.answered,
         load.full,
@@ -193,12 +192,12 @@
     }
 }
 
-/// Submits one order through every node at once, under one ticket.
+/// Submits one operation through all nodes concurrently under the same ticket.
 async fn run_operation(nodes: &[Node], totals: &mut Totals) {
     let clients: Vec<CallerClient> =
         nodes.iter().map(|node| CallerClient::new(node.addresses.caller_address)).collect();
     let Some(ticket) = clients[0].ticket(DESK).await else {
-        println!("6. No ticket could be had.");
+        println!("6. No ticket was issued.");
         return;
     };
     let submissions = clients.iter().map(|client| client.operation(DESK, Some(&ticket), None));
@@ -222,7 +221,7 @@
         "6. One order was submitted through all three nodes at once under one ticket: {outcome_counts:?}."
     );
     if let Some(state) = clients[2].ticket_state(&ticket).await {
-        println!("   Asked later, another node says of the ticket: {}.", state.state);
+        println!("   The state of the ticket, read later from another node: {}.", state.state);
     }
 }
 
--- a/crates/sablebay/src/command/drain.rs
+++ b/crates/sablebay/src/command/drain.rs
@@ -1,4 +1,4 @@
-//! `sablebay drain`: makes a node refuse new work, or take it again.
+//! `sablebay drain`: makes a node refuse new work, or accept it again.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -13,17 +13,16 @@
 use crate::output::print_line;
 
 const HELP: &str = "\
-Makes a node refuse new work; what is in flight is finished. The fleet is told.
+Makes a node refuse new work. Requests in flight are completed, and the other nodes are notified.
 
 Usage: sablebay drain [--admin ADDRESS] [--token TOKEN] [--undo] [--wait]
 
   --admin ADDRESS  the admin API of the node (default 127.0.0.1:7300)
-  --token TOKEN    the operator's token; SABLEBAY_OPERATOR_TOKEN by default
-  --undo           make the node take work again
-  --wait           return when nothing is in flight any more
+  --token TOKEN    the operator's token (default: the variable SABLEBAY_OPERATOR_TOKEN)
+  --undo           make the node accept new work again
+  --wait           wait until no request is in flight
 ";
 
-/// Runs the command.
 pub fn run(parser: lexopt::Parser) -> CommandResult {
     let accepted = AcceptedArguments {
         help: HELP,
@@ -46,7 +45,7 @@
     };
     loop {
         let Ok(report) = serde_json::from_slice::<NodeReport>(&body) else {
-            eprintln!("sablebay: the answer is not as expected");
+            eprintln!("sablebay: the response is not a valid status report");
             return ExitCode::FAILURE;
         };
         let state = if report.draining { "draining" } else { "taking work" };
--- a/crates/sablebay/src/command/release.rs
+++ b/crates/sablebay/src/command/release.rs
@@ -1,4 +1,4 @@
-//! `sablebay release`: lets a request be tried again that is held back.
+//! `sablebay release`: releases a request from quarantine.
 
 use std::process::ExitCode;
 
@@ -12,17 +12,16 @@
 use crate::output::print_line;
 
 const HELP: &str = "\
-Lets a request be tried again that is held back because back ends ended under it. All nodes are told. It goes to all
-back ends at once again: mend or replace what ended first.
+Releases a request that is quarantined because back ends crashed while running it, on all nodes. It is sent to all back
+ends again without restriction: repair or replace the crashed back ends first.
 
 Usage: sablebay release [--admin ADDRESS] [--token TOKEN] DIGEST
 
-  DIGEST           what `sablebay status` and the log name the request by
-  --admin ADDRESS  the admin API of any node that knows of it (default 127.0.0.1:7300)
-  --token TOKEN    the operator's token; SABLEBAY_OPERATOR_TOKEN by default
+  DIGEST           digest of the request, as shown by `sablebay status` and in the log
+  --admin ADDRESS  the admin API of any node that lists the request (default 127.0.0.1:7300)
+  --token TOKEN    the operator's token (default: the variable SABLEBAY_OPERATOR_TOKEN)
 ";
 
-/// Runs the command.
 pub fn run(parser: lexopt::Parser) -> CommandResult {
     let accepted =
         AcceptedArguments { help: HELP, options: &["admin", "token"], switches: &[], positionals: true };
@@ -30,7 +29,7 @@
         return Ok(ExitCode::SUCCESS);
     };
     let [text] = arguments.positionals.as_slice() else {
-        return Err(UsageError::new("release needs one digest; see --help"));
+        return Err(UsageError::new("release requires exactly one digest; see --help"));
     };
     let digest: RequestDigest = text.parse().map_err(|error| UsageError::new(format!("{error}")))?;
     let client = AdminClient::from_arguments(&arguments)?;
--- a/crates/sablebay/src/command/serve.rs
+++ b/crates/sablebay/src/command/serve.rs
@@ -1,4 +1,4 @@
-//! `sablebay serve`: runs a node until it is told to stop.
+//! `sablebay serve`: runs a node until SIGTERM or SIGINT.
 
 mod reload;
 
@@ -27,7 +27,7 @@
 
 Usage: sablebay serve [--settings FILE] [OPTION ...]
 
-Each setting can be given by a flag too, which goes before the file:
+Flags override the settings file:
   --node NAME  --zone NAME  --region NAME  --fleet NAME  --fleet-key TEXT
   --caller-address A  --admin-address A  --peer-address A  --advertised-peer-address A
   --platform-address A  --peers A (repeatable)  --operator-token TEXT
@@ -38,11 +38,10 @@
   --settings FILE   read settings from a TOML file
   --ready-fd N      also write the bound addresses to this file descriptor
 
-The bound addresses are printed as one JSON line on standard output. SIGTERM and SIGINT are the
-planned stop: new work is refused, what is in flight is finished, the exit code is 0.
+The bound addresses are printed as one JSON line on standard output. SIGTERM and SIGINT start a
+planned stop: new work is refused, requests in flight are completed, and the exit code is 0.
 ";
 
-/// Runs the command.
 pub fn run(parser: lexopt::Parser) -> CommandResult {
     let mut options = node_flags();
     options.extend(["settings", "ready-fd"]);
@@ -56,11 +55,11 @@
     };
     match runtime() {
         Ok(runtime) => Ok(runtime.block_on(serve(settings, file, ready_fd))),
-        Err(error) => Err(UsageError::new(format!("the runtime does not start: {error}"))),
+        Err(error) => Err(UsageError::new(format!("cannot start the async runtime: {error}"))),
     }
 }
 
-/// One thread where there is one core: more would take turns on it, each with memory of its own.
+/// Creates the runtime; single-threaded on one core, where further threads would only use more memory.
 fn runtime() -> std::io::Result<tokio::runtime::Runtime> {
     let cores = std::thread::available_parallelism().map_or(1, std::num::NonZero::get);
     let mut builder = match cores {
@@ -70,7 +69,7 @@
     builder.enable_all().build()
 }
 
-/// The settings, or nothing after every finding was printed.
+/// Reads the settings. Returns `None` after printing the findings if they are invalid.
 fn read_settings(arguments: &Arguments) -> Result<Option<(NodeSettings, SettingsFile)>, UsageError> {
     let file = arguments.value("settings").unwrap_or("flags");
     let text = match arguments.value("settings") {
@@ -124,7 +123,7 @@
     let addresses =
         Addresses { node: &node.addresses, gateway: gateway.as_ref().map(|gateway| &gateway.addresses) };
     if let Err(error) = announce(&addresses, ready_fd) {
-        eprintln!("sablebay: the bound addresses cannot be written: {error}");
+        eprintln!("sablebay: cannot write the bound addresses: {error}");
         return ExitCode::FAILURE;
     }
     run_until_stopped(&node, gateway.as_ref(), &mut file, &log_control).await;
@@ -140,7 +139,7 @@
     if finished { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Starts the gateway when the settings ask for one.
+/// Starts the gateway if the settings contain one.
 async fn start_gateway(node: &Node) -> Result<Option<Gateway>, sablebay_gateway::GatewayError> {
     let Some(settings) = node.shared.settings.gateway.clone() else {
         return Ok(None);
@@ -151,7 +150,7 @@
         .map(Some)
 }
 
-/// The addresses of every listener, as they are announced.
+/// Bound addresses of all listeners, printed as JSON at startup.
 #[derive(Serialize)]
 struct Addresses<'a> {
     #[serde(flatten)]
@@ -172,7 +171,7 @@
     Ok(())
 }
 
-/// Runs until SIGTERM or SIGINT; SIGHUP reads the settings again.
+/// Waits for SIGTERM or SIGINT. Reloads the settings on SIGHUP and when the file has changed.
 async fn run_until_stopped(
     node: &Node,
     gateway: Option<&Gateway>,
@@ -182,7 +181,7 @@
     let signals =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()), signal(SignalKind::hangup()));
     let (Ok(mut terminate), Ok(mut interrupt), Ok(mut hang_up)) = signals else {
-        log::error!("node: signals cannot be watched; the planned stop is not available.");
+        log::error!("node: signal handlers cannot be installed; the planned stop is not available.");
         return std::future::pending().await;
     };
     let mut poll = tokio::time::interval(POLL_INTERVAL);
--- a/crates/sablebay/src/command/serve/reload.rs
+++ b/crates/sablebay/src/command/serve/reload.rs
@@ -1,5 +1,5 @@
-//! Takes changed settings into use while the node runs: after SIGHUP, and when the file is found
-//! changed. Addresses and names stay until the next start; a change of these is logged.
+//! Reloads the settings file after SIGHUP and when its content changes. Names and addresses take
+//! effect only after a restart; a change to them is logged.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 use sablebay_gateway::Gateway;
 use sablebay_node::{LogControl, Node};
 
-/// How often the settings file is looked at without a signal.
+/// Interval at which the settings file is checked for changes.
 pub const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The settings file and what it held when it was last read.
+/// The settings file with the content last read.
 pub struct SettingsFile {
     path: Option<PathBuf>,
     overrides: Vec<(String, String)>,
@@ -22,7 +22,7 @@
 }
 
 impl SettingsFile {
-    /// Settings that were read from `text`; without a path they never change.
+    /// `text` is the content that `in_force` was parsed from. Without a path, reloading does nothing.
     pub fn new(
         path: Option<PathBuf>,
         overrides: Vec<(String, String)>,
@@ -32,8 +32,8 @@
         Self { path, overrides, text, in_force }
     }
 
-    /// Reads the file again, and takes what changed into use. A file with mistakes changes nothing:
-    /// each finding is logged.
+    /// Reads the file and applies changed settings. An invalid file changes nothing; its findings are
+    /// logged. With `requested`, an unchanged file is logged too.
     pub fn reload(
         &mut self,
         node: &Node,
@@ -47,13 +47,15 @@
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
             Err(error) => {
-                log::warn!("settings: the file cannot be read; the settings stay: {error}.");
+                log::warn!(
+                    "settings: the file cannot be read; the previous settings stay in force: {error}."
+                );
                 return;
             }
         };
         if text == self.text {
             if requested {
-                log::info!("settings: read again; nothing changed.");
+                log::info!("settings: reloaded; nothing changed.");
             }
             return;
         }
@@ -78,21 +80,21 @@
     ) {
         let level: LevelFilter = settings.log_level.parse().unwrap_or(LevelFilter::Info);
         if let Err(error) = log_control.set_level(level) {
-            log::warn!("settings: the log level stays: {error}.");
+            log::warn!("settings: the log level cannot be changed: {error}.");
         }
         node.shared.fleet.lock().add_seeds(settings.peers.iter().copied());
         if let (Some(gateway), Some(changed)) = (gateway, settings.gateway.clone()) {
             gateway.reload(changed, &settings.peers);
         }
         if restart_only_settings(&settings) != restart_only_settings(&self.in_force) {
-            log::warn!("settings: changed names and addresses are in force from the next start on.");
+            log::warn!("settings: changed names and addresses take effect after a restart.");
         }
         log::info!("settings: changed settings are in force.");
         self.in_force = settings;
     }
 }
 
-/// The settings that need a new start.
+/// Settings that take effect only at startup.
 fn restart_only_settings(settings: &NodeSettings) -> impl PartialEq {
     let gateway = settings.gateway.as_ref();
     (
--- a/crates/sablebay/src/command/status.rs
+++ b/crates/sablebay/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `sablebay status`: shows a node, or the whole fleet.
+//! `sablebay status`: shows the state of the fleet.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::output::print_line;
 
 const HELP: &str = "\
-Shows the fleet as one node sees it, and what each node says of itself.
+Shows the fleet as seen by one node, and the status report of each node.
 
 Usage: sablebay status [--admin ADDRESS] [--json] [--watch]
 
@@ -24,7 +24,7 @@
   --watch          print again every second
 ";
 
-/// The answer of `/v1/status?fleet=true`.
+/// Response of `/v1/status?fleet=true`.
 #[derive(Deserialize)]
 struct FleetStatus {
     versions: BTreeMap<String, usize>,
@@ -32,7 +32,6 @@
     nodes: Vec<NodeReport>,
 }
 
-/// Runs the command.
 pub fn run(parser: lexopt::Parser) -> CommandResult {
     let accepted = AcceptedArguments {
         help: HELP,
@@ -62,7 +61,7 @@
                     true
                 }
                 Err(error) => {
-                    eprintln!("sablebay: the answer is not as expected: {error}");
+                    eprintln!("sablebay: the response is not a valid status report: {error}");
                     false
                 }
             },
@@ -108,7 +107,8 @@
     print_problems(status);
 }
 
-/// Which zones are evacuated, and how many nodes know it: all must, before a zone counts as empty.
+/// Prints the evacuated zones with the number of nodes that know of the evacuation. All must know it before
+/// the zone counts as empty.
 fn print_evacuations(status: &FleetStatus) {
     let mut known: BTreeMap<&str, usize> = BTreeMap::new();
     for node in &status.nodes {
@@ -122,7 +122,7 @@
     }
 }
 
-/// What nodes with a gateway know of routes and replicas.
+/// Prints versions of routes and replicas for nodes with a gateway.
 fn print_catalogues(status: &FleetStatus) {
     let known: Vec<_> =
         status.nodes.iter().filter_map(|node| Some((&node.node, node.catalogue.as_ref()?))).collect();
@@ -146,24 +146,27 @@
     print_source_restore(&known);
 }
 
-/// Whether the catalogue's source came back from an older copy lately, and who has not heard of it.
+/// Prints whether the catalogue's source was recently restored from an older copy, and the nodes still in an older era.
 fn print_source_restore(known: &[(&String, &CatalogueReport)]) {
     let era = known.iter().map(|(_, catalogue)| catalogue.era).max().unwrap_or_default();
     let outdated: Vec<_> = known.iter().filter(|(_, catalogue)| catalogue.era < era).collect();
     for (node, catalogue) in &outdated {
-        print_line(&format!("{node} knows era {} of the catalogue's source, others {era}", catalogue.era));
+        print_line(&format!(
+            "{node} is at era {} of the catalogue's source, other nodes at {era}",
+            catalogue.era
+        ));
     }
     let unsettled = known.iter().filter(|(_, catalogue)| catalogue.era == era && !catalogue.settled);
     let retained: Vec<_> = unsettled.map(|(_, catalogue)| catalogue.kept).collect();
     if let Some(most) = retained.iter().max() {
         print_line(&format!(
-            "the source began era {era} lately: {} nodes keep up to {most} replicas and zones that it does not confirm",
+            "the source recently began era {era}: {} nodes retain up to {most} replicas and zones that the source lacks",
             retained.len()
         ));
     }
 }
 
-/// Which node has the oldest routes, where not all have the same.
+/// Prints the node with the oldest routing configuration, if versions differ.
 fn print_outdated_routes(known: &[(&String, &CatalogueReport)]) {
     let newest = known.iter().map(|(_, catalogue)| catalogue.version).max().unwrap_or_default();
     let behind: Vec<_> = known.iter().filter(|(_, catalogue)| catalogue.version < newest).collect();
@@ -171,18 +174,20 @@
         return;
     };
     let announced = match (catalogue.heard_version, catalogue.behind_ms) {
-        (Some(heard), Some(ms)) => format!("it heard of version {heard}, {ms} ms ago of a newer one"),
-        _ => "it has heard of no newer one".to_string(),
+        (Some(heard), Some(ms)) => {
+            format!("version {heard} was announced to it, the first newer one {ms} ms ago")
+        }
+        _ => "no newer version was announced to it".to_string(),
     };
     print_line(&format!(
-        "{} of {} nodes have older routes than version {newest}; the last is {node} with version {}: {announced}",
+        "{} of {} nodes have routes older than version {newest}; the oldest are those of {node} with version {}: {announced}",
         behind.len(),
         known.len(),
         catalogue.version
     ));
 }
 
-/// What nodes with a gateway know of tenants, and how many requests they refused because nobody knew the caller.
+/// Prints the number of tenants and keys, and of requests refused for failed authentication, for nodes with a gateway.
 fn print_tenants(status: &FleetStatus) {
     let of_node = |node: &NodeReport| {
         let catalogue = node.catalogue.as_ref()?;
@@ -210,7 +215,7 @@
     }
 }
 
-/// Nodes that see only a part of the fleet, and what that is known by.
+/// Prints the nodes that reach only a part of the fleet, with the basis of that estimate.
 fn print_fleet_parts(status: &FleetStatus) {
     for node in &status.nodes {
         let Some(part) = node.fleet_part.as_ref().filter(|part| part.share < 1.0) else {
@@ -220,7 +225,7 @@
     }
 }
 
-/// Requests that back ends ended under, as the node knows them that knows most.
+/// Prints requests that crashed back ends, each from the report with the most strikes.
 fn print_quarantine(status: &FleetStatus) {
     let mut known: BTreeMap<String, (&SuspectReport, usize)> = BTreeMap::new();
     for suspect in status.nodes.iter().flat_map(|node| &node.quarantine) {
--- a/crates/sablebay/src/command/trace.rs
+++ b/crates/sablebay/src/command/trace.rs
@@ -1,4 +1,4 @@
-//! `sablebay trace`: what the logs of several nodes say of one request.
+//! `sablebay trace`: shows the log lines of several nodes about one request.
 
 use std::process::ExitCode;
 
@@ -9,21 +9,21 @@
 use crate::output::print_line;
 
 const HELP: &str = "\
-Shows the lines about one request in the logs of several nodes, and what each node came to believe just before.
+Shows the log lines of several nodes about one request, and the state changes that each node logged just before.
 
 Usage: sablebay trace [--before N] REQUEST-ID FILE ...
 
-  --before N  lines about what the node believed, before each line about the request (default 8)
+  --before N  state changes shown before each line about the request (default 8)
 
-Logs are JSON lines; what stands before the first brace of a line is kept as its prefix. Lines of one file stay
-in the order that the process wrote them, also where its time of day jumped.
+Logs consist of JSON lines; text before the first brace of a line is shown as its prefix. Lines of one file are
+shown in file order, regardless of their timestamps.
 
-Exit codes: 0 the request was found, 1 it was not, 2 usage.
+Exit codes: 0 request found, 1 request not found, 2 usage error.
 ";
 
-/// Lines about what a node believed that are shown by default.
+/// Default number of state changes shown before each line about the request.
 const DEFAULT_CONTEXT: usize = 8;
-/// Beginnings of messages about what a node believes, by the part that writes them.
+/// Prefixes of log messages that report a change of a node's state.
 const STATE_PREFIXES: [&str; 10] = [
     "catalogue:",
     "configuration:",
@@ -37,15 +37,14 @@
     "stop:",
 ];
 
-/// One line of a log.
 struct LogLine {
-    /// What stands before the object.
+    /// Text before the JSON object.
     prefix: String,
     fields: Map<String, Value>,
 }
 
 impl LogLine {
-    /// Reads a line; nothing when it holds no object.
+    /// Parses a line; `None` if it contains no JSON object.
     fn parse(line: &str) -> Option<Self> {
         let start = line.find('{')?;
         let Ok(Value::Object(fields)) = serde_json::from_str(&line[start..]) else {
@@ -66,7 +65,7 @@
         STATE_PREFIXES.iter().any(|prefix| self.text("message").starts_with(prefix))
     }
 
-    /// Time, level and message, then the fields in the order of their names.
+    /// Renders time, level and message, followed by the other fields in the order of their names.
     fn render(&self) -> String {
         let mut line = [&self.prefix, self.text("time"), self.text("level"), self.text("message")].join(" ");
         let shown = |name: &str| !["time", "level", "message", "request"].contains(&name);
@@ -77,9 +76,8 @@
     }
 }
 
-/// The lines of one log that belong to the story of a request, in the order that they were written;
-/// empty when the log does not name it. Where several nodes write to one file, their lines are told
-/// apart by the prefix without its numbers.
+/// The lines of a log about a request and up to `before` state changes preceding each, in file order;
+/// empty if no line names the request. Nodes that share a file are distinguished by [`writer_of`].
 fn related_lines(text: &str, request: &str, before: usize) -> Vec<String> {
     let lines: Vec<LogLine> = text.lines().filter_map(LogLine::parse).collect();
     let mut shown: Vec<usize> = Vec::new();
@@ -96,23 +94,22 @@
     shown.into_iter().map(|position| lines[position].render()).collect()
 }
 
-/// The words of a prefix that are no numbers: a node's name stays, a time goes.
+/// The prefix without numbers: keeps the name of a node and drops timestamps.
 fn writer_of(prefix: &str) -> String {
     let words = prefix.split_whitespace().filter(|word| word.parse::<f64>().is_err());
     words.collect::<Vec<_>>().join(" ")
 }
 
-/// Runs the command.
 pub fn run(parser: lexopt::Parser) -> CommandResult {
     let accepted = AcceptedArguments { help: HELP, options: &["before"], switches: &[], positionals: true };
     let Some(arguments) = Arguments::read(parser, &accepted)? else {
         return Ok(ExitCode::SUCCESS);
     };
     let [request, files @ ..] = arguments.positionals.as_slice() else {
-        return Err(UsageError::new("trace needs a request's id and a file; see --help"));
+        return Err(UsageError::new("trace requires a request id and a file; see --help"));
     };
     if files.is_empty() {
-        return Err(UsageError::new("trace needs a file; see --help"));
+        return Err(UsageError::new("trace requires a file; see --help"));
     }
     let before = arguments.parsed("before", "a number of lines")?.unwrap_or(DEFAULT_CONTEXT);
     let mut found = false;
@@ -131,7 +128,7 @@
     }
     if !found {
         eprintln!(
-            "sablebay: no line names the request {request}; what went well is logged at level debug alone"
+            "sablebay: no log line names the request {request}; successful requests are logged only at level debug"
         );
         return Ok(ExitCode::FAILURE);
     }
--- a/crates/sablebay/src/main.rs
+++ b/crates/sablebay/src/main.rs
@@ -9,8 +9,8 @@
 
 use arguments::UsageError;
 
-/// Answers are read on one thread and freed on another all the time; the C library's allocator
-/// takes locks for that, which `run leaf-cost` showed as a quarter of a leaf call.
+/// Responses are often allocated on one thread and freed on another, for which the C library's
+/// allocator takes locks.
 #[global_allocator]
 static ALLOCATOR: mimalloc::MiMalloc = mimalloc::MiMalloc;
 
@@ -21,22 +21,22 @@
 
 Commands:
   serve    run a node
-  check    validate and render configuration files, offline
-  status   show a node, or the whole fleet
-  config   show what is in force, or try a candidate against it
-  drain    make a node refuse new work, or take it again
-  release  let a request be tried again that is held back
-  trace    show what the logs of several nodes say of one request
+  check    validate and render configuration files offline
+  status   show the state of the fleet
+  config   show the configuration in force, or check a candidate against it
+  drain    make a node refuse new work, or accept it again
+  release  release a request from quarantine
+  trace    show the log lines of several nodes about one request
   demo     run a platform, leaves and three nodes in this process
 
 Options:
   -h, --help     print this, or the help of a command
   -V, --version  print the version
 
-Exit codes: 0 fine, 1 findings or failure, 2 usage.
+Exit codes: 0 success, 1 findings or failure, 2 usage error.
 ";
 
-/// What a command ended with.
+/// Exit code of a command, or a usage error.
 pub type CommandResult = Result<ExitCode, UsageError>;
 
 const USAGE_EXIT_CODE: u8 = 2;
--- a/crates/sablebay/src/output.rs
+++ b/crates/sablebay/src/output.rs
@@ -1,20 +1,20 @@
-//! Printing that ends quietly when nobody reads on, as in `sablebay status | head`.
+//! Output that tolerates a closed pipe, as in `sablebay status | head`.
 
 use std::io::{ErrorKind, Write};
 
-/// Prints a text on standard output.
+/// Writes to standard output; ignores a closed pipe.
 pub fn print(text: &str) {
     let mut output = std::io::stdout().lock();
     let printed = output.write_all(text.as_bytes()).and_then(|()| output.flush());
     if let Err(error) = printed {
-        // A reader that is gone is the end of the printing; for anything else there is a word.
+        // A closed pipe is no failure: the reader needs no further output.
         if error.kind() != ErrorKind::BrokenPipe {
-            eprintln!("sablebay: the output cannot be written: {error}");
+            eprintln!("sablebay: cannot write to standard output: {error}");
         }
     }
 }
 
-/// Prints a text and a line end.
+/// Like [`print`], followed by a newline.
 pub fn print_line(text: &str) {
     print(&format!("{text}\n"));
 }
--- a/crates/sablebay/tests/at_most_once.rs
+++ b/crates/sablebay/tests/at_most_once.rs
@@ -1,8 +1,5 @@
-//! Must-hold 5: a non-repeatable request runs at most once.
-//!
-//! The experiment of the same name brings about pauses between claim and dispatch, kills, cuts of
-//! the fleet, and a cut together with a pause, of real processes. Here in short, and with the
-//! claim's write-once rule off.
+//! A non-repeatable request runs at most once: guards against a second run after pauses, kills and
+//! network partitions.
 
 mod common;
 
@@ -25,7 +22,7 @@
     assert_eq!(result.break_caught, Some(true), "{:?}", result.figures);
 }
 
-/// A caller that lost its answer asks any node, and any node says what became of its ticket.
+/// A caller that lost its answer can read the state of its ticket from any node.
 #[tokio::test(flavor = "multi_thread")]
 async fn any_node_tells_what_became_of_a_ticket() {
     let cluster = start(small_deployment("latency", 2_000.0)).await;
@@ -44,13 +41,13 @@
         assert_eq!(state.state, "done");
         assert!(state.result.is_some());
     }
-    // Submitted again, it does not run again.
+    // A second submission of the ticket does not run the operation again.
     let again = cluster.nodes[2].client().operation(DESK, Some(&ticket), None).await;
     assert!(!matches!(again, OperationOutcome::Done { .. }), "{again:?}");
     assert_eq!(cluster.leaves.operations().values().sum::<u32>(), 1);
 }
 
-/// Both other holders are replaced: nobody can vouch for the ticket, and nobody runs it.
+/// After two of the three ticket holders are replaced, the claim cannot be verified: the operation must not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn when_most_holders_are_replaced_the_ticket_is_refused() {
     let mut cluster = start(small_deployment("latency", 2_000.0)).await;
--- a/crates/sablebay/tests/check_routing.rs
+++ b/crates/sablebay/tests/check_routing.rs
@@ -1,9 +1,9 @@
-//! `sablebay check --routing`: every mistake of a routing configuration is named.
+//! `sablebay check --routing` reports every error in a routing configuration.
 
 use std::process::Command;
 
 fn check(document: &str) -> (Option<i32>, String) {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let path = folder.path().join("routing.json");
     std::fs::write(&path, document).expect("the file is written");
     let output =
--- a/crates/sablebay/tests/command_line.rs
+++ b/crates/sablebay/tests/command_line.rs
@@ -1,5 +1,5 @@
-//! The command line: exit codes, findings with places, the nearest name for a typing error, the
-//! examples, and the demo.
+//! The command line: exit codes, positions of findings, suggestions for mistyped names, the examples
+//! and the demo.
 
 use std::process::{Command, Output};
 
@@ -113,7 +113,7 @@
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// `sablebay ... | head`: nobody reads on, and nothing panics.
+/// Guards against a panic or an error when the reader closes the pipe, as in `sablebay ... | head`.
 #[test]
 fn output_that_nobody_reads_ends_quietly() {
     let file = example("tepung-raya/configuration.toml");
@@ -129,8 +129,7 @@
     assert_eq!(text(&ended.stderr), "");
 }
 
-/// Log lines as an operator sees them: a time, a level, a prefix, and nothing that the encoder
-/// could not make sense of.
+/// Guards against log lines with encoder errors, in both formats.
 #[test]
 fn log_lines_are_complete() {
     for format in ["text", "json"] {
--- a/crates/sablebay/tests/common/mod.rs
+++ b/crates/sablebay/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What the process tests share: a small deployment, and waiting for events.
+//! Shared helpers of the process tests: a small deployment and functions that wait for events.
 
-#![allow(dead_code)] // Each test file is a crate of its own, and uses a part of this.
+#![allow(dead_code)] // Each test file is a separate crate and uses only some of the helpers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,14 +12,14 @@
     CORPUS, CallerClient, Deployment, LoadOptions, LoadSummary, ServiceTime, WeightedService, run_load,
 };
 
-/// The service of [`small_deployment`] that is searched directly.
+/// Service of [`small_deployment`] with direct fan-out.
 pub const DESK: &str = "desk";
-/// The one that is searched through aggregators.
+/// Service of [`small_deployment`] that is searched through aggregators.
 pub const PORTAL: &str = "portal";
-/// How long an event may take before a test gives up on it.
+/// Time after which a test fails if an expected event has not occurred.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Two services over twelve leaves; one is searched directly, one through aggregators.
+/// Deploys [`DESK`] and [`PORTAL`] on twelve leaves.
 pub fn small_deployment(priority: &str, median_us: f64) -> Deployment {
     let mut deployment = Deployment::default();
     let base = format!("deadline_ms = 2000\npriority = \"{priority}\"\n");
@@ -31,23 +31,23 @@
     deployment
 }
 
-/// Three node processes over a deployment.
+/// Starts three node processes for a deployment.
 pub async fn start(deployment: Deployment) -> ProcessCluster {
     start_with(deployment, None).await
 }
 
-/// The same with one mechanism off.
+/// Like [`start`], with one mechanism disabled.
 pub async fn start_with(deployment: Deployment, broken: Option<&str>) -> ProcessCluster {
     let command = NodeCommand::with_break(broken).expect("the binaries are built");
     ProcessCluster::start(command, deployment, 3, &["--log-level", "warn"]).await.expect("the cluster starts")
 }
 
-/// A load over both services with every answer checked.
+/// Runs a load on all services of the cluster and checks every answer.
 pub async fn load(cluster: &ProcessCluster, rate: f64, seconds: f64, seed: u64) -> LoadSummary {
     run_load(load_options(cluster, rate, seconds, seed)).await
 }
 
-/// The options of [`load`].
+/// Options used by [`load`].
 pub fn load_options(cluster: &ProcessCluster, rate: f64, seconds: f64, seed: u64) -> LoadOptions {
     LoadOptions {
         nodes: Arc::new(Mutex::new(cluster.caller_addresses())),
@@ -83,7 +83,7 @@
     }
 }
 
-/// Waits until every node has a revision in force.
+/// Waits until every node has at least this revision in force.
 pub async fn wait_for_revision(cluster: &ProcessCluster, revision: u64) {
     for node in 0..cluster.nodes.len() {
         let what = format!("revision {revision} in force");
--- a/crates/sablebay/tests/configuration.rs
+++ b/crates/sablebay/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Must-hold 8: an accepted configuration is in force everywhere within seconds, and never reverts.
+//! An accepted configuration takes effect on all nodes within seconds and never reverts.
 
 mod common;
 
@@ -16,7 +16,8 @@
     found
 }
 
-/// The platform serves an older revision, then flaps, then is down, while every node is replaced.
+/// Guards against a return to an older revision while the platform is stale, flapping or down and every
+/// node is replaced.
 #[tokio::test(flavor = "multi_thread")]
 async fn through_a_stale_flapping_and_absent_platform_while_every_node_is_replaced() {
     let mut cluster = start(small_deployment("latency", 2_000.0)).await;
@@ -36,8 +37,8 @@
     wait_for_revision(&cluster, revision).await;
 }
 
-/// A change is published while one node is cut off and another is frozen; both come to it when
-/// they are back, and neither serves under the old one as if it were confirmed.
+/// A node that was paused while a change was published must not serve the old revision as confirmed
+/// after it resumes.
 #[tokio::test(flavor = "multi_thread")]
 async fn after_a_cut_and_a_pause() {
     let mut deployment = small_deployment("latency", 2_000.0);
@@ -52,11 +53,11 @@
         wait_for_report(&cluster, node, "the revision", |report| report.version.revision.0 == revision).await;
     }
     cluster.platform.state.set_mode(PlatformMode::Down);
-    // Longer than the freshness lease of the woken node.
+    // Longer than the freshness lease of the paused node.
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let client = cluster.nodes[2].client();
     let pending_query = async {
-        // Sent while the node is frozen, so that it is the first thing it sees.
+        // Sent while the node is paused, so that it processes the query first after resuming.
         client.query(DESK, 7, 5, Some(10_000), &CORPUS).await
     };
     let resumption = async {
@@ -74,7 +75,7 @@
     wait_for_revision(&cluster, revision).await;
 }
 
-/// A node that is alone, and cannot be confirmed, refuses where the template says so.
+/// An isolated node with an unconfirmed configuration follows `when_unconfirmed` of the template.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_that_nobody_confirms_refuses_or_serves_as_the_template_says() {
     let mut deployment = small_deployment("latency", 2_000.0);
@@ -92,7 +93,7 @@
     let client = cluster.nodes[0].client();
     let started = std::time::Instant::now();
     while !refused(&client.query(DESK, 1, 5, None, &CORPUS).await) {
-        assert!(started.elapsed() < common::EVENT_TIMEOUT, "it never refused");
+        assert!(started.elapsed() < common::EVENT_TIMEOUT, "node 0 did not refuse unconfirmed queries");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     let served = client.query(common::PORTAL, 1, 5, None, &CORPUS).await;
@@ -103,13 +104,12 @@
     cluster.wait_until_ready(3).await.unwrap();
     let started = std::time::Instant::now();
     while refused(&client.query(DESK, 1, 5, None, &CORPUS).await) {
-        assert!(started.elapsed() < common::EVENT_TIMEOUT, "it never served again");
+        assert!(started.elapsed() < common::EVENT_TIMEOUT, "node 0 did not serve again after the partition");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
 
-/// Two operators publish at once: two contents under one revision. Every node decides alike, and
-/// names the conflict.
+/// Two contents published under one revision: all nodes must choose the same one and report the conflict.
 #[tokio::test(flavor = "multi_thread")]
 async fn two_contents_under_one_revision_are_decided_alike_everywhere() {
     let mut cluster = start(small_deployment("latency", 2_000.0)).await;
@@ -134,7 +134,7 @@
     }
 }
 
-/// A revision with mistakes is rejected whole, and its findings can be read from every node.
+/// An invalid revision is rejected as a whole, and every node reports its findings.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_bad_revision_is_rejected_everywhere_with_its_findings() {
     let cluster = start(small_deployment("latency", 2_000.0)).await;
@@ -150,7 +150,7 @@
     assert!(matches!(outcome, QueryOutcome::Answered(_)), "{outcome:?}");
 }
 
-/// What an operator asks before publishing.
+/// A candidate is compared with the configuration in force without being applied.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_candidate_is_checked_against_what_is_in_force() {
     let mut cluster = start(small_deployment("latency", 2_000.0)).await;
--- a/crates/sablebay/tests/interfaces.rs
+++ b/crates/sablebay/tests/interfaces.rs
@@ -1,4 +1,4 @@
-//! The callers' and the operators' APIs: every bad input has an answer of its own.
+//! The caller API and the admin API: each kind of invalid input has its own status and reason.
 
 mod common;
 
@@ -74,7 +74,7 @@
     }
 }
 
-/// State-changing calls need the operator's token.
+/// State-changing admin requests require the operator's token.
 #[tokio::test(flavor = "multi_thread")]
 async fn operators_without_the_token_change_nothing() {
     let command = NodeCommand::with_break(None).unwrap();
@@ -90,7 +90,7 @@
     assert!(!report.draining);
 }
 
-/// The node's own limit is over all services, and says when to come back.
+/// The node's concurrency limit covers all services; refusals carry a retry delay.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_without_a_free_slot_refuses_at_once() {
     let command = NodeCommand::with_break(None).unwrap();
@@ -111,7 +111,7 @@
     assert!(refusal.retry_after_ms.is_some());
 }
 
-/// Drain and undrain through the command line, and what the fleet says of it.
+/// Drain and undrain through the command line, as reported by the other nodes.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_is_drained_and_taken_back() {
     let cluster = start(small_deployment("latency", 1_000.0)).await;
@@ -126,7 +126,7 @@
     let leaving = |report: &sablebay_node::NodeReport| {
         report.members.iter().any(|member| member.status == sablebay_fleet::MemberStatus::Leaving)
     };
-    common::wait_for_report(&cluster, 1, "the word of leaving", leaving).await;
+    common::wait_for_report(&cluster, 1, "the status `leaving` of a member", leaving).await;
     assert!(sablebay(&["status", "--admin", &admin]).contains("draining"));
     sablebay(&["drain", "--admin", &admin, "--undo"]);
     cluster.wait_until_ready(3).await.unwrap();
@@ -137,7 +137,7 @@
     assert!(String::from_utf8_lossy(&body).contains("sablebay_members 3"));
 }
 
-/// The log's level is changed while the node runs.
+/// The log level can be changed at run time; unknown levels are rejected.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_log_level_is_changed_through_the_admin_api() {
     let command = NodeCommand::with_break(None).unwrap();
@@ -151,7 +151,7 @@
     assert_eq!(status, StatusCode::BAD_REQUEST);
 }
 
-/// A process that is not of the fleet is turned away, and counted.
+/// Connections of processes without the fleet key are closed and counted.
 #[tokio::test(flavor = "multi_thread")]
 async fn strangers_among_peers_are_turned_away() {
     let cluster = start(small_deployment("latency", 1_000.0)).await;
@@ -167,7 +167,7 @@
         if String::from_utf8_lossy(&body).contains("sablebay_frames_wrong_proof 1") {
             return;
         }
-        assert!(started.elapsed() < common::EVENT_TIMEOUT, "the stranger was not counted");
+        assert!(started.elapsed() < common::EVENT_TIMEOUT, "the rejected connection was not counted");
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     }
 }
--- a/crates/sablebay/tests/leaving_back_ends.rs
+++ b/crates/sablebay/tests/leaving_back_ends.rs
@@ -1,4 +1,4 @@
-//! Must-hold 6: a leaving back end gets no new work after a few seconds.
+//! A leaving back end gets no new work once the nodes know that it is leaving.
 
 mod common;
 
@@ -17,12 +17,11 @@
     for node in 0..cluster.nodes.len() {
         let lists_leaf =
             |report: &sablebay_node::NodeReport| report.leaving_leaves.iter().any(|name| name == leaf);
-        wait_for_report(cluster, node, "the word about the leaf", lists_leaf).await;
+        wait_for_report(cluster, node, "the report of the leaving leaf", lists_leaf).await;
     }
 }
 
-/// One node meets the leaf's own word; the others hear of it from that node, though they have
-/// asked the leaf nothing.
+/// The leaf reports that it is draining to one node; that node must inform the others.
 #[tokio::test(flavor = "multi_thread")]
 async fn by_its_own_flag_fleet_wide() {
     const LEAF: &str = "desk-leaf-1";
@@ -38,7 +37,7 @@
     assert_eq!(load.full, load.queries);
 }
 
-/// The platform's list names it, while a node is being replaced and a replica is lost.
+/// The machine list of the platform marks the leaf as leaving while a node is replaced and a replica is lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn by_the_platforms_list_with_a_lost_replica_and_a_replaced_node() {
     const LEAF: &str = "portal-leaf-1";
@@ -57,7 +56,7 @@
     assert_eq!(load.full, load.queries);
 }
 
-/// Calls that were in flight when the leaf began to leave are finished.
+/// Calls in flight when the leaf starts draining are completed.
 #[tokio::test(flavor = "multi_thread")]
 async fn work_in_flight_is_finished() {
     const LEAF: &str = "desk-leaf-2";
--- a/crates/sablebay/tests/not_run.rs
+++ b/crates/sablebay/tests/not_run.rs
@@ -1,6 +1,5 @@
-//! Must-hold 4: "not run" means that it did not run.
-//!
-//! Every operation that a caller is told did not run is looked for in the leaves' own ledgers.
+//! An operation that is answered with "not run" did not run on any leaf, according to the operations
+//! that the leaves record.
 
 mod common;
 
@@ -14,7 +13,7 @@
 
 const DEADLINE_MS: u64 = 500;
 
-/// Submits operations one by one under tickets; what callers were told, by ticket.
+/// Submits operations sequentially and returns the outcome of each by ticket.
 async fn submit(cluster: &ProcessCluster, count: usize) -> BTreeMap<String, OperationOutcome> {
     let client = cluster.nodes[0].client();
     let mut reported = BTreeMap::new();
@@ -30,13 +29,13 @@
     ticket.split('.').nth(3).unwrap()
 }
 
-/// How many were told "not run"; none of them ran.
+/// Asserts that no operation with the outcome "not run" ran, and returns the number of these.
 fn assert_not_run_is_true(cluster: &ProcessCluster, reported: &BTreeMap<String, OperationOutcome>) -> usize {
     let ran = cluster.leaves.operations();
     let not_run = reported.iter().filter(|(_, outcome)| matches!(outcome, OperationOutcome::NotRun { .. }));
     let mut count = 0;
     for (ticket, outcome) in not_run {
-        assert_eq!(ran.get(id(ticket)), None, "{ticket} ran, and its caller was told {outcome:?}");
+        assert_eq!(ran.get(id(ticket)), None, "{ticket} ran, but its outcome was {outcome:?}");
         count += 1;
     }
     count
@@ -69,7 +68,7 @@
     assert_eq!(assert_not_run_is_true(&cluster, &reported), 5, "{reported:?}");
 }
 
-/// A back end that took the operation and gave no word: the caller must not be told "not run".
+/// If a back end accepted the operation and did not respond, the outcome is unknown, not "not run".
 #[tokio::test(flavor = "multi_thread")]
 async fn a_back_end_that_gives_no_word_makes_it_unknown() {
     let cluster = start(small_deployment("latency", 2_000.0)).await;
@@ -83,7 +82,7 @@
     assert_eq!(cluster.leaves.operations().len(), 3);
 }
 
-/// The ledgers are not blind: a node that takes silence for a refusal is found out.
+/// Validates the check itself: a node that treats a missing response as a refusal must be detected.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_false_not_run_is_noticed_when_the_mechanism_is_off() {
     let cluster = start_with(small_deployment("latency", 2_000.0), Some("unknown-outcomes")).await;
@@ -96,8 +95,7 @@
     assert_eq!(reported.iter().filter(|entry| is_false(*entry)).count(), 3, "{reported:?}");
 }
 
-/// Connections to the back ends break after the operation was sent: the answer is lost, not the
-/// operation.
+/// A connection that breaks after the operation was sent must not lead to "not run" or a second run.
 #[tokio::test(flavor = "multi_thread")]
 async fn when_connections_to_back_ends_break_at_any_point() {
     let mut cluster = start(small_deployment("latency", 5_000.0)).await;
@@ -134,13 +132,17 @@
     let ran = cluster.leaves.operations();
     for (ticket, outcome) in &reported {
         if matches!(outcome, OperationOutcome::Done { .. }) {
-            assert_eq!(ran.get(id(ticket)), Some(&1), "{ticket} is called done and did not run once");
+            assert_eq!(
+                ran.get(id(ticket)),
+                Some(&1),
+                "{ticket} has the outcome done but did not run exactly once"
+            );
         }
     }
     assert_eq!(cluster.leaves.operations_run_twice(), 0);
 }
 
-/// A refusal without a ticket says "not run" at once, and when to come back.
+/// Without a ticket, a draining node answers "not run" with a retry delay.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_draining_node_refuses_at_once_and_says_when_to_come_back() {
     let cluster = start(small_deployment("latency", 2_000.0)).await;
--- a/crates/sablebay/tests/one_snapshot.rs
+++ b/crates/sablebay/tests/one_snapshot.rs
@@ -1,7 +1,5 @@
-//! Must-hold 1: an answer comes from one index snapshot.
-//!
-//! Versions roll over the leaves while queries run, alone and together with a replica that is
-//! slow or lost, and with one that answers with a version that it was not asked for.
+//! An answer comes from a single index snapshot: guards against mixed versions during rolling index
+//! updates, with slow, lost and misbehaving replicas.
 
 mod common;
 
@@ -62,7 +60,7 @@
     assert_one_snapshot(&load);
 }
 
-/// The same checker finds mixed answers when the check of versions is off.
+/// Validates the checker: it must detect mixed versions when the version check is disabled.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_checker_notices_when_the_mechanism_is_off() {
     let options =
--- a/crates/sablebay/tests/own_answer.rs
+++ b/crates/sablebay/tests/own_answer.rs
@@ -1,7 +1,5 @@
-//! Must-hold 3: each caller gets the whole answer to its own request, never another's, however
-//! late or out of order.
-//!
-//! Every query asks for an outlet of its own, and every hit names the outlet that it is for.
+//! Each caller gets the complete answer to its own request. Every query asks for a different outlet,
+//! and every hit names its outlet, so that foreign answers are detected.
 
 mod common;
 
@@ -33,7 +31,7 @@
     assert!(load.answered > 0);
 }
 
-/// Callers whose connections are slow, jittered and reset in the middle of answers.
+/// Caller connections with delay, jitter and resets in the middle of answers.
 #[tokio::test(flavor = "multi_thread")]
 async fn behind_a_network_that_delays_and_resets() {
     let cluster = start(small_deployment("latency", 2_000.0)).await;
@@ -50,11 +48,10 @@
     let load = sablebay_standin::run_load(options).await;
     assert_eq!(load.violations, []);
     assert!(load.answered > 0);
-    assert!(load.cut > 0, "the proxy reset nothing: the test has lost its fault");
+    assert!(load.cut > 0, "the proxy reset no connection, so the test exercised no fault");
 }
 
-/// A node that was frozen answers late; the caller's next request on the same connection still
-/// gets its own answer.
+/// A late answer of a paused node must not be taken for the answer to the next request on the connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn after_a_pause() {
     let cluster = start(small_deployment("latency", 2_000.0)).await;
@@ -71,7 +68,7 @@
     assert!(load.answered > 0);
 }
 
-/// Several queries' calls in one batch, answered as each is done: the order differs.
+/// Calls of several queries share a batch and are answered in order of completion.
 fn coalescing_deployment() -> Deployment {
     let mut deployment = small_deployment("latency", 4_000.0);
     deployment.template("direct", "deadline_ms = 2000\nfan_out = \"direct\"\ncoalesce_us = 20000\n");
@@ -86,7 +83,7 @@
     assert!(load.answered > 0);
 }
 
-/// The same with answers taken for the oldest open call, whatever call they name.
+/// Validates the checker: with correlation disabled, an answer is assigned to the oldest open call.
 #[tokio::test(flavor = "multi_thread")]
 async fn foreign_answers_are_noticed_when_the_mechanism_is_off() {
     let cluster = start_with(coalescing_deployment(), Some("correlation")).await;
@@ -94,7 +91,7 @@
     assert!(load.count(Violation::ForeignAnswer) > 0, "{load:?}");
 }
 
-/// The checker is not blind: another caller's answer is noticed, and so is half of one's own.
+/// Validates the checker with a foreign answer and with an incomplete one.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_checker_notices_another_callers_answer_and_a_cut_one() {
     let cluster = start(small_deployment("latency", 1_000.0)).await;
--- a/crates/sablebay/tests/planned_stop.rs
+++ b/crates/sablebay/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! Must-hold 7: a planned stop cuts no request in flight.
+//! A planned stop interrupts no request in flight.
 
 mod common;
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// Stops a node under load. The callers keep asking it until it is gone.
+/// Stops a node under load; callers send requests to it until it exits.
 async fn stop_under_load(cluster: &mut ProcessCluster, seed: u64) -> sablebay_standin::LoadSummary {
     let options = load_options(cluster, 100.0, 2.5, seed);
     let nodes = options.nodes.clone();
@@ -52,7 +52,7 @@
     assert_eq!((load.cut, load.unknown, load.not_run), (0, 0, 0), "{load:?}");
 }
 
-/// Two nodes that aggregate for each other are stopped at the same moment.
+/// Two nodes that aggregate for each other are stopped simultaneously.
 #[tokio::test(flavor = "multi_thread")]
 async fn of_two_nodes_that_work_for_each_other() {
     let mut cluster = start(small_deployment("latency", 50_000.0)).await;
--- a/crates/sablebay/tests/soak.rs
+++ b/crates/sablebay/tests/soak.rs
@@ -1,14 +1,12 @@
-//! The fault soak, short and with a fixed seed. Seeds that ever failed are kept here, with the cause.
-//!
-//! Promises with a bound in seconds are left to the soak's own runs: no verdict here depends on the
-//! machine's speed.
+//! A short fault soak with a fixed seed. Time bounds are not checked, so that results do not depend on
+//! the speed of the machine.
 
 use std::time::Duration;
 
 use sablebay_bench::{Promise, SoakOptions, SoakReport, run_soak};
 
 async fn soak(seed: u64, broken: Option<&str>) -> SoakReport {
-    let logs = tempfile::tempdir().expect("a folder");
+    let logs = tempfile::tempdir().expect("a temporary folder");
     let options = SoakOptions {
         seed,
         length: Duration::from_secs(12),
--- a/crates/sablebay/tests/true_coverage.rs
+++ b/crates/sablebay/tests/true_coverage.rs
@@ -1,7 +1,5 @@
-//! Must-hold 2: the coverage that an answer reports is true.
-//!
-//! Leaves are lost, shed, lie about what they answered, and shards move while queries run; a
-//! partition of the network and a frozen node at once.
+//! The coverage that an answer reports is correct: guards against claimed partitions that were not
+//! searched, with lost, shedding and misreporting leaves, moving shards and network partitions.
 
 mod common;
 
@@ -22,7 +20,7 @@
     let incomplete = load(&cluster, 50.0, 1.0, 2).await;
     assert_eq!(incomplete.violations, []);
     assert!(incomplete.answered > 0);
-    assert_eq!(incomplete.full, 0, "an answer claims partitions that nobody holds any more");
+    assert_eq!(incomplete.full, 0, "an answer claims partitions that no leaf holds");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -47,7 +45,7 @@
         let moved = shards[0].leaves.clone();
         shards[0].leaves = shards[1].leaves.clone();
         shards[1].leaves = moved;
-        // Both owners hold it first, then the new one alone.
+        // During the move, old and new owner hold the partitions; afterwards only the new one.
         let holds_both =
             cluster.deployment.services[0].shards.iter().flat_map(|shard| shard.partitions.iter()).collect();
         for number in 1..=4 {
@@ -84,8 +82,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_checker_notices_when_the_mechanism_is_off() {
-    // A leaf answers for wrong partitions for a quarter of a second at a time: a run in which no query meets
-    // it then says nothing about the checker, and another is made.
+    // A leaf answers for wrong partitions only for short periods; a run in which no query hits one is
+    // inconclusive and is repeated with another seed.
     const RUNS: u64 = 6;
     for seed in 1..=RUNS {
         let broken = Some("partition-check".to_string());
