--- a/crates/sablebay/src/command/demo.rs
+++ b/crates/sablebay/src/command/demo.rs
@@ -1,4 +1,4 @@
-//! `sablebay demo`: everything in one process, over real TCP, explained step by step.
+//! `sablebay demo`: runs a platform, leaves and three nodes in one process, connected over TCP.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,12 +17,12 @@
 };
 
 use crate::CommandResult;
-use crate::arguments::{Accepted, Arguments};
+use crate::arguments::{AcceptedArguments, Arguments};
 
 const HELP: &str = "\
-Runs a platform, the leaves of an order desk and three nodes in this process, over real TCP:
-asks queries, runs an operation, drains a node, loses a leaf. Each step is printed; the last line
-is one JSON object.
+Runs a platform, the leaves of several order desks and three nodes in this process, connected over
+TCP: sends queries, runs an operation, drains a node, stops a leaf. Each step is printed; the last
+line is a JSON object with the totals.
 
 Usage: sablebay demo
 ";
@@ -30,7 +30,7 @@
 const DESK: &str = "order-desk-1";
 const LIMIT: usize = 5;
 const SEED: u64 = 7;
-const READY_PATIENCE: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Serialize, Default)]
 struct Totals {
@@ -45,20 +45,19 @@
 
 type DemoError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Runs the command.
 pub fn run(parser: lexopt::Parser) -> CommandResult {
-    let accepted = Accepted { help: HELP, options: &[], switches: &[], words: false };
+    let accepted = AcceptedArguments { help: HELP, options: &[], switches: &[], positionals: false };
     if Arguments::read(parser, &accepted)?.is_none() {
         return Ok(ExitCode::SUCCESS);
     }
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    let ended = runtime.map_err(DemoError::from).and_then(|runtime| runtime.block_on(demonstrate()));
-    match ended {
+    let result = runtime.map_err(DemoError::from).and_then(|runtime| runtime.block_on(run_demo()));
+    match result {
         Ok(totals) => {
-            let fine =
+            let succeeded =
                 totals.violations == 0 && totals.operations_run_twice == 0 && totals.operations_done > 0;
             println!("{}", serde_json::to_string(&totals).unwrap_or_default());
-            Ok(if fine { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+            Ok(if succeeded { ExitCode::SUCCESS } else { ExitCode::FAILURE })
         }
         Err(error) => {
             eprintln!("sablebay: the demo failed: {error}");
@@ -67,7 +66,7 @@
     }
 }
 
-async fn demonstrate() -> Result<Totals, DemoError> {
+async fn run_demo() -> Result<Totals, DemoError> {
     let deployment = order_desks();
     let mut leaves = deployment.start_leaves(SEED).await?;
     println!(
@@ -79,26 +78,26 @@
     platform.state.publish(&deployment.document(1, &leaves.addresses()))?;
     println!("2. The platform serves revision 1 of the configuration.");
     let mut nodes = start_nodes(platform.address).await?;
-    println!("3. Three nodes in three zones have found each other, and the configuration.");
+    println!("3. Three nodes in three zones have discovered each other and loaded the configuration.");
 
     let mut totals = Totals::default();
     let services = deployment.service_names();
-    let load = ask(&nodes, &services, 200).await;
-    report("4. Queries through every node", &load, &mut totals);
+    let load = run_queries(&nodes, &services, 200).await;
+    record_and_print("4. Queries through every node", &load, &mut totals);
 
     show_one_answer(&nodes).await;
     run_operation(&nodes, &mut totals).await;
 
     let leaving = nodes.remove(0);
     let (name, started) = (leaving.addresses.node.clone(), Instant::now());
-    let (stopped, load) = tokio::join!(leaving.stop(), ask(&nodes, &services, 200));
-    let how = if stopped { "with nothing cut" } else { "by its time limit" };
+    let (stopped, load) = tokio::join!(leaving.stop(), run_queries(&nodes, &services, 200));
+    let how = if stopped { "with all requests completed" } else { "at its stop timeout" };
     println!("7. {name} was drained and stopped {how} in {} ms, under load.", started.elapsed().as_millis());
-    report("   Queries through the other two meanwhile", &load, &mut totals);
+    record_and_print("   Queries through the other two meanwhile", &load, &mut totals);
 
-    lose_leaf(&mut leaves);
-    let load = ask(&nodes, &services, 200).await;
-    report("8. A leaf was lost; its replica answers. Queries", &load, &mut totals);
+    remove_leaf(&mut leaves);
+    let load = run_queries(&nodes, &services, 200).await;
+    record_and_print("8. A leaf was stopped; its replica answers. Queries", &load, &mut totals);
 
     totals.operations_run_twice = leaves.operations_run_twice();
     for node in nodes {
@@ -108,7 +107,7 @@
     Ok(totals)
 }
 
-/// The order desks of Tepung Raya.
+/// The order desk services of the example deployment `tepung-raya`.
 fn order_desks() -> Deployment {
     let mut deployment = Deployment::tepung_raya();
     deployment.services.retain(|service| service.name.starts_with("order-desk"));
@@ -139,7 +138,7 @@
 async fn wait_until_ready(node: &Node) -> Result<(), DemoError> {
     let client = CallerClient::new(node.addresses.caller_address);
     let started = Instant::now();
-    while started.elapsed() < READY_PATIENCE {
+    while started.elapsed() < READY_TIMEOUT {
         let answer = client.send(http::Method::GET, "/readyz", "").await;
         let members = node.shared.fleet.lock().members().present_count();
         if answer.is_some_and(|(status, _)| status.is_success()) && members == 2 {
@@ -150,7 +149,7 @@
     Err(format!("{} is not ready", node.addresses.node).into())
 }
 
-async fn ask(nodes: &[Node], services: &[String], queries: u64) -> LoadSummary {
+async fn run_queries(nodes: &[Node], services: &[String], queries: u64) -> LoadSummary {
     const RATE: f64 = 200.0;
     run_load(LoadOptions {
         nodes: Arc::new(Mutex::new(nodes.iter().map(|node| node.addresses.caller_address).collect())),
@@ -167,9 +166,9 @@
     .await
 }
 
-fn report(title: &str, load: &LoadSummary, totals: &mut Totals) {
+fn record_and_print(title: &str, load: &LoadSummary, totals: &mut Totals) {
     println!(
-        "{title}: {} asked, {} answered, {} with full coverage; p50 {:.1} ms, p99 {:.1} ms, extra load {:.1} %.",
+        "{title}: {} sent, {} answered, {} with full coverage; p50 {:.1} ms, p99 {:.1} ms, extra load {:.1} %.",
         load.queries,
         load.answered,
         load.full,
@@ -193,16 +192,16 @@
     }
 }
 
-/// Submits one order through every node at once, under one ticket.
+/// Submits one operation through all nodes concurrently under the same ticket.
 async fn run_operation(nodes: &[Node], totals: &mut Totals) {
     let clients: Vec<CallerClient> =
         nodes.iter().map(|node| CallerClient::new(node.addresses.caller_address)).collect();
     let Some(ticket) = clients[0].ticket(DESK).await else {
-        println!("6. No ticket could be had.");
+        println!("6. No ticket was issued.");
         return;
     };
     let submissions = clients.iter().map(|client| client.operation(DESK, Some(&ticket), None));
-    let mut words: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut outcome_counts: BTreeMap<&str, usize> = BTreeMap::new();
     let mut running: Vec<std::pin::Pin<Box<dyn Future<Output = OperationOutcome> + Send + '_>>> = Vec::new();
     for submission in submissions {
         running.push(Box::pin(submission));
@@ -210,20 +209,22 @@
     let (first, second, third) = (running.remove(0), running.remove(0), running.remove(0));
     let outcomes = tokio::join!(first, second, third);
     for outcome in [outcomes.0, outcomes.1, outcomes.2] {
-        let word = match outcome {
+        let label = match outcome {
             OperationOutcome::Done { .. } => "done",
             OperationOutcome::NotRun { .. } => "not run",
             OperationOutcome::Unknown { .. } => "claimed elsewhere",
         };
-        *words.entry(word).or_default() += 1;
+        *outcome_counts.entry(label).or_default() += 1;
     }
-    totals.operations_done = words.get("done").copied().unwrap_or(0);
-    println!("6. One order was submitted through all three nodes at once under one ticket: {words:?}.");
+    totals.operations_done = outcome_counts.get("done").copied().unwrap_or(0);
+    println!(
+        "6. One order was submitted through all three nodes at once under one ticket: {outcome_counts:?}."
+    );
     if let Some(state) = clients[2].ticket_state(&ticket).await {
-        println!("   Asked later, another node says of the ticket: {}.", state.state);
+        println!("   The state of the ticket, read later from another node: {}.", state.state);
     }
 }
 
-fn lose_leaf(leaves: &mut RunningLeaves) {
+fn remove_leaf(leaves: &mut RunningLeaves) {
     leaves.leaves.remove(&format!("{DESK}-leaf-1"));
 }
--- a/crates/sablebay/tests/command_line.rs
+++ b/crates/sablebay/tests/command_line.rs
@@ -1,14 +1,14 @@
-//! The command line: exit codes, findings with places, the nearest name for a typing error, the
-//! examples, and the demo.
+//! The command line: exit codes, positions of findings, suggestions for mistyped names, the examples
+//! and the demo.
 
 use std::process::{Command, Output};
 
-fn sablebay(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_sablebay")).args(words).output().expect("the binary runs")
+fn sablebay(arguments: &[&str]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_sablebay")).args(arguments).output().expect("the binary runs")
 }
 
-fn bench(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_sablebay-bench")).args(words).output().expect("the binary runs")
+fn bench(arguments: &[&str]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_sablebay-bench")).args(arguments).output().expect("the binary runs")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -113,7 +113,7 @@
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// `sablebay ... | head`: nobody reads on, and nothing panics.
+/// Guards against a panic or an error when the reader closes the pipe, as in `sablebay ... | head`.
 #[test]
 fn output_that_nobody_reads_ends_quietly() {
     let file = example("tepung-raya/configuration.toml");
@@ -129,10 +129,9 @@
     assert_eq!(text(&ended.stderr), "");
 }
 
-/// Log lines as an operator sees them: a time, a level, a prefix, and nothing that the encoder
-/// could not make sense of.
+/// Guards against log lines with encoder errors, in both formats.
 #[test]
-fn log_lines_are_whole() {
+fn log_lines_are_complete() {
     for format in ["text", "json"] {
         let mut child = Command::new(env!("CARGO_BIN_EXE_sablebay"))
             .args(["serve", "--node", "n", "--zone", "z", "--log-format", format])
