--- a/crates/sablebay/tests/platform/at_most_once.rs
+++ b/crates/sablebay/tests/platform/at_most_once.rs
@@ -19,7 +19,7 @@
 ];
 
 #[tokio::test(flavor = "multi_thread")]
-async fn it_runs_once_at_the_most_and_not_at_all_when_that_is_promised() {
+async fn a_request_runs_at_most_once_and_not_at_all_if_reported_not_run() {
     let deployment = Deployment::start().await;
     let node = NodeProcess::start("node-1", deployment.store.address, &[]);
     node.wait_ready().await;
--- a/crates/sablebay/tests/platform/callers.rs
+++ b/crates/sablebay/tests/platform/callers.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpStream;
 
 use crate::support::{
-    Deployment, HOST, NodeProcess, PATIENCE, SAFE_PATH, UNSAFE_PATH, configuration, eventually,
+    Deployment, EVENT_TIMEOUT, HOST, NodeProcess, SAFE_PATH, UNSAFE_PATH, configuration, eventually,
 };
 
 /// The time limits of the configuration here, in milliseconds.
@@ -39,7 +39,7 @@
     let mut bytes = Vec::new();
     // A reset ends it as well as a close.
     let reading = async { while matches!(stream.read_buf(&mut bytes).await, Ok(count) if count > 0) {} };
-    tokio::time::timeout(PATIENCE, reading).await.expect("the node closes the connection");
+    tokio::time::timeout(EVENT_TIMEOUT, reading).await.expect("the node closes the connection");
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_within_its_body_leaves_nothing_behind() {
+async fn a_request_whose_caller_disconnects_within_the_body_does_not_run() {
     let (deployment, node) = node_with_limits().await;
     let mut stream = connect(&node).await;
     let request = head("POST", UNSAFE_PATH, "left", "Content-Length: 100\r\n") + "only a part";
@@ -143,7 +143,7 @@
 
 /// A length beside chunks: the chunks count, and the length does not go on.
 #[tokio::test(flavor = "multi_thread")]
-async fn chunks_go_before_a_length() {
+async fn chunked_encoding_takes_precedence_over_content_length() {
     let (deployment, node) = node_with_limits().await;
     let mut stream = connect(&node).await;
     let both = head("POST", UNSAFE_PATH, "both", "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n");
@@ -155,7 +155,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn many_silent_connections_are_let_go() {
+async fn many_silent_connections_are_closed() {
     let (_deployment, node) = node_with_limits().await;
     let mut silent = Vec::new();
     for _ in 0..50 {
--- a/crates/sablebay/tests/platform/catalogue.rs
+++ b/crates/sablebay/tests/platform/catalogue.rs
@@ -9,7 +9,7 @@
     Deployment, GATHER_PATH, HOST, NodeProcess, SAFE_PATH, check_gathered, configuration, eventually,
 };
 
-const TROUBLES: [StoreMode; 5] = [
+const FAILURE_MODES: [StoreMode; 5] = [
     StoreMode::Refusing,
     StoreMode::Throttling,
     StoreMode::Silent,
@@ -59,11 +59,11 @@
     let node = NodeProcess::start("node-1", deployment.store.address, &[]);
     node.wait_ready().await;
     let mut moved_to = Vec::new();
-    for (number, trouble) in TROUBLES.into_iter().enumerate() {
+    for (number, failure) in FAILURE_MODES.into_iter().enumerate() {
         let service = ServiceName::new(format!("moved-{number}"));
         let leaf = LeafStandIn::start(&format!("i-moved-{number}"), &service, 100, "zone-a").await;
         let leaf = leaf.expect("a back end");
-        deployment.store.set_mode(trouble);
+        deployment.store.set_mode(failure);
         assert_eq!(node.get(SAFE_PATH, &format!("before-{number}")).await.status.as_u16(), 200);
         deployment.store.announce(&leaf.replica);
         deployment.store.publish(&moved(10 + number as u64, &service));
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_history_is_read_whole_and_draining_replicas_get_no_work() {
+async fn after_lost_history_a_full_read_removes_draining_and_deleted_replicas() {
     let deployment = Deployment::start().await;
     let node = NodeProcess::start("node-1", deployment.store.address, &[]);
     node.wait_ready().await;
@@ -129,7 +129,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_cannot_be_read_holds_nothing_else_up() {
+async fn unreadable_entries_do_not_block_other_updates() {
     let deployment = Deployment::start().await;
     let node = NodeProcess::start("node-1", deployment.store.address, &[]);
     node.wait_ready().await;
@@ -154,7 +154,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn another_replica_under_a_known_address_runs_nothing_of_ours() {
+async fn another_replica_at_a_known_address_runs_no_misdirected_request() {
     let deployment = Deployment::start().await;
     let node = NodeProcess::start("node-1", deployment.store.address, &[]);
     node.wait_ready().await;
--- a/crates/sablebay/tests/platform/evacuation.rs
+++ b/crates/sablebay/tests/platform/evacuation.rs
@@ -19,7 +19,7 @@
 }
 
 /// Makes some requests of each kind through a node.
-async fn some_requests(node: &NodeProcess, name: &str) {
+async fn send_requests(node: &NodeProcess, name: &str) {
     for number in 0..10 {
         let id = format!("{name}-{number}");
         assert_eq!(node.get(SAFE_PATH, &format!("{id}-one")).await.status.as_u16(), 200);
@@ -30,28 +30,28 @@
 }
 
 /// Waits until requests through a node reach no back end of the evacuated zone.
-async fn until_empty(deployment: &Deployment, node: &NodeProcess, name: &str) {
+async fn wait_until_empty(deployment: &Deployment, node: &NodeProcess, name: &str) {
     let round = std::sync::atomic::AtomicU32::new(0);
     eventually("the zone gets nothing new", || async {
         let before = deployment.arrivals_in(EVACUATED);
         let round = round.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        some_requests(node, &format!("{name}-{round}")).await;
+        send_requests(node, &format!("{name}-{round}")).await;
         deployment.arrivals_in(EVACUATED) == before
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_new_reaches_an_evacuated_zone_until_it_is_taken_back() {
-    let deployment = Deployment::start_over([EVACUATED, "zone-b"]).await;
+async fn nothing_new_reaches_an_evacuated_zone_until_the_evacuation_is_lifted() {
+    let deployment = Deployment::start_in_zones([EVACUATED, "zone-b"]).await;
     let node = NodeProcess::start("node-1", deployment.store.address, &[]);
     node.wait_ready().await;
-    some_requests(&node, "before").await;
+    send_requests(&node, "before").await;
     assert!(deployment.arrivals_in(EVACUATED) > 0, "the node prefers back ends of its own zone");
     deployment.store.evacuate(&zone(EVACUATED));
-    until_empty(&deployment, &node, "during").await;
+    wait_until_empty(&deployment, &node, "during").await;
     let before = deployment.arrivals_in(EVACUATED);
-    some_requests(&node, "empty").await;
+    send_requests(&node, "empty").await;
     assert_eq!(deployment.arrivals_in(EVACUATED), before);
     eventually("no connection is kept to it", || async {
         let in_zone = deployment.leaves().filter(|leaf| leaf.replica.zone.as_str() == EVACUATED);
@@ -60,7 +60,7 @@
     .await;
     deployment.store.take_back(&zone(EVACUATED));
     eventually("the zone gets requests again", || async {
-        some_requests(&node, "after").await;
+        send_requests(&node, "after").await;
         deployment.arrivals_in(EVACUATED) > before
     })
     .await;
@@ -68,7 +68,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_in_flight_is_finished_in_the_evacuated_zone() {
-    let deployment = Deployment::start_over([EVACUATED, "zone-b"]).await;
+    let deployment = Deployment::start_in_zones([EVACUATED, "zone-b"]).await;
     let node = NodeProcess::start("node-1", deployment.store.address, &[]);
     node.wait_ready().await;
     for leaf in deployment.leaves() {
@@ -76,17 +76,17 @@
     }
     let call = CallerCall { patience: Duration::from_secs(60), ..CallerCall::get(HOST, UNSAFE_PATH, "slow") };
     let caller = node.caller;
-    let asked = tokio::spawn(async move { caller.call(&call).await.expect("an answer") });
+    let pending_call = tokio::spawn(async move { caller.call(&call).await.expect("an answer") });
     eventually("the request runs", || async { deployment.runs_of("slow") == 1 }).await;
     deployment.store.evacuate(&zone(EVACUATED));
     deployment.store.evacuate(&zone("zone-b"));
-    assert_eq!(asked.await.expect("the call ends").status.as_u16(), 200);
+    assert_eq!(pending_call.await.expect("the call ends").status.as_u16(), 200);
     assert_eq!(deployment.runs_of("slow"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn with_every_zone_evacuated_requests_are_refused_at_once_and_did_not_run() {
-    let deployment = Deployment::start_over([EVACUATED, "zone-b"]).await;
+    let deployment = Deployment::start_in_zones([EVACUATED, "zone-b"]).await;
     let node = NodeProcess::start("node-1", deployment.store.address, &[]);
     node.wait_ready().await;
     deployment.store.evacuate(&zone(EVACUATED));
@@ -107,21 +107,21 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_evacuation_and_its_end_are_learnt_although_history_was_lost_between() {
-    let deployment = Deployment::start_over([EVACUATED, "zone-b"]).await;
+    let deployment = Deployment::start_in_zones([EVACUATED, "zone-b"]).await;
     let node = NodeProcess::start("node-1", deployment.store.address, &[]);
     node.wait_ready().await;
     deployment.store.set_mode(StoreMode::Refusing);
     deployment.store.evacuate(&zone(EVACUATED));
     deployment.store.forget_history();
     deployment.store.set_mode(StoreMode::Serving);
-    until_empty(&deployment, &node, "during").await;
+    wait_until_empty(&deployment, &node, "during").await;
     let before = deployment.arrivals_in(EVACUATED);
     deployment.store.set_mode(StoreMode::Refusing);
     deployment.store.take_back(&zone(EVACUATED));
     deployment.store.forget_history();
     deployment.store.set_mode(StoreMode::Serving);
     eventually("the zone gets requests again", || async {
-        some_requests(&node, "after").await;
+        send_requests(&node, "after").await;
         deployment.arrivals_in(EVACUATED) > before
     })
     .await;
@@ -129,22 +129,22 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_that_starts_while_the_store_is_down_knows_of_the_evacuation_from_a_peer() {
-    let deployment = Deployment::start_over([EVACUATED, "zone-b"]).await;
+    let deployment = Deployment::start_in_zones([EVACUATED, "zone-b"]).await;
     let first = NodeProcess::start("node-1", deployment.store.address, &[]);
     first.wait_ready().await;
     deployment.store.evacuate(&zone(EVACUATED));
-    until_empty(&deployment, &first, "first").await;
+    wait_until_empty(&deployment, &first, "first").await;
     deployment.store.set_mode(StoreMode::Silent);
     let second = NodeProcess::start("node-2", deployment.store.address, &[first.peers]);
     second.wait_ready().await;
     let before = deployment.arrivals_in(EVACUATED);
-    some_requests(&second, "second").await;
+    send_requests(&second, "second").await;
     assert_eq!(deployment.arrivals_in(EVACUATED), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn shards_that_another_node_gathers_pass_over_the_evacuated_zone() {
-    let deployment = Deployment::start_over([EVACUATED, "zone-b"]).await;
+    let deployment = Deployment::start_in_zones([EVACUATED, "zone-b"]).await;
     let first = NodeProcess::start("node-1", deployment.store.address, &[]);
     let second = NodeProcess::start_in("zone-b", "node-2", deployment.store.address, &[first.peers]);
     // No back end stands in its zone: it has others gather.
@@ -153,9 +153,9 @@
     for node in [&first, &second, &root] {
         node.wait_ready().await;
     }
-    some_requests(&root, "before").await;
+    send_requests(&root, "before").await;
     deployment.store.evacuate(&zone(EVACUATED));
-    until_empty(&deployment, &root, "during").await;
+    wait_until_empty(&deployment, &root, "during").await;
     let before = deployment.arrivals_in(EVACUATED);
     for number in 0..20 {
         let id = format!("empty-{number}");
@@ -168,14 +168,14 @@
 }
 
 /// Requests a second that a cold back end bears in this test.
-const BEARS_PER_S: u32 = 6;
+const COLD_CAPACITY_PER_S: u32 = 6;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn back_ends_that_come_back_cold_are_not_sent_more_than_they_bear() {
-    let deployment = Deployment::start_over([EVACUATED, "zone-b"]).await;
+async fn returning_cold_back_ends_get_no_more_than_their_capacity() {
+    let deployment = Deployment::start_in_zones([EVACUATED, "zone-b"]).await;
     let mut bounded = configuration(2);
     for service in &mut bounded.services {
-        service.warm_up = WarmUp { lasts_ms: 60_000, requests_per_s: f64::from(BEARS_PER_S) };
+        service.warm_up = WarmUp { lasts_ms: 60_000, requests_per_s: f64::from(COLD_CAPACITY_PER_S) };
     }
     deployment.store.publish(&bounded);
     let mut nodes: Vec<NodeProcess> = Vec::new();
@@ -188,20 +188,20 @@
     }
     deployment.store.evacuate(&zone(EVACUATED));
     for (number, node) in nodes.iter().enumerate() {
-        until_empty(&deployment, node, &format!("during-{number}")).await;
+        wait_until_empty(&deployment, node, &format!("during-{number}")).await;
     }
     let returning = || deployment.leaves().filter(|leaf| leaf.replica.zone.as_str() == EVACUATED);
     for leaf in returning() {
-        leaf.behave(LeafBehaviour::Cold(BEARS_PER_S));
+        leaf.behave(LeafBehaviour::Cold(COLD_CAPACITY_PER_S));
     }
     let before = deployment.arrivals_in(EVACUATED);
     deployment.store.take_back(&zone(EVACUATED));
     // The nodes prefer back ends of their own zone, and there are far more requests than these bear.
     eventually("the zone gets requests again", || async {
         tokio::join!(
-            some_requests(&nodes[0], "after-0"),
-            some_requests(&nodes[1], "after-1"),
-            some_requests(&nodes[2], "after-2"),
+            send_requests(&nodes[0], "after-0"),
+            send_requests(&nodes[1], "after-1"),
+            send_requests(&nodes[2], "after-2"),
         );
         deployment.arrivals_in(EVACUATED) >= before + 12
     })
--- a/crates/sablebay/tests/platform/odd_answers.rs
+++ b/crates/sablebay/tests/platform/faulty_answers.rs
@@ -16,7 +16,7 @@
 }
 
 /// Behaviours after which the other back end of a shard answers in its place.
-const REPLACED: [LeafBehaviour; 11] = [
+const FAILED_OVER: [LeafBehaviour; 11] = [
     LeafBehaviour::LoseAnswer,
     LeafBehaviour::BreakOff,
     LeafBehaviour::Foreign,
@@ -33,7 +33,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_odd_back_end_is_replaced_by_the_other_of_its_shard() {
     let (deployment, node) = one_node().await;
-    for behaviour in REPLACED {
+    for behaviour in FAILED_OVER {
         deployment.shards[0].behave(behaviour);
         for number in 0..6 {
             let id = format!("r-{behaviour:?}-{number}").replace(['(', ')'], "");
--- a/crates/sablebay/tests/platform/gathering.rs
+++ b/crates/sablebay/tests/platform/gathering.rs
@@ -26,16 +26,16 @@
 }
 
 /// Shards that other nodes were asked for and gave.
-pub const ANSWERED: &str = "sablebay_gateway_delegations_total{outcome=\"answered\"}";
+pub const ANSWERED_DELEGATIONS: &str = "sablebay_gateway_delegations_total{outcome=\"answered\"}";
 
 /// Makes gathered requests until one was gathered by another node; returns its number.
-pub async fn until_delegated(root: &NodeProcess) {
+pub async fn wait_until_delegated(root: &NodeProcess) {
     let number = std::sync::atomic::AtomicU32::new(0);
     eventually("a request is gathered by another node", || async {
         let number = number.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let id = format!("warm-{number}");
         check_gathered(&root.get(GATHER_PATH, &id).await, &id);
-        metric(root, ANSWERED) > 0
+        metric(root, ANSWERED_DELEGATIONS) > 0
     })
     .await;
 }
@@ -53,7 +53,7 @@
         for node in nodes.iter().chain([&root]) {
             node.wait_ready().await;
         }
-        until_delegated(&root).await;
+        wait_until_delegated(&root).await;
         Self { deployment, gatherers: nodes, root }
     }
 
@@ -70,10 +70,10 @@
     ) -> tokio::task::JoinHandle<sablebay_platform_standin::CallerAnswer> {
         let caller = self.root.caller;
         let call = CallerCall { patience: Duration::from_secs(60), ..CallerCall::get(HOST, GATHER_PATH, id) };
-        let asked = tokio::spawn(async move { caller.call(&call).await.expect("an answer") });
+        let pending_call = tokio::spawn(async move { caller.call(&call).await.expect("an answer") });
         let runs = || async { self.deployment.runs_of(id) >= u32::from(SHARDS) };
         eventually("each shard runs the request", runs).await;
-        asked
+        pending_call
     }
 }
 
@@ -87,7 +87,7 @@
         assert_eq!(answer.missing, 0);
         assert_eq!(fleet.deployment.runs_of(&id), u32::from(SHARDS), "one back end of each shard");
     }
-    assert!(metric(&fleet.root, ANSWERED) > 1);
+    assert!(metric(&fleet.root, ANSWERED_DELEGATIONS) > 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -114,9 +114,9 @@
 async fn the_shards_of_a_gatherer_that_is_killed_are_called_by_the_root() {
     let fleet = Fleet::start(1).await;
     fleet.slow_shards(Duration::from_millis(1_500));
-    let asked = fleet.begin("r-1").await;
+    let pending_call = fleet.begin("r-1").await;
     fleet.gatherers[0].signal(Signal::KILL);
-    let answer = asked.await.expect("the task ends");
+    let answer = pending_call.await.expect("the task ends");
     check_gathered(&answer, "r-1");
     assert_eq!(answer.missing, 0, "the root called every shard itself");
     fleet.slow_shards(Duration::ZERO);
@@ -134,7 +134,7 @@
         assert_eq!(answer.missing, 0);
     }
     fleet.gatherers[0].signal(Signal::CONT);
-    let before = metric(&fleet.root, ANSWERED);
+    let before = metric(&fleet.root, ANSWERED_DELEGATIONS);
     let number = std::sync::atomic::AtomicU32::new(0);
     eventually("the gatherer is asked again", || async {
         let id = format!("again-{}", number.fetch_add(1, std::sync::atomic::Ordering::Relaxed));
@@ -142,7 +142,7 @@
         check_gathered(&answer, &id);
         let arrivals = fleet.deployment.runs_of(&id);
         assert!(arrivals <= 2 * u32::from(SHARDS), "{arrivals} runs of one request");
-        metric(&fleet.root, ANSWERED) > before
+        metric(&fleet.root, ANSWERED_DELEGATIONS) > before
     })
     .await;
 }
@@ -151,9 +151,9 @@
 async fn a_gatherer_that_stops_as_planned_finishes_what_it_took() {
     let mut fleet = Fleet::start(1).await;
     fleet.slow_shards(Duration::from_millis(1_500));
-    let asked = fleet.begin("r-1").await;
+    let pending_call = fleet.begin("r-1").await;
     fleet.gatherers[0].signal(Signal::TERM);
-    let answer = asked.await.expect("the task ends");
+    let answer = pending_call.await.expect("the task ends");
     check_gathered(&answer, "r-1");
     assert_eq!(answer.missing, 0);
     assert_eq!(fleet.deployment.runs_of("r-1"), u32::from(SHARDS), "nothing was sent twice");
@@ -168,8 +168,8 @@
     for leaf in &fleet.deployment.shards {
         leaf.behave(LeafBehaviour::Slow(Duration::from_secs(3_600)));
     }
-    let asked = fleet.begin("r-1").await;
-    asked.abort();
+    let pending_call = fleet.begin("r-1").await;
+    pending_call.abort();
     let cancelled = || fleet.deployment.shards.iter().map(|leaf| leaf.record().cancelled).sum::<u64>();
     eventually("the back ends' work ends", || async { cancelled() >= u64::from(SHARDS) }).await;
     assert_eq!(fleet.root.get(SAFE_PATH, "r-2").await.status.as_u16(), 200);
--- a/crates/sablebay/tests/platform/tenants_in_time.rs
+++ b/crates/sablebay/tests/platform/key_changes.rs
@@ -8,7 +8,7 @@
 use crate::tenants::{arrivals_of, check_arrivals, one_node, read, two_tenants, with_public_route};
 
 /// Calls made after a change has shown, none of which may show what was before.
-const LATER_CALLS: usize = 40;
+const REPEATED_CALLS: usize = 40;
 
 /// Two nodes that know of each other.
 async fn two_nodes(tenants: &[TenantSpec]) -> (Deployment, Vec<NodeProcess>) {
@@ -19,7 +19,7 @@
 }
 
 /// Calls each node until it answers as it should, and some more times, all of which must show the same.
-async fn settles(
+async fn wait_until_stable(
     name: &str,
     nodes: &[NodeProcess],
     key: Option<&str>,
@@ -35,7 +35,7 @@
             expected(&id, &answer)
         };
         eventually(name, attempt).await;
-        for _ in 0..LATER_CALLS {
+        for _ in 0..REPEATED_CALLS {
             assert!(attempt().await, "{name}: node {at} went back");
         }
     }
@@ -53,37 +53,37 @@
             arrivals_of(&deployment, id).into_iter().flat_map(|call| call.tenants).collect();
         answer.status.as_u16() == 200 && names.iter().all(|name| name == tenant)
     };
-    settles("before", &nodes, Some("b-1"), |id, answer| is(id, answer, "tenant-b")).await;
+    wait_until_stable("before", &nodes, Some("b-1"), |id, answer| is(id, answer, "tenant-b")).await;
     let passed_on = [TenantSpec::new("tenant-a", &["a-2", "b-1"]), TenantSpec::new("tenant-b", &["b-2"])];
     deployment.store.publish_with_tenants(&with_public_route(3), &passed_on);
-    settles("passed on", &nodes, Some("b-1"), |id, answer| is(id, answer, "tenant-a")).await;
-    settles("new", &nodes, Some("b-2"), |id, answer| is(id, answer, "tenant-b")).await;
-    settles("gone", &nodes, Some("a 1,x"), unknown).await;
+    wait_until_stable("passed on", &nodes, Some("b-1"), |id, answer| is(id, answer, "tenant-a")).await;
+    wait_until_stable("new", &nodes, Some("b-2"), |id, answer| is(id, answer, "tenant-b")).await;
+    wait_until_stable("gone", &nodes, Some("a 1,x"), unknown).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_is_taken_away_and_given_back() {
     let (deployment, nodes) = two_nodes(&two_tenants()).await;
     let served = |_: &str, answer: &CallerAnswer| answer.status.as_u16() == 200;
-    settles("given", &nodes, Some("b-1"), served).await;
+    wait_until_stable("given", &nodes, Some("b-1"), served).await;
     deployment.store.publish_with_tenants(&with_public_route(3), &two_tenants()[..1]);
-    settles("taken", &nodes, Some("b-1"), unknown).await;
+    wait_until_stable("taken", &nodes, Some("b-1"), unknown).await;
     deployment.store.publish_with_tenants(&with_public_route(4), &two_tenants());
-    settles("back", &nodes, Some("b-1"), served).await;
+    wait_until_stable("back", &nodes, Some("b-1"), served).await;
     deployment.store.publish_with_tenants(&with_public_route(5), &[]);
-    settles("nobody's", &nodes, Some("b-1"), unknown).await;
+    wait_until_stable("nobody's", &nodes, Some("b-1"), unknown).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_that_two_tenants_claim_is_nobodys_until_they_agree() {
+async fn a_key_claimed_by_two_tenants_is_invalid_until_the_conflict_ends() {
     let (deployment, nodes) = two_nodes(&two_tenants()).await;
     let claimed =
         [TenantSpec::new("tenant-a", &["a-2", "b-1"]), TenantSpec::new("tenant-b", &["b-1", "b-2"])];
     deployment.store.publish_with_tenants(&with_public_route(3), &claimed);
-    settles("claimed", &nodes, Some("b-1"), unknown).await;
-    settles("other", &nodes, Some("b-2"), |_, answer| answer.status.as_u16() == 200).await;
+    wait_until_stable("claimed", &nodes, Some("b-1"), unknown).await;
+    wait_until_stable("other", &nodes, Some("b-2"), |_, answer| answer.status.as_u16() == 200).await;
     deployment.store.publish_with_tenants(&with_public_route(4), &two_tenants());
-    settles("agreed", &nodes, Some("b-1"), |_, answer| answer.status.as_u16() == 200).await;
+    wait_until_stable("agreed", &nodes, Some("b-1"), |_, answer| answer.status.as_u16() == 200).await;
 }
 
 /// Before, nobody is asked for a key; a caller's word of its tenant is dropped in any case.
@@ -98,7 +98,7 @@
     assert!(calls.iter().all(|call| call.tenants.is_empty()), "{calls:?}");
     deployment.store.publish_with_tenants(&configuration(2), &two_tenants());
     let nodes = [node];
-    settles("without a key", &nodes, None, unknown).await;
+    wait_until_stable("without a key", &nodes, None, unknown).await;
     let answer = nodes[0].call(&CallerCall::get(HOST, SAFE_PATH, "after").with_key("b-1")).await;
     assert_eq!(answer.status.as_u16(), 200);
     check_arrivals(&deployment, "after", Some("tenant-b"));
@@ -110,15 +110,15 @@
     let (deployment, nodes) = two_nodes(&two_tenants()).await;
     deployment.store.write_garbage("op/config");
     tokio::time::sleep(Duration::from_millis(500)).await;
-    settles("unknown", &nodes, Some("c-1"), unknown).await;
+    wait_until_stable("unknown", &nodes, Some("c-1"), unknown).await;
     deployment.store.publish_with_tenants(&with_public_route(4), &[TenantSpec::new("tenant-c", &["c-1"])]);
-    settles("known", &nodes, Some("c-1"), |_, answer| answer.status.as_u16() == 200).await;
-    settles("gone", &nodes, Some("b-1"), unknown).await;
+    wait_until_stable("known", &nodes, Some("c-1"), |_, answer| answer.status.as_u16() == 200).await;
+    wait_until_stable("gone", &nodes, Some("b-1"), unknown).await;
 }
 
 /// A node that knows nothing yet cannot say whose key it is.
 #[tokio::test(flavor = "multi_thread")]
-async fn without_a_configuration_nobody_is_called_unknown() {
+async fn without_a_configuration_no_caller_is_reported_unknown() {
     let store = StoreStandIn::start().await.expect("a store");
     let node = NodeProcess::start("node-1", store.address, &[]);
     for (number, call) in [read("0"), read("1").with_key("a-2")].into_iter().enumerate() {
--- a/crates/sablebay/tests/platform/large_configurations.rs
+++ b/crates/sablebay/tests/platform/large_configurations.rs
@@ -24,7 +24,7 @@
 /// configuration has some 200 kB.
 const SMALL_CHANGE_BYTES: u64 = 5_000 * NODES as u64;
 /// Bytes a second of a link that the whole configuration needs several seconds for.
-const THIN_LINK: u64 = 50_000;
+const SLOW_LINK_BYTES_PER_S: u64 = 50_000;
 
 /// The first configuration, with this many routes more.
 fn grown(version: u64, routes: usize) -> RoutingConfiguration {
@@ -44,7 +44,7 @@
     metric(node, "sablebay_gateway_configuration_version")
 }
 
-async fn until_in_force(nodes: &[NodeProcess], version: u64) {
+async fn wait_until_in_force(nodes: &[NodeProcess], version: u64) {
     for node in nodes {
         eventually("a configuration is in force", || async { version_of(node) >= version }).await;
     }
@@ -73,10 +73,10 @@
         node.wait_ready().await;
     }
     deployment.store.publish(&grown(2, ROUTES));
-    until_in_force(&nodes, 2).await;
+    wait_until_in_force(&nodes, 2).await;
     let before = catalogue_bytes(&nodes);
     deployment.store.publish(&grown(3, ROUTES + 1));
-    until_in_force(&nodes, 3).await;
+    wait_until_in_force(&nodes, 3).await;
     let sent = catalogue_bytes(&nodes) - before;
     assert!(sent <= SMALL_CHANGE_BYTES, "{sent} bytes for one route; {SMALL_CHANGE_BYTES} may be sent");
 }
@@ -91,12 +91,12 @@
     link.set_target(first.peers);
     first.wait_ready().await;
     // The second node has no store: it learns everything from the first.
-    let closed = refusing_store().await;
+    let closed = unavailable_store().await;
     let second = NodeProcess::start("node-2", closed.address, &[link.address]);
     second.wait_ready().await;
-    link.set(Faults { bandwidth: Some(THIN_LINK), ..Faults::default() });
+    link.set(Faults { bandwidth: Some(SLOW_LINK_BYTES_PER_S), ..Faults::default() });
     deployment.store.publish(&grown(2, ROUTES));
-    until_in_force(&[first, second], 2).await;
+    wait_until_in_force(&[first, second], 2).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -105,15 +105,15 @@
     let link = Proxy::start(deployment.store.address, 1).await.expect("a proxy");
     let node = NodeProcess::start("node-1", link.address, &[]);
     node.wait_ready().await;
-    link.set(Faults { bandwidth: Some(4 * THIN_LINK), ..Faults::default() });
+    link.set(Faults { bandwidth: Some(4 * SLOW_LINK_BYTES_PER_S), ..Faults::default() });
     deployment.store.publish(&grown(2, ROUTES));
     let nodes = [node];
-    until_in_force(&nodes, 2).await;
+    wait_until_in_force(&nodes, 2).await;
     assert_eq!(metric(&nodes[0], "sablebay_gateway_source_reads_total{outcome=\"unavailable\"}"), 0);
 }
 
 /// A store that refuses everything.
-async fn refusing_store() -> sablebay_platform_standin::StoreStandIn {
+async fn unavailable_store() -> sablebay_platform_standin::StoreStandIn {
     let store = sablebay_platform_standin::StoreStandIn::start().await.expect("a store");
     store.set_mode(StoreMode::Refusing);
     store
--- a/crates/sablebay/tests/platform/life.rs
+++ b/crates/sablebay/tests/platform/lifecycle.rs
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopping_node_calls_itself_unready_and_still_serves_who_has_not_heard() {
+async fn a_stopping_node_reports_unready_and_still_serves_late_requests() {
     let deployment = Deployment::start().await;
     let mut node = NodeProcess::start("node-1", deployment.store.address, &[]);
     node.wait_ready().await;
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_hang_up_reads_the_settings_again_and_mistakes_change_nothing() {
+async fn a_hang_up_signal_reloads_the_settings_and_invalid_settings_change_nothing() {
     let deployment = Deployment::start().await;
     let node = NodeProcess::start("node-1", deployment.store.address, &[]);
     node.wait_ready().await;
--- a/crates/sablebay/tests/platform/link.rs
+++ b/crates/sablebay/tests/platform/link.rs
@@ -15,11 +15,11 @@
     #[default]
     Open,
     /// Questions go through, answers wait.
-    Holding,
+    HoldingAnswers,
     /// The same, and one waits.
-    Held,
+    AnswerHeld,
     /// What waits goes through, and then nothing more.
-    Closing,
+    Releasing,
     /// Nothing goes through.
     Cut,
 }
@@ -65,18 +65,18 @@
 
     /// Lets questions through, and keeps the answers.
     pub fn hold_answers(&self) {
-        self.state.send_replace(LinkState::Holding);
+        self.state.send_replace(LinkState::HoldingAnswers);
     }
 
     /// Waits until an answer is kept.
     pub async fn wait_for_answer(&self) {
         let mut states = self.state.subscribe();
-        states.wait_for(|state| *state == LinkState::Held).await.expect("the link is there");
+        states.wait_for(|state| *state == LinkState::AnswerHeld).await.expect("the link is there");
     }
 
     /// Lets the answer through that is kept, and nothing after it.
     pub async fn release_answer_and_cut(&self) {
-        self.state.send_replace(LinkState::Closing);
+        self.state.send_replace(LinkState::Releasing);
         let mut states = self.state.subscribe();
         states.wait_for(|state| *state == LinkState::Cut).await.expect("the link is there");
     }
@@ -115,16 +115,17 @@
             return Ok(());
         }
         state.send_if_modified(|state| {
-            let holds = *state == LinkState::Holding;
+            let holds = *state == LinkState::HoldingAnswers;
             if holds {
-                *state = LinkState::Held;
+                *state = LinkState::AnswerHeld;
             }
             holds
         });
-        let waits = |state: &LinkState| !matches!(state, LinkState::Holding | LinkState::Held);
-        let now = *states.wait_for(waits).await.map_err(std::io::Error::other)?;
+        let released =
+            |state: &LinkState| !matches!(state, LinkState::HoldingAnswers | LinkState::AnswerHeld);
+        let now = *states.wait_for(released).await.map_err(std::io::Error::other)?;
         to.write_all(&bytes[..read]).await?;
-        if now == LinkState::Closing {
+        if now == LinkState::Releasing {
             to.shutdown().await?;
             state.send_replace(LinkState::Cut);
         }
--- a/crates/sablebay/tests/platform/quiet_path.rs
+++ b/crates/sablebay/tests/platform/normal_operation.rs
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_cannot_be_served_is_said_and_reaches_no_back_end() {
+async fn an_invalid_request_is_rejected_and_reaches_no_back_end() {
     let (deployment, node) = one_node().await;
     assert_eq!(node.get("/nowhere/1", "r-1").await.status.as_u16(), 404);
     let nameless = CallerCall { id: None, ..CallerCall::get(HOST, SAFE_PATH, "") };
--- a/crates/sablebay/tests/platform/overload.rs
+++ b/crates/sablebay/tests/platform/overload.rs
@@ -7,7 +7,7 @@
 /// Requests within which one must be refused; each is with a probability of 0.8.
 const REQUESTS: usize = 300;
 /// Answers in a row after which the overload counts as over.
-const CALM_ANSWERS: usize = 30;
+const RECOVERY_ANSWERS: usize = 30;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_over_crowded_shards_are_refused_at_once_and_did_not_run() {
@@ -45,12 +45,12 @@
         for leaf in &deployment.shards {
             leaf.behave(behaviour);
         }
-        for number in 0..CALM_ANSWERS {
+        for number in 0..RECOVERY_ANSWERS {
             node.get(GATHER_PATH, &format!("{behaviour:?}-{number}")).await;
         }
     }
     eventually("requests are admitted again", || async {
-        for number in 0..CALM_ANSWERS {
+        for number in 0..RECOVERY_ANSWERS {
             if node.get(GATHER_PATH, &format!("calm-{number}")).await.status.as_u16() != 200 {
                 return false;
             }
--- a/crates/sablebay/tests/platform/quarantine.rs
+++ b/crates/sablebay/tests/platform/quarantine.rs
@@ -13,7 +13,7 @@
     CallerAnswer, CallerCall, LeafBehaviour, LeafIdentity, RestartingLeaf, StoreStandIn,
 };
 
-use crate::gathering::until_delegated;
+use crate::gathering::wait_until_delegated;
 use crate::support::{
     GATHER_PATH, HOST, NodeProcess, SAFE_PATH, SHARDS, check_gathered, configuration, eventually,
     shard_service, single_service,
@@ -22,9 +22,9 @@
 /// The first line of what ends a back end, as far as it counts.
 const FATAL: &str = "/fatal ";
 /// Back ends of each service.
-const COPIES: u8 = 2;
+const REPLICAS: u8 = 2;
 /// How long a back end is gone.
-const RESTART: Duration = Duration::from_millis(150);
+const RESTART_DELAY: Duration = Duration::from_millis(150);
 /// Attempts that may reach back ends after three have ended.
 const LATE_ATTEMPTS: usize = 3;
 
@@ -36,9 +36,13 @@
 }
 
 /// Back ends of a service that end on one path.
-pub async fn leaves_of(service: &ServiceName, shard: u8, store: &StoreStandIn) -> Vec<RestartingLeaf> {
+pub async fn crashing_leaves_of(
+    service: &ServiceName,
+    shard: u8,
+    store: &StoreStandIn,
+) -> Vec<RestartingLeaf> {
     let mut leaves = Vec::new();
-    for copy in 0..COPIES {
+    for copy in 0..REPLICAS {
         // Records are told apart by the number in the name.
         let identity = LeafIdentity {
             name: format!("i-{shard}-{copy}"),
@@ -47,7 +51,8 @@
             shard,
             zone: "zone-a".to_string(),
         };
-        let leaf = RestartingLeaf::start(identity, LeafBehaviour::EndsOn(FATAL), RESTART, store.registry());
+        let leaf =
+            RestartingLeaf::start(identity, LeafBehaviour::EndsOn(FATAL), RESTART_DELAY, store.registry());
         leaves.push(leaf.await.expect("a back end"));
     }
     leaves
@@ -63,9 +68,9 @@
         let store = StoreStandIn::start().await.expect("a store");
         let mut leaves = Vec::new();
         for shard in 0..SHARDS {
-            leaves.extend(leaves_of(&shard_service(shard), shard, &store).await);
+            leaves.extend(crashing_leaves_of(&shard_service(shard), shard, &store).await);
         }
-        leaves.extend(leaves_of(&single_service(), 200, &store).await);
+        leaves.extend(crashing_leaves_of(&single_service(), 200, &store).await);
         store.publish(&configuration(1));
         let mut started: Vec<NodeProcess> = Vec::new();
         for (number, zone) in zones.iter().enumerate() {
@@ -76,11 +81,11 @@
             node.wait_ready().await;
         }
         let fleet = Self { store, leaves, nodes: started };
-        fleet.wait_whole("start").await;
+        fleet.wait_until_recovered("start").await;
         fleet
     }
 
-    fn ended(&self) -> u32 {
+    fn crashes(&self) -> u32 {
         self.leaves.iter().map(RestartingLeaf::ended).sum()
     }
 
@@ -90,7 +95,7 @@
 
     /// Waits until every back end is there, and every node gets answers from all shards and from the single
     /// service, and so knows their new lives.
-    async fn wait_whole(&self, name: &str) {
+    async fn wait_until_recovered(&self, name: &str) {
         eventually("all back ends are there", || async { self.leaves.iter().all(RestartingLeaf::is_up) })
             .await;
         for (number, node) in self.nodes.iter().enumerate() {
@@ -112,27 +117,27 @@
         let mut answers = Vec::new();
         let mut late = 0;
         for attempt in 0..attempts {
-            let (ended, arrived) = (self.ended(), self.arrivals());
+            let (crashes, arrived) = (self.crashes(), self.arrivals());
             let node = &self.nodes[attempt % self.nodes.len()];
             let id = format!("{}-{attempt}", path.replace('/', "-"));
             answers.push(node.get(path, &id).await);
-            late += usize::from(ended >= 3 && self.arrivals() > arrived);
-            self.wait_whole(&id).await;
+            late += usize::from(crashes >= 3 && self.arrivals() > arrived);
+            self.wait_until_recovered(&id).await;
         }
         (answers, late)
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_search_that_ends_back_ends_is_kept_from_the_rest() {
+async fn a_search_that_crashes_back_ends_is_quarantined() {
     let fleet = Fleet::start(3).await;
     let (answers, late) = fleet.attempt("/all/fatal", 12).await;
-    assert!(fleet.ended() >= 3, "it ends back ends");
-    assert!(late <= LATE_ATTEMPTS, "{late} attempts reached back ends, {} ended", fleet.ended());
+    assert!(fleet.crashes() >= 3, "it ends back ends");
+    assert!(late <= LATE_ATTEMPTS, "{late} attempts reached back ends, {} ended", fleet.crashes());
     let last = answers.last().expect("an answer");
     assert!(last.promises_not_run(), "a request that is not tried says so: {}", last.status);
-    let near = fleet.nodes[0].get("/all/fatally", "near-miss").await;
-    check_gathered(&near, "near-miss");
+    let similar = fleet.nodes[0].get("/all/fatally", "near-miss").await;
+    check_gathered(&similar, "near-miss");
 }
 
 /// Seen: after the first repair a request was still sent on four times too often. Attempts come in at several
@@ -142,51 +147,51 @@
 async fn attempts_that_come_in_at_all_nodes_at_once_cost_few_back_ends() {
     let fleet = Fleet::start(3).await;
     let mut late = 0;
-    for spell in 0..4 {
-        let ended = fleet.ended();
-        let asked = fleet.nodes.iter().enumerate().map(|(number, node)| {
+    for round in 0..4 {
+        let crashes = fleet.crashes();
+        let pending_call = fleet.nodes.iter().enumerate().map(|(number, node)| {
             let caller = node.caller;
-            let id = format!("spell-{spell}-{number}");
+            let id = format!("spell-{round}-{number}");
             tokio::spawn(async move { caller.call(&CallerCall::get(HOST, "/all/fatal", &id)).await })
         });
-        for attempt in asked.collect::<Vec<_>>() {
+        for attempt in pending_call.collect::<Vec<_>>() {
             attempt.await.expect("the task ends").expect("an answer");
         }
-        if ended >= 3 {
-            late += fleet.ended() - ended;
+        if crashes >= 3 {
+            late += fleet.crashes() - crashes;
         }
-        fleet.wait_whole(&format!("spell-{spell}")).await;
+        fleet.wait_until_recovered(&format!("spell-{round}")).await;
     }
     assert!(
         late < LATE_ATTEMPTS as u32,
         "{late} back ends ended after the first spell, {} in all",
-        fleet.ended()
+        fleet.crashes()
     );
 }
 
 /// Two of three nodes have no back end in their zone: they have the third gather for them, once the fleet has
 /// settled.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_search_that_others_gather_is_kept_from_the_rest_too() {
+async fn a_search_gathered_by_other_nodes_is_quarantined_too() {
     let fleet = Fleet::start_in(&["zone-a", "zone-b", "zone-b"]).await;
     for root in &fleet.nodes[1..] {
-        until_delegated(root).await;
+        wait_until_delegated(root).await;
     }
     let (answers, late) = fleet.attempt("/all/fatal", 9).await;
-    assert!(fleet.ended() >= 3, "it ends back ends");
-    assert!(late < LATE_ATTEMPTS, "{late} attempts reached back ends, {} ended", fleet.ended());
+    assert!(fleet.crashes() >= 3, "it ends back ends");
+    assert!(late < LATE_ATTEMPTS, "{late} attempts reached back ends, {} ended", fleet.crashes());
     assert!(answers.last().expect("an answer").promises_not_run());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_has_just_started_learns_what_is_held_back() {
+async fn a_newly_started_node_learns_of_quarantined_requests() {
     let mut fleet = Fleet::start(2).await;
     fleet.attempt("/all/fatal", 4).await;
     let seeds: Vec<_> = fleet.nodes.iter().map(|node| node.peers).collect();
     let fresh = NodeProcess::start("fresh", fleet.store.address, &seeds);
     fresh.wait_ready().await;
     let admin = fresh.admin.to_string();
-    eventually("it is told", || async { knows(&admin) }).await;
+    eventually("it is told", || async { has_quarantine(&admin) }).await;
     let before = fleet.arrivals();
     let answer = fresh.get("/all/fatal", "at-the-fresh-one").await;
     assert!(answer.promises_not_run());
@@ -195,7 +200,7 @@
 }
 
 /// Whether a node itself knows of a request that is held back.
-fn knows(admin: &str) -> bool {
+fn has_quarantine(admin: &str) -> bool {
     use std::io::{Read, Write};
     let mut stream = std::net::TcpStream::connect(admin).expect("the node takes a connection");
     stream
@@ -208,7 +213,7 @@
 
 /// Operators see what is held back, since when and why, and let it go.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_operator_sees_what_is_held_back_and_releases_it() {
+async fn an_operator_sees_a_quarantined_request_and_releases_it() {
     let fleet = Fleet::start(3).await;
     fleet.attempt("/all/fatal", 3).await;
     let status = sablebay(&["status", "--admin", &fleet.nodes[2].admin.to_string()]);
@@ -239,11 +244,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_operation_that_ends_back_ends_is_kept_from_the_rest() {
+async fn an_operation_that_crashes_back_ends_is_quarantined() {
     let fleet = Fleet::start(3).await;
     let (answers, late) = fleet.attempt("/once/fatal", 15).await;
-    assert!(fleet.ended() >= 3, "it ends back ends");
-    assert!(late <= LATE_ATTEMPTS, "{late} attempts reached back ends, {} ended", fleet.ended());
+    assert!(fleet.crashes() >= 3, "it ends back ends");
+    assert!(late <= LATE_ATTEMPTS, "{late} attempts reached back ends, {} ended", fleet.crashes());
     for answer in &answers {
         assert!(answer.status.is_server_error(), "it is never answered");
     }
--- a/crates/sablebay/tests/platform/quota.rs
+++ b/crates/sablebay/tests/platform/quota.rs
@@ -16,7 +16,7 @@
 const BURST: f64 = 10.0;
 /// A window and what may pass in it.
 const WINDOW: Duration = Duration::from_secs(5);
-const MOST: f64 = (RATE_PER_S * 5.0 + BURST) * 1.25 + 20.0;
+const MAXIMUM_ANSWERED: f64 = (RATE_PER_S * 5.0 + BURST) * 1.25 + 20.0;
 
 /// Three nodes, and a tenant.
 struct Fleet {
@@ -72,9 +72,9 @@
     }
 
     /// The node that keeps the tenant's account.
-    fn keeper(&self) -> usize {
-        let keeps = |node: &NodeProcess| node.admin_text("/metrics").contains("sablebay_gateway_accounts 1");
-        self.nodes.iter().position(keeps).expect("a node keeps the account")
+    fn owner(&self) -> usize {
+        let owns = |node: &NodeProcess| node.admin_text("/metrics").contains("sablebay_gateway_accounts 1");
+        self.nodes.iter().position(owns).expect("a node keeps the account")
     }
 }
 
@@ -82,7 +82,7 @@
 async fn nodes_share_the_limit_of_a_tenant() {
     let fleet = Fleet::start().await;
     let (answered, refused) = fleet.send(&[0, 1, 2], Duration::from_millis(5), WINDOW).await;
-    assert!(f64::from(answered) <= MOST, "{answered} ran in a window, {MOST} may");
+    assert!(f64::from(answered) <= MAXIMUM_ANSWERED, "{answered} ran in a window, {MAXIMUM_ANSWERED} may");
     assert!(f64::from(answered) >= RATE_PER_S * 4.0, "{answered} ran");
     assert!(refused > answered, "most were over the quota");
 }
@@ -95,18 +95,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn another_node_takes_over_from_a_keeper_that_is_killed() {
+async fn another_node_takes_over_from_an_owner_that_is_killed() {
     let fleet = Fleet::start().await;
     fleet.send(&[0, 1, 2], Duration::from_millis(20), Duration::from_millis(500)).await;
     eventually("an account is told of", || async {
         fleet.nodes.iter().any(|node| node.admin_text("/metrics").contains("sablebay_gateway_accounts 1"))
     })
     .await;
-    let keeper = fleet.keeper();
-    let rest: Vec<usize> = (0..3).filter(|node| *node != keeper).collect();
-    fleet.nodes[keeper].signal(Signal::KILL);
+    let owner = fleet.owner();
+    let rest: Vec<usize> = (0..3).filter(|node| *node != owner).collect();
+    fleet.nodes[owner].signal(Signal::KILL);
     let (answered, _) = fleet.send(&rest, Duration::from_millis(5), WINDOW).await;
-    assert!(f64::from(answered) <= MOST, "{answered} ran in a window, {MOST} may");
+    assert!(f64::from(answered) <= MAXIMUM_ANSWERED, "{answered} ran in a window, {MAXIMUM_ANSWERED} may");
     assert!(answered >= 20, "{answered} ran without the keeper");
 }
 
@@ -121,8 +121,8 @@
     let deployment = Deployment::start().await;
     deployment.store.publish_with_tenants(&configuration(2), &[tenant(RATE_PER_S, BURST)]);
     // Connections to it are taken and nothing is said on them, as across a cut.
-    let beyond_the_cut = std::net::TcpListener::bind("127.0.0.1:0").expect("an address");
-    let silent = beyond_the_cut.local_addr().expect("its address");
+    let silent_listener = std::net::TcpListener::bind("127.0.0.1:0").expect("an address");
+    let silent = silent_listener.local_addr().expect("its address");
     let mut nodes = Vec::new();
     for number in 0..2 {
         let settings = |seeds: &[_]| {
@@ -144,7 +144,7 @@
     let fleet = Fleet { deployment, nodes };
     tokio::time::sleep(WINDOW + Duration::from_secs(1)).await;
     let (answered, refused) = fleet.send(&[0, 1], Duration::from_millis(5), WINDOW).await;
-    assert!(f64::from(answered) <= MOST, "{answered} ran in a window, {MOST} may");
+    assert!(f64::from(answered) <= MAXIMUM_ANSWERED, "{answered} ran in a window, {MAXIMUM_ANSWERED} may");
     assert!(f64::from(answered) >= RATE_PER_S * 4.0, "{answered} ran, though each half may lend half");
     assert!(refused > answered, "most were over the quota");
     for node in &fleet.nodes {
--- a/crates/sablebay/tests/platform/returning_store.rs
+++ b/crates/sablebay/tests/platform/restored_store.rs
@@ -38,7 +38,7 @@
     }
 
     async fn start_of(size: usize) -> Self {
-        let deployment = Deployment::start_over(["zone-a", "zone-b"]).await;
+        let deployment = Deployment::start_in_zones(["zone-a", "zone-b"]).await;
         let mut nodes: Vec<NodeProcess> = Vec::new();
         for number in 0..size {
             let seeds: Vec<_> = nodes.iter().take(3).map(|node| node.peers).collect();
@@ -52,17 +52,17 @@
         // Lost with the return: the counter stands higher than the copy's by these.
         fleet.deployment.store.raise_revision(8);
         fleet.deployment.store.publish(&configuration(2));
-        fleet.until_in_force(2).await;
+        fleet.wait_until_in_force(2).await;
         fleet
     }
 
-    async fn until_in_force(&self, version: u64) {
+    async fn wait_until_in_force(&self, version: u64) {
         for node in &self.nodes {
             eventually("a configuration is in force", || async { version_of(node) >= version }).await;
         }
     }
 
-    async fn until_in_era(&self, era: u64) {
+    async fn wait_until_in_era(&self, era: u64) {
         for node in &self.nodes {
             eventually("the return is known", || async {
                 metric(node, "sablebay_gateway_source_era") == era
@@ -71,7 +71,7 @@
         }
     }
 
-    async fn until_settled(&self) {
+    async fn wait_until_settled(&self) {
         for node in &self.nodes {
             eventually("the era is settled", || async {
                 node.admin_text("/v1/status").contains("\"settled\":true")
@@ -82,15 +82,15 @@
 
     /// The store is away for a moment in which nobody can read, and comes back from its copy; `meanwhile` is written
     /// before anybody can read again.
-    fn come_back(&self, meanwhile: impl FnOnce(&Deployment)) {
+    fn restore_store(&self, before_serving: impl FnOnce(&Deployment)) {
         self.deployment.store.set_mode(StoreMode::Refusing);
         self.deployment.store.return_from_copy();
-        meanwhile(&self.deployment);
+        before_serving(&self.deployment);
         self.deployment.store.set_mode(StoreMode::Serving);
     }
 
     /// Waits until a back end gets nothing more, whichever node is asked.
-    async fn until_without_work(&self, leaf: &LeafStandIn) {
+    async fn wait_until_without_work(&self, leaf: &LeafStandIn) {
         let mut number = 0;
         eventually("it gets no more work", || {
             number += 1;
@@ -110,30 +110,30 @@
 
 /// The same with a return that nobody noticed by a refused wait: the counter has passed where the nodes stand.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_configuration_below_the_revision_known_before_the_return_is_in_force() {
+async fn a_configuration_below_the_revision_known_before_the_restore_is_in_force() {
     let fleet = Fleet::start().await;
     let known = fleet.deployment.store.at();
-    fleet.come_back(|deployment| {
+    fleet.restore_store(|deployment| {
         deployment.store.write_all_again();
         assert!(deployment.store.publish(&configuration(3)) < known.1);
         deployment.store.raise_revision(40);
     });
-    fleet.until_in_force(3).await;
+    fleet.wait_until_in_force(3).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_back_end_that_leaves_after_the_return_gets_no_more_work() {
+async fn a_back_end_that_leaves_after_the_restore_gets_no_more_work() {
     let fleet = Fleet::start().await;
     let leaving = &fleet.deployment.singles[0];
     // Its entry was last written at a revision that the counter is below again.
     fleet.deployment.store.announce(&leaving.replica);
     fleet.deployment.store.publish(&configuration(3));
-    fleet.until_in_force(3).await;
-    fleet.come_back(|deployment| {
+    fleet.wait_until_in_force(3).await;
+    fleet.restore_store(|deployment| {
         deployment.store.write_all_again();
         deployment.store.announce(&Replica { phase: ReplicaPhase::Draining, ..leaving.replica.clone() });
     });
-    fleet.until_without_work(leaving).await;
+    fleet.wait_until_without_work(leaving).await;
 }
 
 /// The configuration in which the single service is another one.
@@ -148,27 +148,31 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_starts_before_anything_is_written_again_serves_by_what_the_others_know() {
+async fn a_node_started_before_entries_are_rewritten_serves_with_the_catalogue_of_its_peers() {
     let fleet = Fleet::start().await;
     let service = ServiceName::new("moved");
     let leaf = LeafStandIn::start("i-moved", &service, 100, "zone-a").await.expect("a back end");
     fleet.deployment.store.announce(&leaf.replica);
     fleet.deployment.store.publish(&moved(3, &service));
-    fleet.until_in_force(3).await;
-    fleet.come_back(|_| ());
+    fleet.wait_until_in_force(3).await;
+    fleet.restore_store(|_| ());
     let before: Vec<u64> = fleet.deployment.singles.iter().map(|leaf| leaf.record().arrivals).collect();
     let seeds: Vec<_> = fleet.nodes.iter().map(|node| node.peers).collect();
-    for life in 0..3 {
-        let started = NodeProcess::start(&format!("started-{life}"), fleet.deployment.store.address, &seeds);
+    for instance in 0..3 {
+        let started =
+            NodeProcess::start(&format!("started-{instance}"), fleet.deployment.store.address, &seeds);
         let mut served = 0;
         eventually("the started node serves", || {
             served += 1;
-            let (node, id) = (&started, format!("started-{life}-{served}"));
+            let (node, id) = (&started, format!("started-{instance}-{served}"));
             async move { node.get(SAFE_PATH, &id).await.status.as_u16() == 200 }
         })
         .await;
         for call in 0..10 {
-            assert_eq!(started.get(SAFE_PATH, &format!("first-{life}-{call}")).await.status.as_u16(), 200);
+            assert_eq!(
+                started.get(SAFE_PATH, &format!("first-{instance}-{call}")).await.status.as_u16(),
+                200
+            );
         }
     }
     let after: Vec<u64> = fleet.deployment.singles.iter().map(|leaf| leaf.record().arrivals).collect();
@@ -177,7 +181,7 @@
 
 /// The operator's word is in the lost seconds, and is not repeated at once.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_evacuated_zone_stays_empty_over_a_return() {
+async fn an_evacuated_zone_stays_empty_after_a_restore() {
     let fleet = Fleet::start().await;
     let zone = ZoneName::new("zone-b");
     fleet.deployment.store.evacuate(&zone);
@@ -187,8 +191,8 @@
         })
         .await;
     }
-    fleet.come_back(|_| ());
-    fleet.until_in_era(2).await;
+    fleet.restore_store(|_| ());
+    fleet.wait_until_in_era(2).await;
     let before = fleet.deployment.arrivals_in("zone-b");
     for (number, node) in fleet.nodes.iter().enumerate() {
         for call in 0..20 {
@@ -196,7 +200,7 @@
         }
     }
     fleet.deployment.store.write_all_again();
-    fleet.until_settled().await;
+    fleet.wait_until_settled().await;
     for (number, node) in fleet.nodes.iter().enumerate() {
         for call in 0..20 {
             node.get(SAFE_PATH, &format!("settled-{number}-{call}")).await;
@@ -207,30 +211,30 @@
 
 /// Two returns at once, the second from the same copy; what was written between them is lost with it.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_is_written_between_two_returns_is_in_force() {
+async fn a_configuration_written_between_two_restores_is_in_force() {
     let fleet = Fleet::start().await;
-    fleet.come_back(|deployment| {
+    fleet.restore_store(|deployment| {
         deployment.store.publish(&configuration(3));
     });
-    fleet.until_in_force(3).await;
-    fleet.come_back(|deployment| deployment.store.raise_revision(40));
-    fleet.until_in_era(3).await;
+    fleet.wait_until_in_force(3).await;
+    fleet.restore_store(|deployment| deployment.store.raise_revision(40));
+    fleet.wait_until_in_era(3).await;
     fleet.deployment.store.write_all_again();
     fleet.deployment.store.publish(&configuration(4));
-    fleet.until_in_force(4).await;
+    fleet.wait_until_in_force(4).await;
 }
 
 /// What a return costs the store: a listing by each of the two readers when they hear of it, one when the era is settled, and
 /// two of nodes that nobody had told in time.
-const LISTINGS_OF_A_RETURN: u64 = 2 * 2 + 2;
+const MAXIMUM_LISTINGS: u64 = 2 * 2 + 2;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_return_costs_the_store_no_listing_a_node() {
+async fn a_restore_does_not_cost_the_store_a_listing_per_node() {
     let fleet = Fleet::start_of(12).await;
     let before = fleet.deployment.store.listings();
-    fleet.come_back(|deployment| deployment.store.write_all_again());
-    fleet.until_in_era(2).await;
-    fleet.until_settled().await;
+    fleet.restore_store(|deployment| deployment.store.write_all_again());
+    fleet.wait_until_in_era(2).await;
+    fleet.wait_until_settled().await;
     let listings = fleet.deployment.store.listings() - before;
-    assert!(listings <= LISTINGS_OF_A_RETURN, "{listings} listings");
+    assert!(listings <= MAXIMUM_LISTINGS, "{listings} listings");
 }
--- a/crates/sablebay/tests/platform/revocation.rs
+++ b/crates/sablebay/tests/platform/revocation.rs
@@ -16,7 +16,7 @@
 /// The limit on revocation here.
 const LIMIT: Duration = Duration::from_millis(5_000);
 /// How much longer than the limit requests are sent.
-const BEYOND: Duration = Duration::from_millis(2_500);
+const EXTRA_TIME: Duration = Duration::from_millis(2_500);
 /// The time between two requests.
 const PERIOD: Duration = Duration::from_millis(40);
 
@@ -59,7 +59,7 @@
 }
 
 /// Sends requests with a key for a while; they wait for their answers side by side.
-async fn ask(
+async fn send_requests(
     caller: CallerStandIn,
     key: &'static str,
     name: &str,
@@ -83,7 +83,7 @@
 }
 
 /// None of these ran that was sent later than the limit after the keys were taken away.
-fn check_none_ran_late(deployment: &Deployment, sent: &[Sent]) {
+fn check_none_ran_after_limit(deployment: &Deployment, sent: &[Sent]) {
     let late = || sent.iter().filter(|sent| sent.after > LIMIT);
     assert!(late().count() > 10, "requests were sent after the limit");
     for sent in late() {
@@ -92,7 +92,7 @@
     }
 }
 
-fn take_keys_away(deployment: &Deployment) -> Instant {
+fn revoke_keys(deployment: &Deployment) -> Instant {
     deployment.store.publish_with_tenants(&configuration(3), &tenants(&[]));
     Instant::now()
 }
@@ -104,9 +104,9 @@
     let node = start("node-1", link.address, &[]);
     wait_for_key(&node).await;
     link.cut();
-    let since = take_keys_away(&deployment);
-    let sent = ask(node.caller, "old", "cut", since, LIMIT + BEYOND).await;
-    check_none_ran_late(&deployment, &sent);
+    let since = revoke_keys(&deployment);
+    let sent = send_requests(node.caller, "old", "cut", since, LIMIT + EXTRA_TIME).await;
+    check_none_ran_after_limit(&deployment, &sent);
     let mut late = sent.iter().filter(|sent| sent.after > LIMIT);
     assert!(late.all(|sent| sent.status == Some(503)), "it does not know the key for gone: {sent:?}");
     assert!(sent[0].status == Some(200), "it goes on by what it knows for a while");
@@ -127,50 +127,50 @@
     let second = start("node-2", link.address, &[first.peers]);
     wait_for_key(&second).await;
     link.cut();
-    let since = take_keys_away(&deployment);
-    let (gone, kept) = tokio::join!(
-        ask(second.caller, "old", "old", since, LIMIT + BEYOND),
-        ask(second.caller, "quay-key", "kept", since, LIMIT + BEYOND),
+    let since = revoke_keys(&deployment);
+    let (revoked, valid) = tokio::join!(
+        send_requests(second.caller, "old", "old", since, LIMIT + EXTRA_TIME),
+        send_requests(second.caller, "quay-key", "kept", since, LIMIT + EXTRA_TIME),
     );
-    check_none_ran_late(&deployment, &gone);
-    assert_eq!(gone.last().expect("requests").status, Some(401));
-    let refused: Vec<&Sent> = kept.iter().filter(|sent| sent.status != Some(200)).collect();
+    check_none_ran_after_limit(&deployment, &revoked);
+    assert_eq!(revoked.last().expect("requests").status, Some(401));
+    let refused: Vec<&Sent> = valid.iter().filter(|sent| sent.status != Some(200)).collect();
     assert!(refused.is_empty(), "it is in touch: {refused:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nodes_that_hear_only_each_other_do_not_keep_each_other_fresh() {
+async fn nodes_cut_off_from_the_store_do_not_confirm_each_other() {
     let deployment = deployment().await;
     let first = start("node-1", deployment.store.address, &[]);
     wait_for_key(&first).await;
     let second = start("node-2", deployment.store.address, &[first.peers]);
     wait_for_key(&second).await;
     deployment.store.set_mode(StoreMode::Silent);
-    let since = take_keys_away(&deployment);
+    let since = revoke_keys(&deployment);
     // One that starts meanwhile hears from those that are behind.
     let late = async {
         tokio::time::sleep(Duration::from_millis(2_000)).await;
         let third = start("node-3", deployment.store.address, &[first.peers, second.peers]);
-        let sent = ask(third.caller, "old", "third", since, LIMIT + BEYOND).await;
+        let sent = send_requests(third.caller, "old", "third", since, LIMIT + EXTRA_TIME).await;
         (third, sent)
     };
     let (one, two, (_third, three)) = tokio::join!(
-        ask(first.caller, "old", "first", since, LIMIT + BEYOND),
-        ask(second.caller, "old", "second", since, LIMIT + BEYOND),
+        send_requests(first.caller, "old", "first", since, LIMIT + EXTRA_TIME),
+        send_requests(second.caller, "old", "second", since, LIMIT + EXTRA_TIME),
         late,
     );
-    [one, two, three].iter().for_each(|sent| check_none_ran_late(&deployment, sent));
+    [one, two, three].iter().for_each(|sent| check_none_ran_after_limit(&deployment, sent));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_that_are_seconds_on_their_way_are_as_old_as_their_questions() {
+async fn a_slow_answer_is_as_old_as_its_request() {
     let deployment = deployment().await;
     let node = start("node-1", deployment.store.address, &[]);
     wait_for_key(&node).await;
     deployment.store.set_mode(StoreMode::Slow(Duration::from_millis(3_000)));
-    let since = take_keys_away(&deployment);
-    let sent = ask(node.caller, "old", "slow", since, LIMIT + BEYOND).await;
-    check_none_ran_late(&deployment, &sent);
+    let since = revoke_keys(&deployment);
+    let sent = send_requests(node.caller, "old", "slow", since, LIMIT + EXTRA_TIME).await;
+    check_none_ran_after_limit(&deployment, &sent);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -180,36 +180,36 @@
         let node = start("node-1", deployment.store.address, &[]);
         wait_for_key(&node).await;
         deployment.store.set_mode(mode);
-        let since = take_keys_away(&deployment);
-        let sent = ask(node.caller, "old", "refused", since, LIMIT + BEYOND).await;
-        check_none_ran_late(&deployment, &sent);
+        let since = revoke_keys(&deployment);
+        let sent = send_requests(node.caller, "old", "refused", since, LIMIT + EXTRA_TIME).await;
+        check_none_ran_after_limit(&deployment, &sent);
     }
 }
 
 /// Longer than any wait for changes lasts, at the store or at a peer: its answer lies there by then.
-const WAIT_IS_OVER: Duration = Duration::from_millis(1_200);
+const WATCH_EXPIRED: Duration = Duration::from_millis(1_200);
 /// How long a frozen node stands still after keys were taken away.
 const FROZEN: Duration = Duration::from_millis(3_000);
 
 /// The answer that lay there while the node stood still was made before the keys were taken away.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_node_takes_no_answer_for_newer_than_it_is() {
+async fn a_frozen_node_does_not_treat_a_delayed_store_answer_as_fresh() {
     let deployment = deployment().await;
     let link = Link::to(deployment.store.address).await;
     let node = start("node-1", link.address, &[]);
     wait_for_key(&node).await;
     node.signal(Signal::STOP);
-    tokio::time::sleep(WAIT_IS_OVER).await;
-    let since = take_keys_away(&deployment);
+    tokio::time::sleep(WATCH_EXPIRED).await;
+    let since = revoke_keys(&deployment);
     link.cut();
-    let sending = tokio::spawn(ask(node.caller, "old", "frozen", since, LIMIT + BEYOND));
+    let sending = tokio::spawn(send_requests(node.caller, "old", "frozen", since, LIMIT + EXTRA_TIME));
     tokio::time::sleep(FROZEN).await;
     node.signal(Signal::CONT);
-    check_none_ran_late(&deployment, &sending.await.expect("the task ends"));
+    check_none_ran_after_limit(&deployment, &sending.await.expect("the task ends"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_node_takes_no_word_of_a_peer_for_newer_than_it_is() {
+async fn a_frozen_node_does_not_treat_a_delayed_peer_answer_as_fresh() {
     let deployment = deployment().await;
     let first = start("node-1", deployment.store.address, &[]);
     wait_for_key(&first).await;
@@ -218,31 +218,31 @@
     wait_for_key(&second).await;
     link.cut();
     second.signal(Signal::STOP);
-    tokio::time::sleep(WAIT_IS_OVER).await;
+    tokio::time::sleep(WATCH_EXPIRED).await;
     first.signal(Signal::STOP);
-    let since = take_keys_away(&deployment);
-    let sending = tokio::spawn(ask(second.caller, "old", "frozen", since, LIMIT + BEYOND));
+    let since = revoke_keys(&deployment);
+    let sending = tokio::spawn(send_requests(second.caller, "old", "frozen", since, LIMIT + EXTRA_TIME));
     tokio::time::sleep(FROZEN).await;
     second.signal(Signal::CONT);
-    check_none_ran_late(&deployment, &sending.await.expect("the task ends"));
+    check_none_ran_after_limit(&deployment, &sending.await.expect("the task ends"));
     first.signal(Signal::CONT);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_that_was_on_its_way_while_keys_were_taken_away_is_older_than_that() {
+async fn an_answer_in_flight_while_keys_are_revoked_does_not_confirm_them() {
     /// Within what an answer may take longer than a wait.
-    const ON_ITS_WAY: Duration = Duration::from_millis(300);
+    const ANSWER_DELAY: Duration = Duration::from_millis(300);
     let deployment = deployment().await;
     let link = Link::to(deployment.store.address).await;
     let node = start("node-1", link.address, &[]);
     wait_for_key(&node).await;
     link.hold_answers();
     link.wait_for_answer().await;
-    let since = take_keys_away(&deployment);
-    tokio::time::sleep(ON_ITS_WAY).await;
+    let since = revoke_keys(&deployment);
+    tokio::time::sleep(ANSWER_DELAY).await;
     link.release_answer_and_cut().await;
-    let sent = ask(node.caller, "old", "on-its-way", since, LIMIT + BEYOND).await;
-    check_none_ran_late(&deployment, &sent);
+    let sent = send_requests(node.caller, "old", "on-its-way", since, LIMIT + EXTRA_TIME).await;
+    check_none_ran_after_limit(&deployment, &sent);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -253,10 +253,10 @@
     wait_for_key(&node).await;
     drop(node);
     link.cut();
-    let since = take_keys_away(&deployment);
+    let since = revoke_keys(&deployment);
     let node = start("node-1", link.address, &[]);
-    let sent = ask(node.caller, "old", "restarted", since, LIMIT + BEYOND).await;
-    check_none_ran_late(&deployment, &sent);
+    let sent = send_requests(node.caller, "old", "restarted", since, LIMIT + EXTRA_TIME).await;
+    check_none_ran_after_limit(&deployment, &sent);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -269,10 +269,10 @@
     deployment.store.write_garbage("op/config");
     let since = Instant::now();
     let (one, two) = tokio::join!(
-        ask(first.caller, "old", "first", since, LIMIT + BEYOND),
-        ask(second.caller, "old", "second", since, LIMIT + BEYOND),
+        send_requests(first.caller, "old", "first", since, LIMIT + EXTRA_TIME),
+        send_requests(second.caller, "old", "second", since, LIMIT + EXTRA_TIME),
     );
-    [one, two].iter().for_each(|sent| check_none_ran_late(&deployment, sent));
+    [one, two].iter().for_each(|sent| check_none_ran_after_limit(&deployment, sent));
     deployment.store.publish_with_tenants(&configuration(4), &tenants(&["old"]));
     for node in [&first, &second] {
         eventually("it serves again", || async { status(node.caller, "old", "again").await == Some(200) })
@@ -288,8 +288,8 @@
     let node = NodeProcess::start_with(&unlimited);
     wait_for_key(&node).await;
     link.cut();
-    let since = take_keys_away(&deployment);
-    let sent = ask(node.caller, "old", "unlimited", since, LIMIT + BEYOND).await;
+    let since = revoke_keys(&deployment);
+    let sent = send_requests(node.caller, "old", "unlimited", since, LIMIT + EXTRA_TIME).await;
     assert!(sent.iter().all(|sent| sent.status == Some(200)), "without a limit it goes on by what it knows");
     std::fs::write(&node.settings_path, limited(&unlimited, LIMIT)).expect("the settings are written");
     node.signal(Signal::HUP);
@@ -301,12 +301,12 @@
 
 /// The copy still has the key. Neither a node that heard of its end from others nor one that is alone with the store opens it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_that_comes_back_from_a_copy_with_the_key_opens_nothing() {
+async fn a_store_restored_from_a_copy_with_the_key_does_not_make_it_valid_again() {
     let deployment = deployment().await;
     let first = start("node-1", deployment.store.address, &[]);
     wait_for_key(&first).await;
     deployment.store.keep_copy();
-    let since = take_keys_away(&deployment);
+    let since = revoke_keys(&deployment);
     eventually("the key is known for gone", || async {
         status(first.caller, "old", "gone").await == Some(401)
     })
@@ -319,12 +319,12 @@
         deployment.store.write_all_again();
     };
     let (one, two, three, ()) = tokio::join!(
-        ask(first.caller, "old", "first", since, LIMIT + BEYOND),
-        ask(second.caller, "old", "second", since, LIMIT + BEYOND),
-        ask(alone.caller, "old", "alone", since, LIMIT + BEYOND),
+        send_requests(first.caller, "old", "first", since, LIMIT + EXTRA_TIME),
+        send_requests(second.caller, "old", "second", since, LIMIT + EXTRA_TIME),
+        send_requests(alone.caller, "old", "alone", since, LIMIT + EXTRA_TIME),
         written_again,
     );
-    [&one, &two, &three].into_iter().for_each(|sent| check_none_ran_late(&deployment, sent));
+    [&one, &two, &three].into_iter().for_each(|sent| check_none_ran_after_limit(&deployment, sent));
     assert!(one.iter().all(|sent| sent.status == Some(401)), "it has known better: {one:?}");
     assert!(three.iter().all(|sent| sent.status != Some(200)), "a copy proves nothing: {three:?}");
 }
--- a/crates/sablebay/tests/platform/store_eras.rs
+++ b/crates/sablebay/tests/platform/store_eras.rs
@@ -6,19 +6,19 @@
 use crate::support::{Deployment, NodeProcess, configuration, eventually};
 
 const OUTDATED: &str = "sablebay_gateway_source_reads_total{outcome=\"outdated\"}";
-const RETURNED: &str = "sablebay_gateway_source_reads_total{outcome=\"returned\"}";
+const RESTORED: &str = "sablebay_gateway_source_reads_total{outcome=\"returned\"}";
 
 fn version_of(node: &NodeProcess) -> u64 {
     metric(node, "sablebay_gateway_configuration_version")
 }
 
-async fn until_in_force(node: &NodeProcess, version: u64) {
+async fn wait_until_in_force(node: &NodeProcess, version: u64) {
     eventually("the configuration is in force", || async { version_of(node) == version }).await;
 }
 
 /// A store that is left behind, an answer that was long on its way, or something else in the store's place.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_without_the_era_that_is_known_is_not_taken() {
+async fn an_answer_without_the_known_era_is_rejected() {
     for naming in [EraNaming::Missing, EraNaming::Other(0)] {
         let deployment = Deployment::start().await;
         let node = NodeProcess::start("node-1", deployment.store.address, &[]);
@@ -29,7 +29,7 @@
         eventually("answers are refused", || async { metric(&node, OUTDATED) >= outdated + 3 }).await;
         assert_eq!(version_of(&node), 1, "{naming:?}");
         deployment.store.name_eras(EraNaming::Own);
-        until_in_force(&node, 2).await;
+        wait_until_in_force(&node, 2).await;
     }
 }
 
@@ -40,17 +40,17 @@
     let node = NodeProcess::start("node-1", deployment.store.address, &[]);
     node.wait_ready().await;
     deployment.store.publish(&configuration(2));
-    until_in_force(&node, 2).await;
+    wait_until_in_force(&node, 2).await;
     // From now on it names them: that is a later era.
     deployment.store.name_eras(EraNaming::Own);
     deployment.store.publish(&configuration(3));
-    until_in_force(&node, 3).await;
+    wait_until_in_force(&node, 3).await;
     assert_eq!(metric(&node, "sablebay_gateway_source_era"), 1);
 }
 
 /// The deployment has more items than a page of the store holds.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_listing_that_the_store_comes_back_in_is_begun_anew() {
+async fn a_listing_interrupted_by_a_restore_is_restarted() {
     let deployment = Deployment::start().await;
     for number in 0..20 {
         let mut replica = deployment.singles[0].replica.clone();
@@ -60,14 +60,14 @@
     deployment.store.keep_copy();
     deployment.store.publish(&configuration(2));
     let node = NodeProcess::start("node-1", deployment.store.address, &[]);
-    until_in_force(&node, 2).await;
+    wait_until_in_force(&node, 2).await;
     deployment.store.set_mode(StoreMode::Refusing);
     deployment.store.publish(&configuration(3));
     deployment.store.forget_history();
     deployment.store.return_between_pages();
     deployment.store.set_mode(StoreMode::Serving);
-    eventually("the return is noticed", || async { metric(&node, RETURNED) >= 1 }).await;
+    eventually("the return is noticed", || async { metric(&node, RESTORED) >= 1 }).await;
     deployment.store.write_all_again();
-    until_in_force(&node, 3).await;
+    wait_until_in_force(&node, 3).await;
     assert_eq!(metric(&node, "sablebay_gateway_source_era"), 2);
 }
--- a/crates/sablebay/tests/platform/support.rs
+++ b/crates/sablebay/tests/platform/support.rs
@@ -18,7 +18,7 @@
 };
 
 /// How long an event may take before a test gives up on it.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
 /// The host of every route.
 pub const HOST: &str = "desk.example";
 /// The path of the route over all shards.
@@ -39,7 +39,9 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, waiting).await.unwrap_or_else(|_| panic!("{what}: did not come about"));
+    tokio::time::timeout(EVENT_TIMEOUT, waiting)
+        .await
+        .unwrap_or_else(|_| panic!("{what}: did not come about"));
 }
 
 /// The service of a shard.
@@ -108,11 +110,11 @@
 impl Deployment {
     /// Starts and announces everything in one zone, and publishes the first configuration.
     pub async fn start() -> Self {
-        Self::start_over(["zone-a", "zone-a"]).await
+        Self::start_in_zones(["zone-a", "zone-a"]).await
     }
 
     /// The same with the two back ends of each service in these zones.
-    pub async fn start_over(zones: [&str; 2]) -> Self {
+    pub async fn start_in_zones(zones: [&str; 2]) -> Self {
         let store = StoreStandIn::start().await.expect("a store");
         let mut shards = Vec::new();
         for shard in 0..SHARDS {
@@ -207,11 +209,11 @@
 
     /// Starts a node with a settings file, and reads where it listens.
     pub fn start_with(settings: &str) -> Self {
-        Self::start_logging(settings, Stdio::inherit())
+        Self::start_with_log(settings, Stdio::inherit())
     }
 
     /// The same with its log sent elsewhere.
-    pub fn start_logging(settings: &str, log: Stdio) -> Self {
+    pub fn start_with_log(settings: &str, log: Stdio) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let settings_path = folder.path().join("node.toml");
         std::fs::write(&settings_path, settings).expect("the settings are written");
@@ -269,7 +271,7 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        tokio::time::timeout(PATIENCE, waiting).await.expect("the process ends")
+        tokio::time::timeout(EVENT_TIMEOUT, waiting).await.expect("the process ends")
     }
 
     /// Makes a call that must come back.
--- a/crates/sablebay/tests/platform/tenant_secrets.rs
+++ b/crates/sablebay/tests/platform/tenant_secrets.rs
@@ -14,11 +14,11 @@
 use crate::tenants::{API_KEY, with_public_route};
 
 /// What every key here holds.
-const MARK: &str = "wl4o9x";
+const KEY_MARKER: &str = "wl4o9x";
 /// Callers without a known key, one after the other.
 const UNKNOWN_CALLERS: usize = 1_000;
 /// Lines that these may cost: ten a second, for as long as they take on a slow machine.
-const LINES: usize = 300;
+const MAXIMUM_LOG_LINES: usize = 300;
 
 /// A node whose log goes to a file of its name, with everything that a line holds.
 fn logging_node(
@@ -33,11 +33,11 @@
     let settings = settings_in_zone(zone, name, deployment.store.address, peers);
     let settings =
         settings.replace("log_level = \"warn\"", &format!("log_level = \"{level}\"\nlog_format = \"json\""));
-    NodeProcess::start_logging(&settings, Stdio::from(log))
+    NodeProcess::start_with_log(&settings, Stdio::from(log))
 }
 
 fn key(name: &str) -> String {
-    format!("key-{name}-{MARK}")
+    format!("key-{name}-{KEY_MARKER}")
 }
 
 fn tenants() -> Vec<TenantSpec> {
@@ -95,7 +95,7 @@
         for written in ["tenant-a", "unknown caller"] {
             assert!(log.contains(written), "{name} wrote of {written}: {log}");
         }
-        let line = log.lines().find(|line| line.contains(MARK));
+        let line = log.lines().find(|line| line.contains(KEY_MARKER));
         assert_eq!(line, None, "{name}");
     }
     for node in [&root, &gatherer] {
@@ -103,17 +103,17 @@
         for path in ["/metrics", "/v1/status", "/v1/status?fleet=true"] {
             let text = node.admin_text(path);
             assert!(text.starts_with("HTTP/1.1 200"), "{path}: {text}");
-            assert!(!text.contains(MARK), "{path}");
+            assert!(!text.contains(KEY_MARKER), "{path}");
         }
         for arguments in [vec!["status", "--admin", &admin], vec!["status", "--json", "--admin", &admin]] {
-            assert!(!sablebay(&arguments).contains(MARK));
+            assert!(!sablebay(&arguments).contains(KEY_MARKER));
         }
     }
 }
 
 /// Whoever tries keys fills no disk.
 #[tokio::test(flavor = "multi_thread")]
-async fn many_unknown_callers_cost_few_lines() {
+async fn many_unknown_callers_cause_few_log_lines() {
     let deployment = Deployment::start().await;
     deployment.store.publish_with_tenants(&with_public_route(2), &tenants());
     let folder = tempfile::tempdir().expect("a folder");
@@ -127,13 +127,13 @@
     let log = std::fs::read_to_string(folder.path().join("node")).expect("a log");
     let lines = log.lines().filter(|line| line.contains("unknown caller")).count();
     assert!(lines > 0, "some are told");
-    assert!(lines < LINES, "{lines} lines");
-    assert!(!log.contains(MARK));
+    assert!(lines < MAXIMUM_LOG_LINES, "{lines} lines");
+    assert!(!log.contains(KEY_MARKER));
 }
 
 /// Whoever tries keys hides nothing of what befalls others.
 #[tokio::test(flavor = "multi_thread")]
-async fn unknown_callers_take_no_lines_from_known_ones() {
+async fn unknown_callers_do_not_suppress_log_lines_of_known_callers() {
     const FAILURES: usize = 3;
     let deployment = Deployment::start().await;
     deployment.store.publish_with_tenants(&with_public_route(2), &tenants());
--- a/crates/sablebay/tests/platform/tenants.rs
+++ b/crates/sablebay/tests/platform/tenants.rs
@@ -10,10 +10,10 @@
     CallerAnswer, CallerCall, LeafBehaviour, LeafCall, StoreStandIn, TenantSpec,
 };
 
-use crate::gathering::{ANSWERED, metric};
-use crate::quarantine::leaves_of;
+use crate::gathering::{ANSWERED_DELEGATIONS, metric};
+use crate::quarantine::crashing_leaves_of;
 use crate::support::{
-    Deployment, GATHER_PATH, HOST, NodeProcess, PATIENCE, SAFE_PATH, UNSAFE_PATH, check_gathered,
+    Deployment, EVENT_TIMEOUT, GATHER_PATH, HOST, NodeProcess, SAFE_PATH, UNSAFE_PATH, check_gathered,
     configuration, eventually, single_service,
 };
 
@@ -21,7 +21,7 @@
 pub const TENANT: HeaderName = HeaderName::from_static("x-sablebay-tenant");
 /// The header of a caller's key.
 pub const API_KEY: HeaderName = HeaderName::from_static("api-key");
-/// The path of a request that ends back ends of [`leaves_of`].
+/// The path of a request that ends back ends of [`crashing_leaves_of`].
 const FATAL_PATH: &str = "/one/fatal";
 /// The path of the route that needs no key.
 pub const PUBLIC_PATH: &str = "/open/1";
@@ -100,7 +100,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn whoever_shows_no_one_known_key_is_refused() {
+async fn a_caller_without_exactly_one_known_key_is_refused() {
     let (deployment, node) = one_node(&two_tenants()).await;
     let wrong = [
         ("none", read("none")),
@@ -161,7 +161,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_a_caller_says_of_itself_changes_nothing() {
+async fn identity_headers_sent_by_a_caller_are_ignored() {
     let (deployment, node) = one_node(&two_tenants()).await;
     let calls = [
         ("forged", read("forged").with_header(TENANT, value(b"tenant-b"))),
@@ -215,7 +215,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_other_nodes_gather_comes_in_the_tenants_name() {
+async fn requests_gathered_by_other_nodes_carry_the_tenants_name() {
     let deployment = Deployment::start().await;
     deployment.store.publish_with_tenants(&with_public_route(2), &two_tenants());
     let gatherer = NodeProcess::start("node-0", deployment.store.address, &[]);
@@ -231,13 +231,13 @@
             .with_header(header::CONNECTION, value(b"X-Sablebay-Tenant"));
         check_gathered(&root.call(&call).await, &id);
         check_arrivals(&deployment, &id, Some("tenant-a"));
-        metric(&root, ANSWERED) > 10
+        metric(&root, ANSWERED_DELEGATIONS) > 10
     })
     .await;
 }
 
 /// Sends a request that ends back ends until it is held back.
-async fn until_held_back(node: &NodeProcess, key: &str, harmless: &CallerCall) {
+async fn wait_until_quarantined(node: &NodeProcess, key: &str, harmless: &CallerCall) {
     let number = std::sync::atomic::AtomicU32::new(0);
     eventually("the request is held back", || async {
         let number = number.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -253,13 +253,13 @@
 
 /// Nothing one tenant asks for keeps another waiting, and a second key is no second try.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_two_tenants_ask_for_are_two_requests() {
+async fn quarantine_is_separate_for_each_tenant() {
     let store = StoreStandIn::start().await.expect("a store");
-    let leaves = leaves_of(&single_service(), 200, &store).await;
+    let leaves = crashing_leaves_of(&single_service(), 200, &store).await;
     store.publish_with_tenants(&with_public_route(1), &two_tenants());
     let node = NodeProcess::start("node-1", store.address, &[]);
     node.wait_ready().await;
-    until_held_back(&node, "a 1,x", &read("harmless").with_key("a-2")).await;
+    wait_until_quarantined(&node, "a 1,x", &read("harmless").with_key("a-2")).await;
     let reached = |id: &str| leaves.iter().flat_map(|leaf| leaf.calls()).any(|call| call.id == id);
     let fatal = |id: &str, key: &str| CallerCall::get(HOST, FATAL_PATH, id).with_key(key);
     let again = node.call(&fatal("same-tenant", "a-2").with_header(TENANT, value(b"tenant-b"))).await;
@@ -271,7 +271,7 @@
 
 /// What may not be repeated runs once under one name, also when its key goes away meanwhile.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_runs_goes_on_in_the_name_that_it_began_in() {
+async fn a_running_request_keeps_its_tenant_when_its_key_is_revoked() {
     let (deployment, node) = one_node(&two_tenants()).await;
     for leaf in &deployment.singles {
         leaf.behave(LeafBehaviour::Slow(Duration::from_millis(1_500)));
@@ -280,12 +280,12 @@
     let order = CallerCall {
         method: Method::POST,
         body: b"an order".to_vec(),
-        patience: PATIENCE,
+        patience: EVENT_TIMEOUT,
         ..CallerCall::get(HOST, UNSAFE_PATH, "order").with_key("b-1")
     };
-    let asked = tokio::spawn(async move { caller.call(&order).await.expect("an answer") });
+    let pending_call = tokio::spawn(async move { caller.call(&order).await.expect("an answer") });
     eventually("it runs", || async { deployment.runs_of("order") > 0 }).await;
     deployment.store.publish_with_tenants(&with_public_route(3), &two_tenants()[..1]);
-    assert_eq!(asked.await.expect("the task ends").status.as_u16(), 200);
+    assert_eq!(pending_call.await.expect("the task ends").status.as_u16(), 200);
     assert_eq!(check_arrivals(&deployment, "order", Some("tenant-b")), 1);
 }
