--- a/crates/sablebay/tests/platform/at_most_once.rs
+++ b/crates/sablebay/tests/platform/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Requests that may not be repeated.
+//! Requests on an at-most-once route: they never run twice, and never after an answer that rules out a run.
 
 use http::Method;
 
@@ -34,7 +34,7 @@
                 let runs = deployment.runs_of(&id);
                 assert!(runs <= 1, "{id} ran {runs} times");
                 if answer.promises_not_run() {
-                    assert_eq!(runs, 0, "{id} was said not to have run");
+                    assert_eq!(runs, 0, "{id} ran although it was reported as not run");
                 }
                 if answer.status.is_success() {
                     assert!(answer.stamp.is_some_and(|stamp| stamp.ends_with(&id)));
--- a/crates/sablebay/tests/platform/callers.rs
+++ b/crates/sablebay/tests/platform/callers.rs
@@ -1,5 +1,5 @@
-//! Callers that are slow, half closed, gone, or ambiguous: each gets a clear answer or a closed
-//! connection, and nothing reaches a back end that was not asked for.
+//! Callers that are slow, half-closed, disconnected, or ambiguous: each gets a definite answer or a closed
+//! connection, and no unintended request reaches a back end.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     Deployment, EVENT_TIMEOUT, HOST, NodeProcess, SAFE_PATH, UNSAFE_PATH, configuration, eventually,
 };
 
-/// The time limits of the configuration here, in milliseconds.
+/// Limits in the published configuration.
 const HEAD_TIMEOUT_MS: u64 = 300;
 const IDLE_TIMEOUT_MS: u64 = 700;
 const HEADER_BYTES: usize = 9_000;
@@ -34,10 +34,10 @@
     TcpStream::connect(node.caller.address).await.expect("a connection")
 }
 
-/// What comes until the node closes the connection.
+/// Reads until the node closes the connection.
 async fn read_to_end(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
-    // A reset ends it as well as a close.
+    // A reset counts as closed too.
     let reading = async { while matches!(stream.read_buf(&mut bytes).await, Ok(count) if count > 0) {} };
     tokio::time::timeout(EVENT_TIMEOUT, reading).await.expect("the node closes the connection");
     String::from_utf8_lossy(&bytes).into_owned()
@@ -108,13 +108,13 @@
     let request = head("POST", UNSAFE_PATH, "left", "Content-Length: 100\r\n") + "only a part";
     stream.write_all(request.as_bytes()).await.expect("written");
     drop(stream);
-    // A later request on another connection is served, and nothing of the first has run.
+    // A request on another connection is served, and the incomplete one has not run.
     assert_eq!(node.get(SAFE_PATH, "after").await.status.as_u16(), 200);
     assert_eq!(deployment.runs_of("left"), 0);
 }
 
-/// Requests of which two readers could see different ends. The second request that some of them
-/// hide must never run.
+/// Guards against request smuggling: two parsers could disagree where these requests end, and the
+/// second request inside must never run.
 #[tokio::test(flavor = "multi_thread")]
 async fn ambiguous_requests_reach_no_back_end() {
     let (deployment, node) = node_with_limits().await;
@@ -141,7 +141,7 @@
     }
 }
 
-/// A length beside chunks: the chunks count, and the length does not go on.
+/// With both headers present, the chunks delimit the body and `Content-Length` is not forwarded.
 #[tokio::test(flavor = "multi_thread")]
 async fn chunked_encoding_takes_precedence_over_content_length() {
     let (deployment, node) = node_with_limits().await;
@@ -165,6 +165,8 @@
     for mut stream in silent {
         assert_eq!(read_to_end(&mut stream).await, "");
     }
-    eventually("the node serves on", || async { node.get(SAFE_PATH, "on").await.status.as_u16() == 200 })
-        .await;
+    eventually("the node still serves requests", || async {
+        node.get(SAFE_PATH, "on").await.status.as_u16() == 200
+    })
+    .await;
 }
--- a/crates/sablebay/tests/platform/catalogue.rs
+++ b/crates/sablebay/tests/platform/catalogue.rs
@@ -1,4 +1,4 @@
-//! What a node knows of routes and replicas while the store is in trouble.
+//! Routes and replicas on a node while the store fails or holds invalid entries.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     StoreMode::Garbling,
 ];
 
-/// A configuration whose single service is another one.
+/// A configuration that routes single requests to another service.
 fn moved(version: u64, service: &ServiceName) -> sablebay_catalogue::RoutingConfiguration {
     let mut configuration = configuration(version);
     for route in &mut configuration.routes {
@@ -73,7 +73,7 @@
             leaf.runs_of(&format!("after-{number}")) > 0
         })
         .await;
-        // Kept: it answers until the next configuration is in force.
+        // The back end must serve until the next configuration is in force.
         moved_to.push(leaf);
     }
 }
@@ -84,7 +84,7 @@
     let node = NodeProcess::start("node-1", deployment.store.address, &[]);
     node.wait_ready().await;
     deployment.store.set_mode(StoreMode::Refusing);
-    // One leaves in the gap, one vanishes in it.
+    // During the outage one replica drains and another is removed.
     let mut draining = deployment.singles[0].replica.clone();
     draining.phase = ReplicaPhase::Draining;
     deployment.store.announce(&draining);
@@ -92,7 +92,7 @@
     deployment.store.forget_history();
     deployment.store.set_mode(StoreMode::Serving);
     let mut number = 0;
-    eventually("the replicas that left get no work", || {
+    eventually("the draining and the removed replica get no requests", || {
         number += 1;
         let before = (deployment.singles[0].record().arrivals, deployment.shards[0].record().arrivals);
         let (node, deployment) = (&node, &deployment);
@@ -116,14 +116,14 @@
     let leaf = LeafStandIn::start("i-moved", &service, 100, "zone-a").await.expect("a back end");
     deployment.store.announce(&leaf.replica);
     deployment.store.publish(&moved(20, &service));
-    eventually("the newer one is in force", || async {
+    eventually("the newer configuration is in force", || async {
         node.get(SAFE_PATH, "probe").await;
         leaf.record().arrivals > 0
     })
     .await;
     let reads = deployment.store.reads();
     deployment.store.publish(&configuration(19));
-    eventually("the older one was read", || async { deployment.store.reads() > reads + 2 }).await;
+    eventually("the older configuration was read", || async { deployment.store.reads() > reads + 2 }).await;
     assert_eq!(node.get(SAFE_PATH, "r-1").await.status.as_u16(), 200);
     assert_eq!(leaf.runs_of("r-1"), 1);
 }
@@ -139,7 +139,7 @@
     draining.phase = ReplicaPhase::Draining;
     deployment.store.announce(&draining);
     let mut number = 0;
-    eventually("the replica that left gets no work", || {
+    eventually("the draining replica gets no requests", || {
         number += 1;
         let before = deployment.singles[0].record().arrivals;
         let (node, deployment) = (&node, &deployment);
@@ -161,7 +161,7 @@
     deployment.singles[0].behave(LeafBehaviour::Misdirected);
     for number in 0..10 {
         let answer = node.get(SAFE_PATH, &format!("r-{number}")).await;
-        assert_eq!(answer.status.as_u16(), 200, "the other replica answers; {HOST}");
+        assert_eq!(answer.status.as_u16(), 200, "the other replica answers for {HOST}");
     }
     assert!(deployment.singles[0].record().runs.is_empty());
 }
--- a/crates/sablebay/tests/platform/evacuation.rs
+++ b/crates/sablebay/tests/platform/evacuation.rs
@@ -1,5 +1,4 @@
-//! A zone that the operator evacuates: nothing new reaches its back ends, from any node, until it is taken
-//! back.
+//! Evacuated zones: no node sends new requests to their back ends until the evacuation is lifted.
 
 use std::time::Duration;
 
@@ -18,7 +17,7 @@
     ZoneName::new(name)
 }
 
-/// Makes some requests of each kind through a node.
+/// Sends ten requests of each kind through a node.
 async fn send_requests(node: &NodeProcess, name: &str) {
     for number in 0..10 {
         let id = format!("{name}-{number}");
@@ -32,7 +31,7 @@
 /// Waits until requests through a node reach no back end of the evacuated zone.
 async fn wait_until_empty(deployment: &Deployment, node: &NodeProcess, name: &str) {
     let round = std::sync::atomic::AtomicU32::new(0);
-    eventually("the zone gets nothing new", || async {
+    eventually("the zone gets no new requests", || async {
         let before = deployment.arrivals_in(EVACUATED);
         let round = round.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         send_requests(node, &format!("{name}-{round}")).await;
@@ -53,7 +52,7 @@
     let before = deployment.arrivals_in(EVACUATED);
     send_requests(&node, "empty").await;
     assert_eq!(deployment.arrivals_in(EVACUATED), before);
-    eventually("no connection is kept to it", || async {
+    eventually("all connections to the zone are closed", || async {
         let in_zone = deployment.leaves().filter(|leaf| leaf.replica.zone.as_str() == EVACUATED);
         in_zone.map(|leaf| leaf.record().open_connections).sum::<u64>() == 0
     })
@@ -147,7 +146,7 @@
     let deployment = Deployment::start_in_zones([EVACUATED, "zone-b"]).await;
     let first = NodeProcess::start("node-1", deployment.store.address, &[]);
     let second = NodeProcess::start_in("zone-b", "node-2", deployment.store.address, &[first.peers]);
-    // No back end stands in its zone: it has others gather.
+    // Its zone has no back ends, so it delegates gathering to other nodes.
     let root =
         NodeProcess::start_in("zone-c", "root", deployment.store.address, &[first.peers, second.peers]);
     for node in [&first, &second, &root] {
@@ -167,7 +166,7 @@
     assert_eq!(deployment.arrivals_in(EVACUATED), before);
 }
 
-/// Requests a second that a cold back end bears in this test.
+/// The capacity of a cold back end, in requests per second.
 const COLD_CAPACITY_PER_S: u32 = 6;
 
 #[tokio::test(flavor = "multi_thread")]
@@ -196,7 +195,7 @@
     }
     let before = deployment.arrivals_in(EVACUATED);
     deployment.store.take_back(&zone(EVACUATED));
-    // The nodes prefer back ends of their own zone, and there are far more requests than these bear.
+    // The nodes prefer back ends of their own zone, and the load far exceeds the cold capacity.
     eventually("the zone gets requests again", || async {
         tokio::join!(
             send_requests(&nodes[0], "after-0"),
@@ -207,6 +206,6 @@
     })
     .await;
     for leaf in returning() {
-        assert!(!leaf.record().fell_over, "{} got more than it bears", leaf.replica.id);
+        assert!(!leaf.record().fell_over, "{} got more requests than its cold capacity", leaf.replica.id);
     }
 }
--- a/crates/sablebay/tests/platform/faulty_answers.rs
+++ b/crates/sablebay/tests/platform/faulty_answers.rs
@@ -1,4 +1,4 @@
-//! Back ends that answer in odd manners: the caller gets a right answer or none.
+//! Back ends with faulty answers: the caller gets a correct answer or an error.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     (deployment, node)
 }
 
-/// Behaviours after which the other back end of a shard answers in its place.
+/// Faults after which the other back end of the shard answers instead.
 const FAILED_OVER: [LeafBehaviour; 11] = [
     LeafBehaviour::LoseAnswer,
     LeafBehaviour::BreakOff,
@@ -93,7 +93,7 @@
         leaf.behave(LeafBehaviour::Fail);
     }
     let answer = node.get(GATHER_PATH, "r-1").await;
-    assert_eq!(answer.status.as_u16(), 502, "one of four is in, and two are needed");
+    assert_eq!(answer.status.as_u16(), 502, "one of four shards answered, and two are required");
     assert!(!answer.promises_not_run());
 }
 
@@ -107,8 +107,8 @@
     assert_eq!(answer.status.as_u16(), 503);
     assert!(answer.retry_after.is_some_and(|seconds| seconds > 0.0));
     assert_eq!(deployment.runs_of("r-1"), 0);
-    // Over several shards the answer is final as soon as success is out of reach. What is open then
-    // may run, so that nothing is promised unless every shard has said that it did not.
+    // A gather fails as soon as success is out of reach. Calls still open may run, so the answer rules
+    // out a run only if every shard reported that it did not run the request.
     let gathered = node.get(GATHER_PATH, "r-2").await;
     assert!(matches!(gathered.status.as_u16(), 502 | 503));
     assert_eq!(gathered.retry_after.is_some(), gathered.promises_not_run());
@@ -125,7 +125,7 @@
     let calling = node.caller.call(&call);
     let arrived = eventually("the request arrives", || async { deployment.runs_of("r-1") > 0 });
     tokio::select! {
-        answer = calling => panic!("nobody answers: {answer:?}"),
+        answer = calling => panic!("no back end answers, but the caller got {answer:?}"),
         () = arrived => {}
     }
     eventually("the work is cancelled", || async {
--- a/crates/sablebay/tests/platform/gathering.rs
+++ b/crates/sablebay/tests/platform/gathering.rs
@@ -1,5 +1,5 @@
-//! Shards that another node gathers: all back ends stand in one zone, and the node that callers
-//! reach in another.
+//! Delegated gathering: all back ends are in one zone, and the node that receives the requests (the root)
+//! is in another.
 
 use std::time::Duration;
 
@@ -11,24 +11,24 @@
     Deployment, GATHER_PATH, HOST, NodeProcess, SAFE_PATH, SHARDS, check_gathered, configuration, eventually,
 };
 
-/// A deployment with nodes in the back ends' zone, and a root in a zone without any.
+/// A deployment with gatherers in the zone of the back ends, and a root in a zone without back ends.
 struct Fleet {
     deployment: Deployment,
     gatherers: Vec<NodeProcess>,
     root: NodeProcess,
 }
 
-/// A metric of a node, as it is served; 0 before it was counted.
+/// The value of a node's metric; 0 if the metric is absent.
 pub fn metric(node: &NodeProcess, name: &str) -> u64 {
     let text = node.admin_text("/metrics");
     let lines = text.lines().filter_map(|line| line.strip_prefix(name));
     lines.filter_map(|value| value.trim().parse::<u64>().ok()).sum()
 }
 
-/// Shards that other nodes were asked for and gave.
+/// The number of delegations that other nodes answered.
 pub const ANSWERED_DELEGATIONS: &str = "sablebay_gateway_delegations_total{outcome=\"answered\"}";
 
-/// Makes gathered requests until one was gathered by another node; returns its number.
+/// Sends requests until one was gathered by another node.
 pub async fn wait_until_delegated(root: &NodeProcess) {
     let number = std::sync::atomic::AtomicU32::new(0);
     eventually("a request is gathered by another node", || async {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Begins a gathered request, and waits until each shard runs it.
+    /// Starts a gather request, and waits until each shard runs it.
     async fn begin(
         &self,
         id: &'static str,
@@ -102,12 +102,15 @@
     assert!(merged > 0, "the gatherer is in another zone");
     assert_eq!(counted(root, "received", "merged_part", "own"), 0);
     assert!(counted(gatherer, "sent", "merged_part", "other") >= merged);
-    assert!(counted(gatherer, "received", "first_call", "own") > 0, "its replicas are in its zone");
+    assert!(
+        counted(gatherer, "received", "first_call", "own") > 0,
+        "the gatherer's replicas are in its own zone"
+    );
     assert!(counted(root, "sent", "gather_request", "other") > 0);
     assert!(counted(root, "sent", "greeting", "other") > 0);
-    assert!(counted(root, "sent", "member_list", "other") > 0, "it asked the other for the members");
+    assert!(counted(root, "sent", "member_list", "other") > 0, "the root requested the member list");
     assert!(counted(root, "sent", "catalogue_question", "other") > 0);
-    assert_eq!(counted(root, "sent", "member_list", "own"), 0, "nobody else is in its zone");
+    assert_eq!(counted(root, "sent", "member_list", "own"), 0, "the root is alone in its zone");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -136,7 +139,7 @@
     fleet.gatherers[0].signal(Signal::CONT);
     let before = metric(&fleet.root, ANSWERED_DELEGATIONS);
     let number = std::sync::atomic::AtomicU32::new(0);
-    eventually("the gatherer is asked again", || async {
+    eventually("the gatherer answers delegations again", || async {
         let id = format!("again-{}", number.fetch_add(1, std::sync::atomic::Ordering::Relaxed));
         let answer = fleet.root.get(GATHER_PATH, &id).await;
         check_gathered(&answer, &id);
@@ -156,7 +159,7 @@
     let answer = pending_call.await.expect("the task ends");
     check_gathered(&answer, "r-1");
     assert_eq!(answer.missing, 0);
-    assert_eq!(fleet.deployment.runs_of("r-1"), u32::from(SHARDS), "nothing was sent twice");
+    assert_eq!(fleet.deployment.runs_of("r-1"), u32::from(SHARDS), "no shard was called twice");
     fleet.slow_shards(Duration::ZERO);
     assert_eq!(fleet.gatherers[0].exit_code().await, Some(0));
     check_gathered(&fleet.root.get(GATHER_PATH, "r-2").await, "r-2");
@@ -171,14 +174,14 @@
     let pending_call = fleet.begin("r-1").await;
     pending_call.abort();
     let cancelled = || fleet.deployment.shards.iter().map(|leaf| leaf.record().cancelled).sum::<u64>();
-    eventually("the back ends' work ends", || async { cancelled() >= u64::from(SHARDS) }).await;
+    eventually("the work at the back ends is cancelled", || async { cancelled() >= u64::from(SHARDS) }).await;
     assert_eq!(fleet.root.get(SAFE_PATH, "r-2").await.status.as_u16(), 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_gatherer_of_another_configuration_gathers_what_it_is_asked_for() {
     let fleet = Fleet::start(2).await;
-    // Some nodes will know it before others; the root's version names the shards.
+    // Nodes receive the version at different times; the order of shards follows the root's version.
     let mut fewer = configuration(2);
     for route in &mut fewer.routes {
         if let sablebay_catalogue::Destination::Gather(gather) = &mut route.destination {
--- a/crates/sablebay/tests/platform/key_changes.rs
+++ b/crates/sablebay/tests/platform/key_changes.rs
@@ -1,4 +1,4 @@
-//! Keys that are given out, taken away and passed on while nodes run.
+//! Keys that are issued, revoked and reassigned while nodes run.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use crate::support::{Deployment, HOST, NodeProcess, SAFE_PATH, configuration, eventually};
 use crate::tenants::{arrivals_of, check_arrivals, one_node, read, two_tenants, with_public_route};
 
-/// Calls made after a change has shown, none of which may show what was before.
+/// Calls after a change is visible, all of which must reflect the change.
 const REPEATED_CALLS: usize = 40;
 
-/// Two nodes that know of each other.
+/// Two nodes, the second seeded with the first.
 async fn two_nodes(tenants: &[TenantSpec]) -> (Deployment, Vec<NodeProcess>) {
     let (deployment, first) = one_node(tenants).await;
     let second = NodeProcess::start("node-2", deployment.store.address, &[first.peers]);
@@ -18,7 +18,7 @@
     (deployment, vec![first, second])
 }
 
-/// Calls each node until it answers as it should, and some more times, all of which must show the same.
+/// Calls each node until it answers as expected, then checks that all further answers are as expected.
 async fn wait_until_stable(
     name: &str,
     nodes: &[NodeProcess],
@@ -36,7 +36,7 @@
         };
         eventually(name, attempt).await;
         for _ in 0..REPEATED_CALLS {
-            assert!(attempt().await, "{name}: node {at} went back");
+            assert!(attempt().await, "{name}: node {at} reverted to an earlier state");
         }
     }
 }
@@ -86,7 +86,7 @@
     wait_until_stable("agreed", &nodes, Some("b-1"), |_, answer| answer.status.as_u16() == 200).await;
 }
 
-/// Before, nobody is asked for a key; a caller's word of its tenant is dropped in any case.
+/// Without tenants no key is required; a tenant header sent by a caller is always dropped.
 #[tokio::test(flavor = "multi_thread")]
 async fn tenants_can_be_introduced() {
     let deployment = Deployment::start().await;
@@ -104,7 +104,7 @@
     check_arrivals(&deployment, "after", Some("tenant-b"));
 }
 
-/// A document that cannot be read changes nothing at once, and one that can, later, does.
+/// An unreadable document changes nothing; a later valid document is applied.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unreadable_configuration_gives_nobody_a_key() {
     let (deployment, nodes) = two_nodes(&two_tenants()).await;
@@ -116,7 +116,7 @@
     wait_until_stable("gone", &nodes, Some("b-1"), unknown).await;
 }
 
-/// A node that knows nothing yet cannot say whose key it is.
+/// A node without a configuration cannot judge keys, so it must not answer 401.
 #[tokio::test(flavor = "multi_thread")]
 async fn without_a_configuration_no_caller_is_reported_unknown() {
     let store = StoreStandIn::start().await.expect("a store");
--- a/crates/sablebay/tests/platform/large_configurations.rs
+++ b/crates/sablebay/tests/platform/large_configurations.rs
@@ -1,13 +1,5 @@
-//! Large configurations, and small ones right behind them.
-//!
-//! What was seen: 5 s after an operator was told that a route was added, a node still served by the configuration before.
-//! How it came about: 1,400 routes had been added two seconds earlier. Every node asks the same few nodes for news, and each
-//! was answered with the whole configuration, whatever had changed in it. The answers filled the links of those few for
-//! 5 to 15 s and their memory up to its limit; their own questions waited behind them. Who asked gave up on answers that were
-//! still arriving and asked the next node, which then was in the same trouble.
-//! What caused it: an answer as large as the configuration, to everybody at once, and a limit on its time that does not
-//! depend on its size.
-//! What proved it: the bytes that single nodes gave out in each second, at the limit of their links, and these tests.
+//! Updates of large configurations: a small change must not resend the whole document to every node, and
+//! a transfer over a slow link must not time out while data still arrives.
 
 use sablebay_catalogue::RoutingConfiguration;
 use sablebay_platform_standin::StoreMode;
@@ -16,17 +8,17 @@
 use crate::gathering::metric;
 use crate::support::{Deployment, NodeProcess, configuration, eventually, settings_text};
 
-/// The routes that a large configuration has more.
+/// The number of routes that a large configuration adds.
 const ROUTES: usize = 1_400;
-/// Nodes of one zone, enough for it to have relays.
+/// The number of nodes in the zone, enough for relays to be used.
 const NODES: usize = 9;
-/// What the fleet may send for one more route: 5 kB a node, questions and answers of some seconds among them. The whole
-/// configuration has some 200 kB.
+/// The maximum that the fleet may send for one added route: 5 kB per node, periodic catalogue requests included. The
+/// whole configuration has about 200 kB.
 const SMALL_CHANGE_BYTES: u64 = 5_000 * NODES as u64;
-/// Bytes a second of a link that the whole configuration needs several seconds for.
+/// A bandwidth at which the whole configuration takes several seconds.
 const SLOW_LINK_BYTES_PER_S: u64 = 50_000;
 
-/// The first configuration, with this many routes more.
+/// The base configuration with this many routes added.
 fn grown(version: u64, routes: usize) -> RoutingConfiguration {
     let mut configuration = configuration(version);
     let template = configuration.routes[1].clone();
@@ -50,7 +42,7 @@
     }
 }
 
-/// What all nodes sent for the catalogue so far.
+/// The catalogue bytes that all nodes have sent so far.
 fn catalogue_bytes(nodes: &[NodeProcess]) -> u64 {
     let sent = |node: &NodeProcess| -> u64 {
         let text = node.admin_text("/metrics");
@@ -78,7 +70,10 @@
     deployment.store.publish(&grown(3, ROUTES + 1));
     wait_until_in_force(&nodes, 3).await;
     let sent = catalogue_bytes(&nodes) - before;
-    assert!(sent <= SMALL_CHANGE_BYTES, "{sent} bytes for one route; {SMALL_CHANGE_BYTES} may be sent");
+    assert!(
+        sent <= SMALL_CHANGE_BYTES,
+        "{sent} bytes were sent for one route; at most {SMALL_CHANGE_BYTES} are allowed"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -90,7 +85,7 @@
     let first = NodeProcess::start_with(&settings);
     link.set_target(first.peers);
     first.wait_ready().await;
-    // The second node has no store: it learns everything from the first.
+    // The second node cannot read the store and gets the catalogue from the first.
     let closed = unavailable_store().await;
     let second = NodeProcess::start("node-2", closed.address, &[link.address]);
     second.wait_ready().await;
@@ -112,7 +107,7 @@
     assert_eq!(metric(&nodes[0], "sablebay_gateway_source_reads_total{outcome=\"unavailable\"}"), 0);
 }
 
-/// A store that refuses everything.
+/// A store that refuses all requests.
 async fn unavailable_store() -> sablebay_platform_standin::StoreStandIn {
     let store = sablebay_platform_standin::StoreStandIn::start().await.expect("a store");
     store.set_mode(StoreMode::Refusing);
--- a/crates/sablebay/tests/platform/lifecycle.rs
+++ b/crates/sablebay/tests/platform/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a node process: settings that change, and the planned stop.
+//! The lifecycle of a node process: reload of settings, the status command, and the planned stop.
 
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
         .await;
     node.signal(Signal::TERM);
     for call in calls {
-        let answer = call.await.expect("the task ends").expect("an answer in full");
+        let answer = call.await.expect("the task ends").expect("a complete answer");
         assert_eq!(answer.status.as_u16(), 200);
     }
     assert_eq!(node.exit_code().await, Some(0));
@@ -49,7 +49,7 @@
     node.signal(Signal::TERM);
     eventually("the node is unready", || async { !node.is_ready().await }).await;
     let late = node.caller.call(&CallerCall::get(HOST, SAFE_PATH, "late")).await;
-    // The listener may be closed by then; a request that is taken is served.
+    // The listener may be closed by now; an accepted request must be served.
     if let Ok(answer) = late {
         assert_eq!(answer.status.as_u16(), 200);
     }
@@ -62,7 +62,7 @@
     let deployment = Deployment::start().await;
     let node = NodeProcess::start("node-1", deployment.store.address, &[]);
     node.wait_ready().await;
-    let text = std::fs::read_to_string(&node.settings_path).expect("the settings are there");
+    let text = std::fs::read_to_string(&node.settings_path).expect("the settings are read");
     for changed in
         [text.replace("retry_fixed = 1000", "retry_fixed = \"many\""), text.replace("1000", "1001")]
     {
@@ -73,7 +73,7 @@
     }
 }
 
-/// What `sablebay status` prints about a node.
+/// The output of `sablebay status` for a node.
 fn status(node: &NodeProcess) -> String {
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_sablebay"))
         .args(["status", "--admin", &node.admin.to_string()])
@@ -92,7 +92,7 @@
     first.wait_ready().await;
     second.wait_ready().await;
     let leaves = deployment.leaves().count();
-    eventually("both nodes are shown with what they know", || async {
+    eventually("status shows both nodes with their version and replicas", || async {
         let text = status(&first);
         let shown = |line: &&str| {
             let words: Vec<&str> = line.split_whitespace().collect();
--- a/crates/sablebay/tests/platform/link.rs
+++ b/crates/sablebay/tests/platform/link.rs
@@ -1,4 +1,4 @@
-//! The way from one node to another process, which a test cuts, holds up and restores.
+//! A TCP relay between a node and another process, which a test can cut, delay and restore.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,25 +8,25 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// What a link does with what goes over it.
+/// How a link treats its traffic.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum LinkState {
-    /// Everything goes through.
+    /// Forwards everything.
     #[default]
     Open,
-    /// Questions go through, answers wait.
+    /// Forwards requests and holds answers back.
     HoldingAnswers,
-    /// The same, and one waits.
+    /// Like `HoldingAnswers`, with an answer held back.
     AnswerHeld,
-    /// What waits goes through, and then nothing more.
+    /// Forwards the held answer, then becomes `Cut`.
     Releasing,
-    /// Nothing goes through.
+    /// Closes open connections and forwards nothing.
     Cut,
 }
 
-/// A relay of connections to one address.
+/// A relay for connections to one address.
 pub struct Link {
-    /// Where it listens.
+    /// The address that the relay listens on.
     pub address: SocketAddr,
     state: Arc<watch::Sender<LinkState>>,
     task: JoinHandle<()>,
@@ -39,10 +39,10 @@
 }
 
 impl Link {
-    /// Opens a relay to an address.
+    /// Starts a relay to an address.
     pub async fn to(target: SocketAddr) -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
-        let address = listener.local_addr().expect("it is bound");
+        let address = listener.local_addr().expect("the listener is bound");
         let state = Arc::new(watch::Sender::new(LinkState::Open));
         let shared = state.clone();
         let task = tokio::spawn(async move {
@@ -53,32 +53,32 @@
         Self { address, state, task }
     }
 
-    /// Ends what goes over it, and lets nothing new through.
+    /// Closes all connections, and forwards nothing until [`Link::restore`].
     pub fn cut(&self) {
         self.state.send_replace(LinkState::Cut);
     }
 
-    /// Lets everything new through again.
+    /// Forwards new connections again.
     pub fn restore(&self) {
         self.state.send_replace(LinkState::Open);
     }
 
-    /// Lets questions through, and keeps the answers.
+    /// Forwards requests and holds answers back.
     pub fn hold_answers(&self) {
         self.state.send_replace(LinkState::HoldingAnswers);
     }
 
-    /// Waits until an answer is kept.
+    /// Waits until an answer is held back.
     pub async fn wait_for_answer(&self) {
         let mut states = self.state.subscribe();
-        states.wait_for(|state| *state == LinkState::AnswerHeld).await.expect("the link is there");
+        states.wait_for(|state| *state == LinkState::AnswerHeld).await.expect("the link is open");
     }
 
-    /// Lets the answer through that is kept, and nothing after it.
+    /// Forwards the held answer, then cuts the link.
     pub async fn release_answer_and_cut(&self) {
         self.state.send_replace(LinkState::Releasing);
         let mut states = self.state.subscribe();
-        states.wait_for(|state| *state == LinkState::Cut).await.expect("the link is there");
+        states.wait_for(|state| *state == LinkState::Cut).await.expect("the link is open");
     }
 }
 
@@ -90,7 +90,7 @@
         };
         let (mut near_read, mut near_write) = near.split();
         let (mut far_read, mut far_write) = far.split();
-        // How a connection ends shows at both ends.
+        // When either direction ends, both sides are closed.
         tokio::select! {
             _ = tokio::io::copy(&mut near_read, &mut far_write) => {}
             _ = copy_answers(&mut far_read, &mut near_write, &state) => {}
--- a/crates/sablebay/tests/platform/main.rs
+++ b/crates/sablebay/tests/platform/main.rs
@@ -1,5 +1,5 @@
-//! The whole path on the users' platform: node processes between callers, back ends and the store,
-//! all stand-ins of `sablebay-platform-standin`, over loopback.
+//! End-to-end tests on the users' platform: node processes over loopback, with stand-ins from
+//! `sablebay-platform-standin` as callers, back ends and the store.
 
 mod at_most_once;
 mod callers;
--- a/crates/sablebay/tests/platform/normal_operation.rs
+++ b/crates/sablebay/tests/platform/normal_operation.rs
@@ -1,4 +1,4 @@
-//! Requests when nothing is wrong, and requests that are.
+//! Requests in normal operation, and invalid requests.
 
 use http::Method;
 
@@ -34,11 +34,11 @@
         let answer = node.get(path, &id).await;
         assert_eq!(answer.status.as_u16(), 200);
         let stamp = answer.stamp.expect("the back end's signature");
-        assert!(stamp.ends_with(&id), "{stamp} is the signature of {id}");
+        assert!(stamp.ends_with(&id), "{stamp} must be the signature of {id}");
         assert_eq!(deployment.runs_of(&id), 1);
     }
     let complete = deployment.leaves().all(|leaf| leaf.record().incomplete == 0);
-    assert!(complete, "each request named its deadline and the instance that it was meant for");
+    assert!(complete, "each request must name its deadline and its target instance");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -83,5 +83,5 @@
     eventually("each back end has a connection", || async { open() == deployment.leaves().count() }).await;
     node.get(GATHER_PATH, "r-1").await;
     let opened: u64 = deployment.leaves().map(|leaf| leaf.record().connections).sum();
-    assert_eq!(opened, deployment.leaves().count() as u64, "and the request opens none");
+    assert_eq!(opened, deployment.leaves().count() as u64, "the request must not open another connection");
 }
--- a/crates/sablebay/tests/platform/overload.rs
+++ b/crates/sablebay/tests/platform/overload.rs
@@ -1,12 +1,12 @@
-//! Overload: what would come too late is refused at once, and has not run.
+//! Overload: requests that would miss their deadline are refused at once, without running.
 
 use sablebay_platform_standin::LeafBehaviour;
 
 use crate::support::{Deployment, GATHER_PATH, NodeProcess, SAFE_PATH, check_gathered, eventually};
 
-/// Requests within which one must be refused; each is with a probability of 0.8.
+/// Requests of which at least one must be refused; each is refused with a probability of 0.8.
 const REQUESTS: usize = 300;
-/// Answers in a row after which the overload counts as over.
+/// Consecutive answers after which the overload counts as over.
 const RECOVERY_ANSWERS: usize = 30;
 
 #[tokio::test(flavor = "multi_thread")]
@@ -27,13 +27,13 @@
         }
         refused += 1;
         assert!(answer.promises_not_run(), "{}", answer.status);
-        assert_eq!(deployment.runs_of(&id), 0, "what is refused has not run");
-        let retry_after = answer.retry_after.expect("a refusal says when to come back");
+        assert_eq!(deployment.runs_of(&id), 0, "a refused request must not run");
+        let retry_after = answer.retry_after.expect("a refusal has a retry time");
         assert!(retry_after > 0.0 && retry_after < 5.0 / 3.0, "{retry_after}");
     }
     assert!(refused > 0, "all shards are crowded");
-    assert!(refused < REQUESTS, "some are let in, to learn of the queues");
-    assert_eq!(node.get(SAFE_PATH, "single").await.status.as_u16(), 200, "other services are not concerned");
+    assert!(refused < REQUESTS, "some requests are admitted to measure the queues");
+    assert_eq!(node.get(SAFE_PATH, "single").await.status.as_u16(), 200, "other services are not affected");
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/sablebay/tests/platform/quarantine.rs
+++ b/crates/sablebay/tests/platform/quarantine.rs
@@ -1,10 +1,5 @@
-//! A request that ends each back end which begins to run it.
-//!
-//! Seen: a search of which 20 shards with two replicas each were asked at once, and their second replicas after
-//! the first had gone; all 40 back ends of the service ended within 150 ms, again at each repeat, at whichever
-//! node it came in. How: nothing was remembered of a request beyond its own attempt, so that a repeat was a new
-//! request, and an end was one more failed call to send on. Cause: failures were counted by replica alone,
-//! never by request. Proof: the same with stand-ins, which end on one path and live on all others.
+//! Requests that crash every back end that runs them: after a few crashes they are quarantined, so that
+//! retries, hedges and repeated requests at other nodes do not take down a whole service.
 
 use std::time::Duration;
 
@@ -19,23 +14,23 @@
     shard_service, single_service,
 };
 
-/// The first line of what ends a back end, as far as it counts.
+/// A part of the request line that makes a back end crash.
 const FATAL: &str = "/fatal ";
-/// Back ends of each service.
+/// The number of back ends per service.
 const REPLICAS: u8 = 2;
-/// How long a back end is gone.
+/// How long a crashed back end is down.
 const RESTART_DELAY: Duration = Duration::from_millis(150);
-/// Attempts that may reach back ends after three have ended.
+/// The limit on attempts that reach back ends after three crashes.
 const LATE_ATTEMPTS: usize = 3;
 
-/// Back ends that end on one path, and nodes in front of them.
+/// Back ends that crash on one path, and nodes in front of them.
 struct Fleet {
     store: StoreStandIn,
     leaves: Vec<RestartingLeaf>,
     nodes: Vec<NodeProcess>,
 }
 
-/// Back ends of a service that end on one path.
+/// Starts the back ends of a service; they crash on one path.
 pub async fn crashing_leaves_of(
     service: &ServiceName,
     shard: u8,
@@ -43,7 +38,7 @@
 ) -> Vec<RestartingLeaf> {
     let mut leaves = Vec::new();
     for copy in 0..REPLICAS {
-        // Records are told apart by the number in the name.
+        // Gathered parts are attributed to shards by the number in the name.
         let identity = LeafIdentity {
             name: format!("i-{shard}-{copy}"),
             keeps_name: false,
@@ -63,7 +58,7 @@
         Self::start_in(&vec!["zone-a"; nodes]).await
     }
 
-    /// Nodes in these zones; all back ends are in the first.
+    /// Starts nodes in these zones; all back ends are in `zone-a`.
     async fn start_in(zones: &[&str]) -> Self {
         let store = StoreStandIn::start().await.expect("a store");
         let mut leaves = Vec::new();
@@ -93,11 +88,10 @@
         self.leaves.iter().map(|leaf| leaf.arrivals_of(FATAL)).sum()
     }
 
-    /// Waits until every back end is there, and every node gets answers from all shards and from the single
-    /// service, and so knows their new lives.
+    /// Waits until every back end is up, and every node gets answers from all shards and from the single
+    /// service, which shows that it has their new incarnations.
     async fn wait_until_recovered(&self, name: &str) {
-        eventually("all back ends are there", || async { self.leaves.iter().all(RestartingLeaf::is_up) })
-            .await;
+        eventually("all back ends are up", || async { self.leaves.iter().all(RestartingLeaf::is_up) }).await;
         for (number, node) in self.nodes.iter().enumerate() {
             let attempt = std::sync::atomic::AtomicU32::new(0);
             eventually("all shards answer", || async {
@@ -111,8 +105,8 @@
         }
     }
 
-    /// Makes attempts at one node after the other, each once all back ends are back. Returns the answers, and
-    /// how many attempts reached a back end after three had ended.
+    /// Sends a request repeatedly, at one node after the other, each time after all back ends have recovered.
+    /// Returns the answers, and how many attempts reached a back end after three crashes.
     async fn attempt(&self, path: &str, attempts: usize) -> (Vec<CallerAnswer>, usize) {
         let mut answers = Vec::new();
         let mut late = 0;
@@ -132,17 +126,16 @@
 async fn a_search_that_crashes_back_ends_is_quarantined() {
     let fleet = Fleet::start(3).await;
     let (answers, late) = fleet.attempt("/all/fatal", 12).await;
-    assert!(fleet.crashes() >= 3, "it ends back ends");
-    assert!(late <= LATE_ATTEMPTS, "{late} attempts reached back ends, {} ended", fleet.crashes());
+    assert!(fleet.crashes() >= 3, "the request crashes back ends");
+    assert!(late <= LATE_ATTEMPTS, "{late} attempts reached back ends, {} crashed", fleet.crashes());
     let last = answers.last().expect("an answer");
-    assert!(last.promises_not_run(), "a request that is not tried says so: {}", last.status);
+    assert!(last.promises_not_run(), "a refused request is reported as not run: {}", last.status);
     let similar = fleet.nodes[0].get("/all/fatally", "near-miss").await;
     check_gathered(&similar, "near-miss");
 }
 
-/// Seen: after the first repair a request was still sent on four times too often. Attempts come in at several
-/// nodes at once; together they end every back end in the first moment, so that no node meets a second end one
-/// after the other, and the next time each node tried it carefully, all of them at the same moment.
+/// Attempts that arrive at several nodes at once: each node on its own sees few crashes, so that only a
+/// shared history keeps all of them from trying the request again.
 #[tokio::test(flavor = "multi_thread")]
 async fn attempts_that_come_in_at_all_nodes_at_once_cost_few_back_ends() {
     let fleet = Fleet::start(3).await;
@@ -164,13 +157,12 @@
     }
     assert!(
         late < LATE_ATTEMPTS as u32,
-        "{late} back ends ended after the first spell, {} in all",
+        "{late} back ends crashed after the first round, {} in total",
         fleet.crashes()
     );
 }
 
-/// Two of three nodes have no back end in their zone: they have the third gather for them, once the fleet has
-/// settled.
+/// Two of the three nodes have no back end in their zone and delegate gathering to the third.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_search_gathered_by_other_nodes_is_quarantined_too() {
     let fleet = Fleet::start_in(&["zone-a", "zone-b", "zone-b"]).await;
@@ -178,8 +170,8 @@
         wait_until_delegated(root).await;
     }
     let (answers, late) = fleet.attempt("/all/fatal", 9).await;
-    assert!(fleet.crashes() >= 3, "it ends back ends");
-    assert!(late < LATE_ATTEMPTS, "{late} attempts reached back ends, {} ended", fleet.crashes());
+    assert!(fleet.crashes() >= 3, "the request crashes back ends");
+    assert!(late < LATE_ATTEMPTS, "{late} attempts reached back ends, {} crashed", fleet.crashes());
     assert!(answers.last().expect("an answer").promises_not_run());
 }
 
@@ -191,7 +183,7 @@
     let fresh = NodeProcess::start("fresh", fleet.store.address, &seeds);
     fresh.wait_ready().await;
     let admin = fresh.admin.to_string();
-    eventually("it is told", || async { has_quarantine(&admin) }).await;
+    eventually("the node has the quarantined request", || async { has_quarantine(&admin) }).await;
     let before = fleet.arrivals();
     let answer = fresh.get("/all/fatal", "at-the-fresh-one").await;
     assert!(answer.promises_not_run());
@@ -199,19 +191,18 @@
     fleet.nodes.push(fresh);
 }
 
-/// Whether a node itself knows of a request that is held back.
+/// Whether the node's own status lists a quarantined request.
 fn has_quarantine(admin: &str) -> bool {
     use std::io::{Read, Write};
-    let mut stream = std::net::TcpStream::connect(admin).expect("the node takes a connection");
+    let mut stream = std::net::TcpStream::connect(admin).expect("a connection to the admin API");
     stream
         .write_all(b"GET /v1/status HTTP/1.1\r\nhost: node\r\nconnection: close\r\n\r\n")
-        .expect("the request is sent");
+        .expect("the request is written");
     let mut text = String::new();
-    stream.read_to_string(&mut text).expect("the report comes");
+    stream.read_to_string(&mut text).expect("the response is read");
     text.contains("held back")
 }
 
-/// Operators see what is held back, since when and why, and let it go.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_operator_sees_a_quarantined_request_and_releases_it() {
     let fleet = Fleet::start(3).await;
@@ -227,7 +218,7 @@
     let admin = fleet.nodes[0].admin.to_string();
     assert!(sablebay(&["release", "--admin", &admin, &digest]).contains("is released"));
     let number = std::sync::atomic::AtomicU32::new(0);
-    eventually("the request is tried again, at a node that was told", || async {
+    eventually("another node runs the request again after the release", || async {
         let id = format!("again-{}", number.fetch_add(1, std::sync::atomic::Ordering::Relaxed));
         fleet.nodes[1].get("/all/fatal", &id).await;
         fleet.arrivals() > before
@@ -235,7 +226,7 @@
     .await;
 }
 
-/// Runs a command of the program, which must succeed.
+/// Runs a `sablebay` command and returns its output; panics if the command fails.
 pub fn sablebay(arguments: &[&str]) -> String {
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_sablebay")).args(arguments).output();
     let output = output.expect("the command runs");
@@ -247,9 +238,9 @@
 async fn an_operation_that_crashes_back_ends_is_quarantined() {
     let fleet = Fleet::start(3).await;
     let (answers, late) = fleet.attempt("/once/fatal", 15).await;
-    assert!(fleet.crashes() >= 3, "it ends back ends");
-    assert!(late <= LATE_ATTEMPTS, "{late} attempts reached back ends, {} ended", fleet.crashes());
+    assert!(fleet.crashes() >= 3, "the request crashes back ends");
+    assert!(late <= LATE_ATTEMPTS, "{late} attempts reached back ends, {} crashed", fleet.crashes());
     for answer in &answers {
-        assert!(answer.status.is_server_error(), "it is never answered");
+        assert!(answer.status.is_server_error(), "the request never succeeds");
     }
 }
--- a/crates/sablebay/tests/platform/quota.rs
+++ b/crates/sablebay/tests/platform/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas of tenants, counted over several nodes.
+//! Tenant quotas that several nodes enforce together.
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
 
 const KEY: &str = "key-of-the-tenant";
 
-/// What a full account of a tenant of ten requests a second holds at most, and one that is begun anew at least.
+/// The quota of the tenant.
 const RATE_PER_S: f64 = 10.0;
 const BURST: f64 = 10.0;
-/// A window and what may pass in it.
+/// The measured window, and the maximum number of requests that may run in it.
 const WINDOW: Duration = Duration::from_secs(5);
 const MAXIMUM_ANSWERED: f64 = (RATE_PER_S * 5.0 + BURST) * 1.25 + 20.0;
 
-/// Three nodes, and a tenant.
+/// Three nodes and one tenant.
 struct Fleet {
     deployment: Deployment,
     nodes: Vec<NodeProcess>,
@@ -43,12 +43,12 @@
         for node in &nodes {
             node.wait_ready().await;
         }
-        // The fleet knows itself, and no node counts as one that has just started.
+        // Wait until the nodes have discovered each other and none counts as newly started.
         tokio::time::sleep(WINDOW + Duration::from_secs(1)).await;
         Self { deployment, nodes }
     }
 
-    /// Sends requests to some nodes in turn for a while; returns how many were answered, and how many refused.
+    /// Sends requests to some nodes in turn for `span`; returns the numbers of answered and refused requests.
     async fn send(&self, nodes: &[usize], pause: Duration, span: Duration) -> (u32, u32) {
         let until = Instant::now() + span;
         let (mut answered, mut refused, mut number) = (0, 0, 0);
@@ -59,8 +59,8 @@
             match answer.status.as_u16() {
                 200 => answered += 1,
                 429 => {
-                    assert_eq!(self.deployment.runs_of(&id), 0, "what is refused does not run");
-                    assert!(answer.retry_after.is_some(), "a refused caller is told when to come back");
+                    assert_eq!(self.deployment.runs_of(&id), 0, "a refused request must not run");
+                    assert!(answer.retry_after.is_some(), "a refusal has a retry time");
                     refused += 1;
                 }
                 status => panic!("status {status}"),
@@ -71,10 +71,10 @@
         (answered, refused)
     }
 
-    /// The node that keeps the tenant's account.
+    /// The index of the node that owns the tenant's account.
     fn owner(&self) -> usize {
         let owns = |node: &NodeProcess| node.admin_text("/metrics").contains("sablebay_gateway_accounts 1");
-        self.nodes.iter().position(owns).expect("a node keeps the account")
+        self.nodes.iter().position(owns).expect("a node owns the account")
     }
 }
 
@@ -82,9 +82,12 @@
 async fn nodes_share_the_limit_of_a_tenant() {
     let fleet = Fleet::start().await;
     let (answered, refused) = fleet.send(&[0, 1, 2], Duration::from_millis(5), WINDOW).await;
-    assert!(f64::from(answered) <= MAXIMUM_ANSWERED, "{answered} ran in a window, {MAXIMUM_ANSWERED} may");
+    assert!(
+        f64::from(answered) <= MAXIMUM_ANSWERED,
+        "{answered} ran in a window; at most {MAXIMUM_ANSWERED} may"
+    );
     assert!(f64::from(answered) >= RATE_PER_S * 4.0, "{answered} ran");
-    assert!(refused > answered, "most were over the quota");
+    assert!(refused > answered, "most requests are over the quota");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -98,7 +101,7 @@
 async fn another_node_takes_over_from_an_owner_that_is_killed() {
     let fleet = Fleet::start().await;
     fleet.send(&[0, 1, 2], Duration::from_millis(20), Duration::from_millis(500)).await;
-    eventually("an account is told of", || async {
+    eventually("a node reports an account", || async {
         fleet.nodes.iter().any(|node| node.admin_text("/metrics").contains("sablebay_gateway_accounts 1"))
     })
     .await;
@@ -106,21 +109,20 @@
     let rest: Vec<usize> = (0..3).filter(|node| *node != owner).collect();
     fleet.nodes[owner].signal(Signal::KILL);
     let (answered, _) = fleet.send(&rest, Duration::from_millis(5), WINDOW).await;
-    assert!(f64::from(answered) <= MAXIMUM_ANSWERED, "{answered} ran in a window, {MAXIMUM_ANSWERED} may");
-    assert!(answered >= 20, "{answered} ran without the keeper");
+    assert!(
+        f64::from(answered) <= MAXIMUM_ANSWERED,
+        "{answered} ran in a window; at most {MAXIMUM_ANSWERED} may"
+    );
+    assert!(answered >= 20, "{answered} ran without the owner");
 }
 
-/// Two nodes are cut from each other and restarted behind the cut with the settings that they had before, while their
-/// tenant sends far more than its quota to both.
-///
-/// Each of them then knew itself alone, took itself for the whole fleet, and lent the whole rate: the tenant got twice
-/// its quota for as long as the cut lasted (shown by the simulation, and on a played day). Both are given
-/// the same seeds, of which each reaches one; it now lends that part, and says so.
+/// Guards against nodes restarted during a partition that take themselves for the whole fleet: each may grant only
+/// the part of the rate that corresponds to the seeds it reaches.
 #[tokio::test(flavor = "multi_thread")]
 async fn nodes_that_were_restarted_behind_a_cut_share_the_limit_by_their_seeds() {
     let deployment = Deployment::start().await;
     deployment.store.publish_with_tenants(&configuration(2), &[tenant(RATE_PER_S, BURST)]);
-    // Connections to it are taken and nothing is said on them, as across a cut.
+    // Accepts connections and never answers, like a peer behind a partition.
     let silent_listener = std::net::TcpListener::bind("127.0.0.1:0").expect("an address");
     let silent = silent_listener.local_addr().expect("its address");
     let mut nodes = Vec::new();
@@ -129,13 +131,13 @@
             let text = settings_text(&format!("node-{number}"), deployment.store.address, seeds);
             format!("{text}quota_overage = 0.25\nquota_slack = 20\n")
         };
-        // Its own address, which is the other seed, is known once it listens.
+        // The node's own address, which is the other seed, is known only once the node listens.
         let node = NodeProcess::start_with(&settings(&[silent]));
         node.wait_ready().await;
         std::fs::write(&node.settings_path, settings(&[node.peers, silent]))
             .expect("the settings are written");
         node.signal(Signal::HUP);
-        eventually("each node may use half", || async {
+        eventually("the node's share is half", || async {
             node.admin_text("/metrics").contains("sablebay_gateway_fleet_share 0.5")
         })
         .await;
@@ -144,13 +146,19 @@
     let fleet = Fleet { deployment, nodes };
     tokio::time::sleep(WINDOW + Duration::from_secs(1)).await;
     let (answered, refused) = fleet.send(&[0, 1], Duration::from_millis(5), WINDOW).await;
-    assert!(f64::from(answered) <= MAXIMUM_ANSWERED, "{answered} ran in a window, {MAXIMUM_ANSWERED} may");
-    assert!(f64::from(answered) >= RATE_PER_S * 4.0, "{answered} ran, though each half may lend half");
-    assert!(refused > answered, "most were over the quota");
+    assert!(
+        f64::from(answered) <= MAXIMUM_ANSWERED,
+        "{answered} ran in a window; at most {MAXIMUM_ANSWERED} may"
+    );
+    assert!(
+        f64::from(answered) >= RATE_PER_S * 4.0,
+        "{answered} ran, though each node may grant half of the quota"
+    );
+    assert!(refused > answered, "most requests are over the quota");
     for node in &fleet.nodes {
         assert!(
             node.admin_text("/metrics").contains("sablebay_gateway_fleet_share 0.5"),
-            "half is each one's"
+            "the node's share must stay at half"
         );
     }
 }
@@ -163,6 +171,6 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     fleet.send(&[0, 1, 2], Duration::from_millis(20), Duration::from_secs(1)).await;
     let (answered, refused) = fleet.send(&[0, 1, 2], Duration::from_millis(20), WINDOW).await;
-    assert!(answered <= 7, "{answered} ran at one a second");
+    assert!(answered <= 7, "{answered} ran at a limit of one per second");
     assert!(refused > 50);
 }
--- a/crates/sablebay/tests/platform/restored_store.rs
+++ b/crates/sablebay/tests/platform/restored_store.rs
@@ -1,14 +1,7 @@
-//! A store that comes back from an older copy of what it held.
+//! A store that is restored from an older copy, with its revision counter set back.
 //!
-//! What was seen: 3 s after an operator was told that a configuration was accepted, every node still served by the one before,
-//! and went on until the next was written, 5.5 s later. No log had an error.
-//! How it came about: the store had been away for three seconds and had come back from a copy some seconds old, with its counter
-//! of revisions where the copy had it. The nodes went on from the highest revision that they had ever known. As long as the
-//! counter was lower, each wait for changes was refused and everything was read, three times a second; once the counter had come
-//! up to that revision, waits were answered again, with what was written *above* it. The configuration lay at it.
-//! What caused it: revisions of before and of after the return were taken for numbers of one order.
-//! What proved it: the revision of the next configuration that was heard of, one above the one where all nodes had stood since
-//! before the return; and these tests.
+//! Revisions from before and after a restore are not comparable: a node that waits above its last known
+//! revision would miss what was written below that revision after the restore.
 
 use sablebay_catalogue::{
     Destination, Replica, ReplicaPhase, RoutingConfiguration, ServiceName, WeightedService,
@@ -19,10 +12,10 @@
 use crate::gathering::metric;
 use crate::support::{Deployment, NodeProcess, SAFE_PATH, configuration, eventually};
 
-/// Nodes of a fleet: the two that read the store, and as many again.
+/// The number of nodes: the two that read the store, and two that do not.
 const NODES: usize = 4;
 
-/// A deployment whose store has a copy of its first state, and nodes that know what was written since.
+/// A deployment whose store has a copy of its initial state, and nodes with the entries written since.
 struct Fleet {
     deployment: Deployment,
     nodes: Vec<NodeProcess>,
@@ -49,7 +42,7 @@
         }
         deployment.store.keep_copy();
         let fleet = Self { deployment, nodes };
-        // Lost with the return: the counter stands higher than the copy's by these.
+        // These revisions are lost in the restore.
         fleet.deployment.store.raise_revision(8);
         fleet.deployment.store.publish(&configuration(2));
         fleet.wait_until_in_force(2).await;
@@ -64,7 +57,7 @@
 
     async fn wait_until_in_era(&self, era: u64) {
         for node in &self.nodes {
-            eventually("the return is known", || async {
+            eventually("the new era is known", || async {
                 metric(node, "sablebay_gateway_source_era") == era
             })
             .await;
@@ -80,8 +73,7 @@
         }
     }
 
-    /// The store is away for a moment in which nobody can read, and comes back from its copy; `meanwhile` is written
-    /// before anybody can read again.
+    /// Restores the store from its copy; `before_serving` runs before any node can read again.
     fn restore_store(&self, before_serving: impl FnOnce(&Deployment)) {
         self.deployment.store.set_mode(StoreMode::Refusing);
         self.deployment.store.return_from_copy();
@@ -89,10 +81,10 @@
         self.deployment.store.set_mode(StoreMode::Serving);
     }
 
-    /// Waits until a back end gets nothing more, whichever node is asked.
+    /// Waits until a back end gets no more requests from any node.
     async fn wait_until_without_work(&self, leaf: &LeafStandIn) {
         let mut number = 0;
-        eventually("it gets no more work", || {
+        eventually("the back end gets no more requests", || {
             number += 1;
             let before = leaf.record().arrivals;
             async move {
@@ -108,7 +100,7 @@
     }
 }
 
-/// The same with a return that nobody noticed by a refused wait: the counter has passed where the nodes stand.
+/// The counter passes the nodes' revision before they read again, so that no refused wait reveals the restore.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_configuration_below_the_revision_known_before_the_restore_is_in_force() {
     let fleet = Fleet::start().await;
@@ -125,7 +117,7 @@
 async fn a_back_end_that_leaves_after_the_restore_gets_no_more_work() {
     let fleet = Fleet::start().await;
     let leaving = &fleet.deployment.singles[0];
-    // Its entry was last written at a revision that the counter is below again.
+    // The entry's revision is above the counter after the restore.
     fleet.deployment.store.announce(&leaving.replica);
     fleet.deployment.store.publish(&configuration(3));
     fleet.wait_until_in_force(3).await;
@@ -136,7 +128,7 @@
     fleet.wait_until_without_work(leaving).await;
 }
 
-/// The configuration in which the single service is another one.
+/// A configuration that routes single requests to another service.
 fn moved(version: u64, service: &ServiceName) -> RoutingConfiguration {
     let mut configuration = configuration(version);
     for route in &mut configuration.routes {
@@ -176,10 +168,10 @@
         }
     }
     let after: Vec<u64> = fleet.deployment.singles.iter().map(|leaf| leaf.record().arrivals).collect();
-    assert_eq!(before, after, "the service of the older configuration gets nothing");
+    assert_eq!(before, after, "the service of the older configuration must get no requests");
 }
 
-/// The operator's word is in the lost seconds, and is not repeated at once.
+/// The evacuation is among the lost writes, and is not written again at once.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_evacuated_zone_stays_empty_after_a_restore() {
     let fleet = Fleet::start().await;
@@ -209,7 +201,7 @@
     assert_eq!(fleet.deployment.arrivals_in("zone-b"), before);
 }
 
-/// Two returns at once, the second from the same copy; what was written between them is lost with it.
+/// Two restores in a row from the same copy; the second loses what was written after the first.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_configuration_written_between_two_restores_is_in_force() {
     let fleet = Fleet::start().await;
@@ -224,8 +216,8 @@
     fleet.wait_until_in_force(4).await;
 }
 
-/// What a return costs the store: a listing by each of the two readers when they hear of it, one when the era is settled, and
-/// two of nodes that nobody had told in time.
+/// The limit on listings after a restore: for each of the two readers one on detection and one when the era settles, and
+/// two by nodes that were not notified in time.
 const MAXIMUM_LISTINGS: u64 = 2 * 2 + 2;
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/sablebay/tests/platform/revocation.rs
+++ b/crates/sablebay/tests/platform/revocation.rs
@@ -1,7 +1,7 @@
-//! A key that was taken away opens nothing after the limit, at any node, whatever that node can reach.
+//! Revoked keys: after the revocation limit no node accepts them, whatever the node can reach.
 //!
-//! Each test takes keys away while something is in the way of the news, sends requests all the time, and compares
-//! when each was sent with whether a back end ran it.
+//! Each test revokes a key while updates are delayed or blocked, sends requests throughout, and checks that none
+//! sent after the limit has run.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,11 +13,11 @@
 use crate::link::Link;
 use crate::support::{Deployment, HOST, NodeProcess, SAFE_PATH, configuration, eventually, settings_text};
 
-/// The limit on revocation here.
+/// The configured revocation limit.
 const LIMIT: Duration = Duration::from_millis(5_000);
-/// How much longer than the limit requests are sent.
+/// How long requests are sent after the limit.
 const EXTRA_TIME: Duration = Duration::from_millis(2_500);
-/// The time between two requests.
+/// The interval between requests.
 const PERIOD: Duration = Duration::from_millis(40);
 
 fn tenants(keys: &[&str]) -> [TenantSpec; 2] {
@@ -28,12 +28,12 @@
     format!("{text}revocation_limit_ms = {}\n", limit.as_millis())
 }
 
-/// A node for which revocation is limited.
+/// Starts a node with the revocation limit.
 fn start(name: &str, store: SocketAddr, peers: &[SocketAddr]) -> NodeProcess {
     NodeProcess::start_with(&limited(&settings_text(name, store, peers), LIMIT))
 }
 
-/// A deployment in which the key of `harbour` is `old`.
+/// A deployment in which the tenant `harbour` has the key `old`.
 async fn deployment() -> Deployment {
     let deployment = Deployment::start().await;
     deployment.store.publish_with_tenants(&configuration(2), &tenants(&["old"]));
@@ -50,7 +50,7 @@
     caller.call(&call).await.ok().map(|answer| answer.status.as_u16())
 }
 
-/// A request, and what came of it.
+/// A request, the time it was sent after the start, and the status of its answer.
 #[derive(Debug)]
 struct Sent {
     id: String,
@@ -58,16 +58,16 @@
     status: Option<u16>,
 }
 
-/// Sends requests with a key for a while; they wait for their answers side by side.
+/// Sends requests with a key periodically and concurrently, until `duration` after `since`.
 async fn send_requests(
     caller: CallerStandIn,
     key: &'static str,
     name: &str,
     since: Instant,
-    lasts: Duration,
+    duration: Duration,
 ) -> Vec<Sent> {
     let mut calls = Vec::new();
-    while since.elapsed() < lasts {
+    while since.elapsed() < duration {
         let (id, after) = (format!("{name}-{}", calls.len()), since.elapsed());
         calls.push(tokio::spawn(async move {
             let status = status(caller, key, &id).await;
@@ -82,13 +82,13 @@
     sent
 }
 
-/// None of these ran that was sent later than the limit after the keys were taken away.
+/// Checks that no request sent after the limit ran or was answered with success.
 fn check_none_ran_after_limit(deployment: &Deployment, sent: &[Sent]) {
     let late = || sent.iter().filter(|sent| sent.after > LIMIT);
-    assert!(late().count() > 10, "requests were sent after the limit");
+    assert!(late().count() > 10, "too few requests were sent after the limit");
     for sent in late() {
-        assert_eq!(deployment.runs_of(&sent.id), 0, "it ran on a key that was taken away: {sent:?}");
-        assert!(sent.status != Some(200), "it was answered: {sent:?}");
+        assert_eq!(deployment.runs_of(&sent.id), 0, "a request ran on a revoked key: {sent:?}");
+        assert!(sent.status != Some(200), "a request with a revoked key was answered: {sent:?}");
     }
 }
 
@@ -108,10 +108,13 @@
     let sent = send_requests(node.caller, "old", "cut", since, LIMIT + EXTRA_TIME).await;
     check_none_ran_after_limit(&deployment, &sent);
     let mut late = sent.iter().filter(|sent| sent.after > LIMIT);
-    assert!(late.all(|sent| sent.status == Some(503)), "it does not know the key for gone: {sent:?}");
-    assert!(sent[0].status == Some(200), "it goes on by what it knows for a while");
+    assert!(
+        late.all(|sent| sent.status == Some(503)),
+        "the node cannot tell that the key was revoked: {sent:?}"
+    );
+    assert!(sent[0].status == Some(200), "the node serves from its last catalogue within the limit");
     link.restore();
-    eventually("the key is known for gone", || async {
+    eventually("the revocation is known", || async {
         status(node.caller, "old", "after").await == Some(401)
     })
     .await;
@@ -135,7 +138,7 @@
     check_none_ran_after_limit(&deployment, &revoked);
     assert_eq!(revoked.last().expect("requests").status, Some(401));
     let refused: Vec<&Sent> = valid.iter().filter(|sent| sent.status != Some(200)).collect();
-    assert!(refused.is_empty(), "it is in touch: {refused:?}");
+    assert!(refused.is_empty(), "the node is in contact with its peer, but refused {refused:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -147,7 +150,7 @@
     wait_for_key(&second).await;
     deployment.store.set_mode(StoreMode::Silent);
     let since = revoke_keys(&deployment);
-    // One that starts meanwhile hears from those that are behind.
+    // A node that starts meanwhile gets the catalogue from outdated peers.
     let late = async {
         tokio::time::sleep(Duration::from_millis(2_000)).await;
         let third = start("node-3", deployment.store.address, &[first.peers, second.peers]);
@@ -186,12 +189,12 @@
     }
 }
 
-/// Longer than any wait for changes lasts, at the store or at a peer: its answer lies there by then.
+/// Longer than any wait for changes at the store or a peer, so that its answer is in the receive buffer.
 const WATCH_EXPIRED: Duration = Duration::from_millis(1_200);
-/// How long a frozen node stands still after keys were taken away.
+/// How long a node stays frozen after the revocation.
 const FROZEN: Duration = Duration::from_millis(3_000);
 
-/// The answer that lay there while the node stood still was made before the keys were taken away.
+/// The answer that was buffered while the node was frozen predates the revocation.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_node_does_not_treat_a_delayed_store_answer_as_fresh() {
     let deployment = deployment().await;
@@ -230,7 +233,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_in_flight_while_keys_are_revoked_does_not_confirm_them() {
-    /// Within what an answer may take longer than a wait.
+    /// Shorter than the time by which an answer may outlast its wait.
     const ANSWER_DELAY: Duration = Duration::from_millis(300);
     let deployment = deployment().await;
     let link = Link::to(deployment.store.address).await;
@@ -275,8 +278,10 @@
     [one, two].iter().for_each(|sent| check_none_ran_after_limit(&deployment, sent));
     deployment.store.publish_with_tenants(&configuration(4), &tenants(&["old"]));
     for node in [&first, &second] {
-        eventually("it serves again", || async { status(node.caller, "old", "again").await == Some(200) })
-            .await;
+        eventually("the node serves again", || async {
+            status(node.caller, "old", "again").await == Some(200)
+        })
+        .await;
     }
 }
 
@@ -290,7 +295,10 @@
     link.cut();
     let since = revoke_keys(&deployment);
     let sent = send_requests(node.caller, "old", "unlimited", since, LIMIT + EXTRA_TIME).await;
-    assert!(sent.iter().all(|sent| sent.status == Some(200)), "without a limit it goes on by what it knows");
+    assert!(
+        sent.iter().all(|sent| sent.status == Some(200)),
+        "without a limit the node keeps serving from its last catalogue"
+    );
     std::fs::write(&node.settings_path, limited(&unlimited, LIMIT)).expect("the settings are written");
     node.signal(Signal::HUP);
     eventually("the limit is in force", || async {
@@ -299,7 +307,7 @@
     .await;
 }
 
-/// The copy still has the key. Neither a node that heard of its end from others nor one that is alone with the store opens it.
+/// The copy still has the key. Neither a node updated by peers nor one that reads only the store may accept it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_restored_from_a_copy_with_the_key_does_not_make_it_valid_again() {
     let deployment = deployment().await;
@@ -307,7 +315,7 @@
     wait_for_key(&first).await;
     deployment.store.keep_copy();
     let since = revoke_keys(&deployment);
-    eventually("the key is known for gone", || async {
+    eventually("the revocation is known", || async {
         status(first.caller, "old", "gone").await == Some(401)
     })
     .await;
@@ -325,6 +333,9 @@
         written_again,
     );
     [&one, &two, &three].into_iter().for_each(|sent| check_none_ran_after_limit(&deployment, sent));
-    assert!(one.iter().all(|sent| sent.status == Some(401)), "it has known better: {one:?}");
-    assert!(three.iter().all(|sent| sent.status != Some(200)), "a copy proves nothing: {three:?}");
+    assert!(one.iter().all(|sent| sent.status == Some(401)), "the node already had the revocation: {one:?}");
+    assert!(
+        three.iter().all(|sent| sent.status != Some(200)),
+        "a restored copy must not confirm the key: {three:?}"
+    );
 }
--- a/crates/sablebay/tests/platform/store_eras.rs
+++ b/crates/sablebay/tests/platform/store_eras.rs
@@ -1,4 +1,4 @@
-//! Answers of the store that name another era than they should, or none.
+//! Store answers with a missing or wrong era.
 
 use sablebay_platform_standin::{EraNaming, StoreMode};
 
@@ -16,7 +16,7 @@
     eventually("the configuration is in force", || async { version_of(node) == version }).await;
 }
 
-/// A store that is left behind, an answer that was long on its way, or something else in the store's place.
+/// Guards against an outdated store, a delayed answer, or another service at the store's address.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_without_the_known_era_is_rejected() {
     for naming in [EraNaming::Missing, EraNaming::Other(0)] {
@@ -26,7 +26,7 @@
         deployment.store.name_eras(naming);
         deployment.store.publish(&configuration(2));
         let outdated = metric(&node, OUTDATED);
-        eventually("answers are refused", || async { metric(&node, OUTDATED) >= outdated + 3 }).await;
+        eventually("answers are rejected", || async { metric(&node, OUTDATED) >= outdated + 3 }).await;
         assert_eq!(version_of(&node), 1, "{naming:?}");
         deployment.store.name_eras(EraNaming::Own);
         wait_until_in_force(&node, 2).await;
@@ -41,14 +41,14 @@
     node.wait_ready().await;
     deployment.store.publish(&configuration(2));
     wait_until_in_force(&node, 2).await;
-    // From now on it names them: that is a later era.
+    // The first named era counts as later than none.
     deployment.store.name_eras(EraNaming::Own);
     deployment.store.publish(&configuration(3));
     wait_until_in_force(&node, 3).await;
     assert_eq!(metric(&node, "sablebay_gateway_source_era"), 1);
 }
 
-/// The deployment has more items than a page of the store holds.
+/// The items fill more than one page of the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_listing_interrupted_by_a_restore_is_restarted() {
     let deployment = Deployment::start().await;
@@ -66,7 +66,7 @@
     deployment.store.forget_history();
     deployment.store.return_between_pages();
     deployment.store.set_mode(StoreMode::Serving);
-    eventually("the return is noticed", || async { metric(&node, RESTORED) >= 1 }).await;
+    eventually("the restore is detected", || async { metric(&node, RESTORED) >= 1 }).await;
     deployment.store.write_all_again();
     wait_until_in_force(&node, 3).await;
     assert_eq!(metric(&node, "sablebay_gateway_source_era"), 2);
--- a/crates/sablebay/tests/platform/support.rs
+++ b/crates/sablebay/tests/platform/support.rs
@@ -1,4 +1,4 @@
-//! What the platform tests share: a store, back ends, and node processes in front of them.
+//! Shared fixtures of the platform tests: a store, back ends, and node processes in front of them.
 
 use std::collections::BTreeSet;
 use std::future::Future;
@@ -17,22 +17,21 @@
     CallerAnswer, CallerCall, CallerStandIn, LeafStandIn, StoreStandIn, part_records,
 };
 
-/// How long an event may take before a test gives up on it.
+/// How long a test waits for an event before it fails.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
 /// The host of every route.
 pub const HOST: &str = "desk.example";
-/// The path of the route over all shards.
+/// A path of the gather route, which covers all shards.
 pub const GATHER_PATH: &str = "/all/1";
-/// The path of the route to one back end that may be repeated.
+/// A path of the repeatable route to a single back end.
 pub const SAFE_PATH: &str = "/one/1";
-/// The path of the route to one back end that may not be repeated.
+/// A path of the at-most-once route to a single back end.
 pub const UNSAFE_PATH: &str = "/once/1";
-/// The number of shards.
 pub const SHARDS: u8 = 4;
-/// Records in a gathered answer.
+/// The maximum number of records in a gathered answer.
 pub const TOP: usize = 10;
 
-/// Waits until something is so.
+/// Waits until a condition holds; panics after [`EVENT_TIMEOUT`].
 pub async fn eventually<F: Future<Output = bool>>(what: &str, mut check: impl FnMut() -> F) {
     let waiting = async {
         while !check().await {
@@ -41,15 +40,14 @@
     };
     tokio::time::timeout(EVENT_TIMEOUT, waiting)
         .await
-        .unwrap_or_else(|_| panic!("{what}: did not come about"));
+        .unwrap_or_else(|_| panic!("timed out waiting: {what}"));
 }
 
-/// The service of a shard.
 pub fn shard_service(shard: u8) -> ServiceName {
     ServiceName::new(format!("shard-{shard}"))
 }
 
-/// The service of the routes to one back end.
+/// The service of the routes to a single back end.
 pub fn single_service() -> ServiceName {
     ServiceName::new("single")
 }
@@ -69,7 +67,7 @@
     }
 }
 
-/// Three routes: over all shards, to one back end, and to one back end at most once.
+/// A configuration with the three routes: gather, repeatable, and at most once.
 pub fn configuration(version: u64) -> RoutingConfiguration {
     let single = || Destination::Services(vec![WeightedService { service: single_service(), weight: 1.0 }]);
     let gather = Gather { shards: (0..SHARDS).map(shard_service).collect(), top: TOP, minimum_share: 0.5 };
@@ -89,7 +87,7 @@
     }
 }
 
-/// The records that an answer over these shards must hold.
+/// The body of a correct gathered answer over these shards.
 pub fn expected_records(shards: impl IntoIterator<Item = u8>) -> Vec<u8> {
     let mut records: Vec<[u8; 16]> = shards.into_iter().flat_map(part_records).collect();
     records.sort_by(|left, right| right.cmp(left));
@@ -97,23 +95,22 @@
     records.concat()
 }
 
-/// A store and two back ends of each service, announced.
+/// A store, and two announced back ends of each service.
 pub struct Deployment {
-    /// The store.
     pub store: StoreStandIn,
-    /// Two back ends of each shard, in order.
+    /// Two back ends of each shard, ordered by shard.
     pub shards: Vec<LeafStandIn>,
     /// Two back ends of the single service.
     pub singles: Vec<LeafStandIn>,
 }
 
 impl Deployment {
-    /// Starts and announces everything in one zone, and publishes the first configuration.
+    /// Starts the store and all back ends in one zone, announces them, and publishes version 1 of the configuration.
     pub async fn start() -> Self {
         Self::start_in_zones(["zone-a", "zone-a"]).await
     }
 
-    /// The same with the two back ends of each service in these zones.
+    /// Like [`Deployment::start`], with the two back ends of each service in these zones.
     pub async fn start_in_zones(zones: [&str; 2]) -> Self {
         let store = StoreStandIn::start().await.expect("a store");
         let mut shards = Vec::new();
@@ -138,53 +135,52 @@
         deployment
     }
 
-    /// Every back end.
     pub fn leaves(&self) -> impl Iterator<Item = &LeafStandIn> {
         self.shards.iter().chain(&self.singles)
     }
 
-    /// Requests that arrived at the back ends of a zone.
+    /// The number of requests that arrived at the back ends of a zone.
     pub fn arrivals_in(&self, zone: &str) -> u64 {
         let in_zone = self.leaves().filter(|leaf| leaf.replica.zone.as_str() == zone);
         in_zone.map(|leaf| leaf.record().arrivals).sum()
     }
 
-    /// How often a request ran, over all back ends.
+    /// How many times a request ran, over all back ends.
     pub fn runs_of(&self, id: &str) -> u32 {
         self.leaves().map(|leaf| leaf.runs_of(id)).sum()
     }
 }
 
-/// One node process.
+/// A node process, which is killed on drop.
 pub struct NodeProcess {
     child: Child,
     _settings: tempfile::TempDir,
-    /// Where its settings lie.
+    /// The path of its settings file.
     pub settings_path: std::path::PathBuf,
-    /// Where it takes requests.
+    /// A client for its caller address.
     pub caller: CallerStandIn,
-    /// Where it says whether it is ready.
+    /// The address of its readiness endpoint.
     pub readiness: SocketAddr,
-    /// Where peers connect.
+    /// The address for peer connections.
     pub peers: SocketAddr,
-    /// Where operators ask.
+    /// The address of its admin API.
     pub admin: SocketAddr,
 }
 
 impl Drop for NodeProcess {
     fn drop(&mut self) {
-        // Only what this test started is ended; it may have ended by itself.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// The settings file of a node.
+/// The contents of a node's settings file.
 pub fn settings_text(name: &str, store: SocketAddr, peers: &[SocketAddr]) -> String {
     settings_in_zone("zone-a", name, store, peers)
 }
 
-/// The settings file of a node in a zone.
+/// The contents of the settings file of a node in a zone.
 pub fn settings_in_zone(zone: &str, name: &str, store: SocketAddr, peers: &[SocketAddr]) -> String {
     let peers: Vec<String> = peers.iter().map(|peer| format!("\"{peer}\"")).collect();
     format!(
@@ -197,22 +193,22 @@
 }
 
 impl NodeProcess {
-    /// Starts a node and reads where it listens.
+    /// Starts a node and reads its addresses from its output.
     pub fn start(name: &str, store: SocketAddr, peers: &[SocketAddr]) -> Self {
         Self::start_with(&settings_text(name, store, peers))
     }
 
-    /// Starts a node in a zone and reads where it listens.
+    /// Like [`NodeProcess::start`], in a zone.
     pub fn start_in(zone: &str, name: &str, store: SocketAddr, peers: &[SocketAddr]) -> Self {
         Self::start_with(&settings_in_zone(zone, name, store, peers))
     }
 
-    /// Starts a node with a settings file, and reads where it listens.
+    /// Like [`NodeProcess::start`], with the contents of a settings file.
     pub fn start_with(settings: &str) -> Self {
         Self::start_with_log(settings, Stdio::inherit())
     }
 
-    /// The same with its log sent elsewhere.
+    /// Like [`NodeProcess::start_with`], with a destination for the log.
     pub fn start_with_log(settings: &str, log: Stdio) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let settings_path = folder.path().join("node.toml");
@@ -223,7 +219,7 @@
             .stdout(Stdio::piped())
             .stderr(log)
             .spawn()
-            .expect("the node starts");
+            .expect("the node process starts");
         let mut line = String::new();
         let output = child.stdout.take().expect("its output is piped");
         BufReader::new(output).read_line(&mut line).expect("the node prints its addresses");
@@ -240,28 +236,26 @@
         }
     }
 
-    /// Whether the node says that it can serve.
+    /// Whether the readiness endpoint reports ready.
     pub async fn is_ready(&self) -> bool {
         let call = CallerCall { id: None, ..CallerCall::get("readiness", "/ready", "") };
         let answer = CallerStandIn { address: self.readiness }.call(&call).await;
         answer.is_ok_and(|answer| answer.status.as_u16() == 200)
     }
 
-    /// Waits until the node says that it can serve.
     pub async fn wait_ready(&self) {
         eventually("the node is ready", || self.is_ready()).await;
     }
 
-    /// Sends the process a signal.
     pub fn signal(&self, signal: rustix::process::Signal) {
         let id = i32::try_from(self.child.id())
             .ok()
             .and_then(rustix::process::Pid::from_raw)
             .expect("a process id");
-        rustix::process::kill_process(id, signal).expect("the process is there");
+        rustix::process::kill_process(id, signal).expect("the process exists");
     }
 
-    /// Waits for the process to end, and gives its exit code.
+    /// Waits for the process to exit and returns its exit code.
     pub async fn exit_code(&mut self) -> Option<i32> {
         let waiting = async {
             loop {
@@ -271,41 +265,41 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        tokio::time::timeout(EVENT_TIMEOUT, waiting).await.expect("the process ends")
+        tokio::time::timeout(EVENT_TIMEOUT, waiting).await.expect("the process exits")
     }
 
-    /// Makes a call that must come back.
+    /// Sends a GET request; panics unless it is answered.
     pub async fn get(&self, path: &str, id: &str) -> CallerAnswer {
         self.call(&CallerCall::get(HOST, path, id)).await
     }
 
-    /// Makes a call that must come back.
+    /// Sends a request; panics unless it is answered.
     pub async fn call(&self, call: &CallerCall) -> CallerAnswer {
         self.caller.call(call).await.expect("an answer")
     }
 
-    /// What its admin API answers.
+    /// The raw HTTP response of the admin API to a GET request.
     pub fn admin_text(&self, path: &str) -> String {
         use std::io::{Read, Write};
-        let mut stream = std::net::TcpStream::connect(self.admin).expect("the node takes a connection");
+        let mut stream = std::net::TcpStream::connect(self.admin).expect("a connection to the admin API");
         let request = format!("GET {path} HTTP/1.1\r\nhost: node\r\nconnection: close\r\n\r\n");
-        stream.write_all(request.as_bytes()).expect("the request is sent");
+        stream.write_all(request.as_bytes()).expect("the request is written");
         let mut text = String::new();
-        stream.read_to_string(&mut text).expect("the answer comes");
+        stream.read_to_string(&mut text).expect("the response is read");
         text
     }
 }
 
-/// Checks a gathered answer against the records of the shards whose signatures it names.
+/// Checks that a gathered answer holds exactly the records of the shards that signed it.
 pub fn check_gathered(answer: &CallerAnswer, id: &str) {
     assert_eq!(answer.status.as_u16(), 200);
     let mut shards = BTreeSet::new();
     for stamp in &answer.part_stamps {
         let (leaf, request) = stamp.split_once('.').expect("a signature of the stand-in");
-        assert_eq!(request, id, "a part of another request");
+        assert_eq!(request, id, "the part belongs to another request");
         let shard: u8 = leaf.split('-').nth(1).and_then(|shard| shard.parse().ok()).expect("a shard");
-        assert!(shards.insert(shard), "shard {shard} stands twice");
+        assert!(shards.insert(shard), "shard {shard} was merged twice");
     }
-    assert_eq!(shards.len() + answer.missing, usize::from(SHARDS), "the reported coverage is true");
+    assert_eq!(shards.len() + answer.missing, usize::from(SHARDS), "the reported coverage is wrong");
     assert_eq!(answer.body, expected_records(shards));
 }
--- a/crates/sablebay/tests/platform/tenant_secrets.rs
+++ b/crates/sablebay/tests/platform/tenant_secrets.rs
@@ -1,4 +1,4 @@
-//! What nodes write and serve holds no key, and little about callers without one.
+//! Logs, metrics and status contain no API keys, and logging of unknown callers is limited.
 
 use std::fs::File;
 use std::process::Stdio;
@@ -13,14 +13,14 @@
 };
 use crate::tenants::{API_KEY, with_public_route};
 
-/// What every key here holds.
+/// A substring of every key in these tests.
 const KEY_MARKER: &str = "wl4o9x";
-/// Callers without a known key, one after the other.
+/// The number of requests with an unknown key.
 const UNKNOWN_CALLERS: usize = 1_000;
-/// Lines that these may cost: ten a second, for as long as they take on a slow machine.
+/// The limit on their log lines: ten per second, for the duration on a slow machine.
 const MAXIMUM_LOG_LINES: usize = 300;
 
-/// A node whose log goes to a file of its name, with everything that a line holds.
+/// Starts a node that logs in JSON, with all fields, to a file with the node's name.
 fn logging_node(
     folder: &std::path::Path,
     zone: &str,
@@ -47,7 +47,7 @@
     ]
 }
 
-/// Requests of every kind, at a node: known, unknown, doubled and claimed keys, failures and retries among them.
+/// Sends requests of every kind to a node: known, unknown, repeated and conflicting keys, failures and retries.
 async fn exercise(node: &NodeProcess, deployment: &Deployment) {
     for behaviour in [LeafBehaviour::Fail, LeafBehaviour::Garbage, LeafBehaviour::LoseAnswer] {
         for leaf in deployment.leaves() {
@@ -84,7 +84,7 @@
     exercise(&root, &deployment).await;
     exercise(&gatherer, &deployment).await;
     deployment.store.publish_with_garbage_keys(&with_public_route(3), &key("in the wrong place"));
-    eventually("the unreadable configuration is noted", || async {
+    eventually("the rejected configuration is logged", || async {
         std::fs::read_to_string(folder.path().join("root")).is_ok_and(|log| log.contains("rejected"))
             || std::fs::read_to_string(folder.path().join("gatherer"))
                 .is_ok_and(|log| log.contains("rejected"))
@@ -93,7 +93,7 @@
     for name in ["root", "gatherer"] {
         let log = std::fs::read_to_string(folder.path().join(name)).expect("a log");
         for written in ["tenant-a", "unknown caller"] {
-            assert!(log.contains(written), "{name} wrote of {written}: {log}");
+            assert!(log.contains(written), "the log of {name} lacks {written}: {log}");
         }
         let line = log.lines().find(|line| line.contains(KEY_MARKER));
         assert_eq!(line, None, "{name}");
@@ -111,7 +111,7 @@
     }
 }
 
-/// Whoever tries keys fills no disk.
+/// Guessing keys must not fill the disk with log lines.
 #[tokio::test(flavor = "multi_thread")]
 async fn many_unknown_callers_cause_few_log_lines() {
     let deployment = Deployment::start().await;
@@ -126,12 +126,12 @@
     }
     let log = std::fs::read_to_string(folder.path().join("node")).expect("a log");
     let lines = log.lines().filter(|line| line.contains("unknown caller")).count();
-    assert!(lines > 0, "some are told");
+    assert!(lines > 0, "some unknown callers are logged");
     assert!(lines < MAXIMUM_LOG_LINES, "{lines} lines");
     assert!(!log.contains(KEY_MARKER));
 }
 
-/// Whoever tries keys hides nothing of what befalls others.
+/// Guessing keys must not use up the log lines for other callers' failures.
 #[tokio::test(flavor = "multi_thread")]
 async fn unknown_callers_do_not_suppress_log_lines_of_known_callers() {
     const FAILURES: usize = 3;
@@ -152,10 +152,10 @@
         let call = CallerCall { method: Method::POST, ..CallerCall::get(HOST, UNSAFE_PATH, "failed") };
         node.call(&call.with_key(&key("a"))).await;
     }
-    // A log is written behind the requests.
+    // The log is written asynchronously.
     let lines = || {
         let log = std::fs::read_to_string(folder.path().join("node")).expect("a log");
         log.lines().filter(|line| line.contains("\"request\":\"failed\"")).count()
     };
-    eventually("each failure has its line", || async { lines() == FAILURES }).await;
+    eventually("each failure is logged", || async { lines() == FAILURES }).await;
 }
--- a/crates/sablebay/tests/platform/tenant_status.rs
+++ b/crates/sablebay/tests/platform/tenant_status.rs
@@ -1,4 +1,4 @@
-//! What operators see of tenants: numbers, and what was refused and why.
+//! Tenants in status and metrics: counts, and refusals by reason.
 
 use sablebay_platform_standin::{CallerCall, TenantSpec};
 
@@ -21,7 +21,7 @@
     call(&node, "unknown-2", Some("both")).await;
     call(&node, "none", None).await;
     node.get(PUBLIC_PATH, "public").await;
-    // A node that starts alone can't know at once that the source has not just come back from an older copy.
+    // A node that starts alone cannot rule out at once that the source was restored from an older copy.
     let shown = || sablebay(&["status", "--admin", &node.admin.to_string()]);
     let confirmed =
         |status: &str| status.lines().any(|line| line.contains("no_key 1") && !line.contains("never"));
--- a/crates/sablebay/tests/platform/tenants.rs
+++ b/crates/sablebay/tests/platform/tenants.rs
@@ -1,4 +1,4 @@
-//! Who may run what, and in whose name it reaches back ends.
+//! Authentication of callers, and the tenant name that back ends receive.
 
 use std::time::Duration;
 
@@ -19,14 +19,14 @@
 
 /// The header that names a tenant to back ends.
 pub const TENANT: HeaderName = HeaderName::from_static("x-sablebay-tenant");
-/// The header of a caller's key.
+/// The header with the caller's API key.
 pub const API_KEY: HeaderName = HeaderName::from_static("api-key");
-/// The path of a request that ends back ends of [`crashing_leaves_of`].
+/// A path that crashes the back ends of [`crashing_leaves_of`].
 const FATAL_PATH: &str = "/one/fatal";
-/// The path of the route that needs no key.
+/// A path of the public route, which needs no key.
 pub const PUBLIC_PATH: &str = "/open/1";
 
-/// The configuration with one more route, which needs no key.
+/// The configuration with a public route added.
 pub fn with_public_route(version: u64) -> RoutingConfiguration {
     let mut configuration = configuration(version);
     let mut open = configuration.routes[1].clone();
@@ -51,36 +51,35 @@
     (deployment, node)
 }
 
-/// A read on the route to one back end.
+/// A GET request on the route to a single back end.
 pub fn read(id: &str) -> CallerCall {
     CallerCall::get(HOST, SAFE_PATH, id)
 }
 
-/// A header value of some bytes.
 fn value(bytes: &[u8]) -> HeaderValue {
     HeaderValue::from_bytes(bytes).expect("a value")
 }
 
-/// The arrivals of a request at the back ends.
+/// All arrivals of a request at the back ends.
 pub fn arrivals_of(deployment: &Deployment, id: &str) -> Vec<LeafCall> {
     deployment.leaves().flat_map(|leaf| leaf.record().calls).filter(|call| call.id == id).collect()
 }
 
-/// Checks that a request reached back ends, each time in this name alone and without a key.
+/// Checks that a request reached back ends, always with exactly this tenant name and without a key; returns how often.
 pub fn check_arrivals(deployment: &Deployment, id: &str, tenant: Option<&str>) -> usize {
     let calls = arrivals_of(deployment, id);
-    assert!(!calls.is_empty(), "{id} reached nobody");
+    assert!(!calls.is_empty(), "{id} reached no back end");
     for call in &calls {
         let names: Vec<&str> = call.tenants.iter().map(String::as_str).collect();
         assert_eq!(names, tenant.into_iter().collect::<Vec<_>>(), "{id}");
-        assert!(!call.shows_key, "{id} came with its caller's key");
+        assert!(!call.shows_key, "{id} carried its caller's key");
     }
     calls.len()
 }
 
 fn check_refused(deployment: &Deployment, id: &str, answer: &CallerAnswer) {
     assert_eq!(answer.status.as_u16(), 401, "{id}");
-    assert!(answer.challenge.is_some(), "{id}: a 401 says what is missing");
+    assert!(answer.challenge.is_some(), "{id}: a 401 must carry a challenge");
     assert!(arrivals_of(deployment, id).is_empty(), "{id} reached a back end");
 }
 
@@ -137,7 +136,9 @@
     stream.write_all(head.as_bytes()).await.expect("written");
     let mut bytes = vec![0; 4_096];
     let count = tokio::time::timeout(Duration::from_secs(10), stream.read(&mut bytes)).await;
-    let answer = String::from_utf8_lossy(&bytes[..count.expect("it waits for no body").expect("read")]);
+    let answer = String::from_utf8_lossy(
+        &bytes[..count.expect("the answer does not wait for the body").expect("read")],
+    );
     assert!(answer.starts_with("HTTP/1.1 401"), "{answer}");
     assert!(answer.to_ascii_lowercase().contains("www-authenticate"), "{answer}");
     assert_eq!(deployment.runs_of("bodiless"), 0);
@@ -185,7 +186,7 @@
     }
 }
 
-/// A second call goes on what the first one was made of.
+/// Further calls carry the same tenant as the first one.
 #[tokio::test(flavor = "multi_thread")]
 async fn retries_and_hedges_come_in_the_tenants_name() {
     let (deployment, node) = one_node(&two_tenants()).await;
@@ -196,7 +197,7 @@
     };
     let number = std::sync::atomic::AtomicUsize::new(0);
     eventually("requests are sent again", || async {
-        // Whichever of the two is called first, it is the one that loses answers sooner or later.
+        // The fault alternates, so that the back end called first is sooner or later the one that loses answers.
         let number = number.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         deployment.singles[number % 2].behave(LeafBehaviour::LoseAnswer);
         deployment.singles[(number + 1) % 2].behave(LeafBehaviour::Answer);
@@ -236,22 +237,21 @@
     .await;
 }
 
-/// Sends a request that ends back ends until it is held back.
+/// Sends a request that crashes back ends until it is quarantined.
 async fn wait_until_quarantined(node: &NodeProcess, key: &str, harmless: &CallerCall) {
     let number = std::sync::atomic::AtomicU32::new(0);
-    eventually("the request is held back", || async {
+    eventually("the request is quarantined", || async {
         let number = number.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let call = CallerCall::get(HOST, FATAL_PATH, &format!("held-{number}")).with_key(key);
         let answer = node.call(&call).await;
         let held = answer.retry_after.is_some_and(|seconds| seconds > 30.0);
-        eventually("a back end is there", || async { node.call(harmless).await.status.as_u16() == 200 })
-            .await;
+        eventually("a back end is up", || async { node.call(harmless).await.status.as_u16() == 200 }).await;
         held
     })
     .await;
 }
 
-/// Nothing one tenant asks for keeps another waiting, and a second key is no second try.
+/// A quarantine does not affect the same request of another tenant, and covers all keys of its own tenant.
 #[tokio::test(flavor = "multi_thread")]
 async fn quarantine_is_separate_for_each_tenant() {
     let store = StoreStandIn::start().await.expect("a store");
@@ -264,12 +264,12 @@
     let fatal = |id: &str, key: &str| CallerCall::get(HOST, FATAL_PATH, id).with_key(key);
     let again = node.call(&fatal("same-tenant", "a-2").with_header(TENANT, value(b"tenant-b"))).await;
     assert_eq!(again.status.as_u16(), 503);
-    assert!(!reached("same-tenant"), "it is held back under its tenant's other key too");
+    assert!(!reached("same-tenant"), "the quarantine must cover the tenant's other key");
     node.call(&fatal("other-tenant", "b-1")).await;
-    assert!(reached("other-tenant"), "another tenant's request is another request");
+    assert!(reached("other-tenant"), "the quarantine must not cover another tenant's request");
 }
 
-/// What may not be repeated runs once under one name, also when its key goes away meanwhile.
+/// An at-most-once request runs once, under one tenant, even if its key is revoked while it runs.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_running_request_keeps_its_tenant_when_its_key_is_revoked() {
     let (deployment, node) = one_node(&two_tenants()).await;
@@ -284,7 +284,7 @@
         ..CallerCall::get(HOST, UNSAFE_PATH, "order").with_key("b-1")
     };
     let pending_call = tokio::spawn(async move { caller.call(&order).await.expect("an answer") });
-    eventually("it runs", || async { deployment.runs_of("order") > 0 }).await;
+    eventually("the request runs", || async { deployment.runs_of("order") > 0 }).await;
     deployment.store.publish_with_tenants(&with_public_route(3), &two_tenants()[..1]);
     assert_eq!(pending_call.await.expect("the task ends").status.as_u16(), 200);
     assert_eq!(check_arrivals(&deployment, "order", Some("tenant-b")), 1);
