--- a/crates/sablebay/tests/platform/gathering.rs
+++ b/crates/sablebay/tests/platform/gathering.rs
@@ -64,7 +64,7 @@
     }
 
     /// Starts a gather request, and waits until each shard runs it.
-    async fn begin(
+    async fn start_request(
         &self,
         id: &'static str,
     ) -> tokio::task::JoinHandle<sablebay_platform_standin::CallerAnswer> {
@@ -117,7 +117,7 @@
 async fn the_shards_of_a_gatherer_that_is_killed_are_called_by_the_root() {
     let fleet = Fleet::start(1).await;
     fleet.slow_shards(Duration::from_millis(1_500));
-    let pending_call = fleet.begin("r-1").await;
+    let pending_call = fleet.start_request("r-1").await;
     fleet.gatherers[0].signal(Signal::KILL);
     let answer = pending_call.await.expect("the task ends");
     check_gathered(&answer, "r-1");
@@ -154,7 +154,7 @@
 async fn a_gatherer_that_stops_as_planned_finishes_what_it_took() {
     let mut fleet = Fleet::start(1).await;
     fleet.slow_shards(Duration::from_millis(1_500));
-    let pending_call = fleet.begin("r-1").await;
+    let pending_call = fleet.start_request("r-1").await;
     fleet.gatherers[0].signal(Signal::TERM);
     let answer = pending_call.await.expect("the task ends");
     check_gathered(&answer, "r-1");
@@ -171,7 +171,7 @@
     for leaf in &fleet.deployment.shards {
         leaf.behave(LeafBehaviour::Slow(Duration::from_secs(3_600)));
     }
-    let pending_call = fleet.begin("r-1").await;
+    let pending_call = fleet.start_request("r-1").await;
     pending_call.abort();
     let cancelled = || fleet.deployment.shards.iter().map(|leaf| leaf.record().cancelled).sum::<u64>();
     eventually("the work at the back ends is cancelled", || async { cancelled() >= u64::from(SHARDS) }).await;
