--- a/crates/sablebay/tests/platform/at_most_once.rs
+++ b/crates/sablebay/tests/platform/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Requests that may not be repeated.
+//! Requests on an at-most-once route: they never run twice, and never after an answer that rules out a run.
 
 use http::Method;
 
@@ -19,7 +19,7 @@
 ];
 
 #[tokio::test(flavor = "multi_thread")]
-async fn it_runs_once_at_the_most_and_not_at_all_when_that_is_promised() {
+async fn a_request_runs_at_most_once_and_not_at_all_if_reported_not_run() {
     let deployment = Deployment::start().await;
     let node = NodeProcess::start("node-1", deployment.store.address, &[]);
     node.wait_ready().await;
@@ -34,7 +34,7 @@
                 let runs = deployment.runs_of(&id);
                 assert!(runs <= 1, "{id} ran {runs} times");
                 if answer.guarantees_not_run() {
-                    assert_eq!(runs, 0, "{id} was said not to have run");
+                    assert_eq!(runs, 0, "{id} ran although it was reported as not run");
                 }
                 if answer.status.is_success() {
                     assert!(answer.stamp.is_some_and(|stamp| stamp.ends_with(&id)));
--- a/crates/sablebay/tests/platform/odd_answers.rs
+++ b/crates/sablebay/tests/platform/faulty_answers.rs
@@ -1,4 +1,4 @@
-//! Back ends that answer in odd manners: the caller gets a right answer or none.
+//! Back ends with faulty answers: the caller gets a correct answer or an error.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
     (deployment, node)
 }
 
-/// Behaviours after which the other back end of a shard answers in its place.
-const REPLACED: [LeafBehaviour; 11] = [
+/// Faults after which the other back end of the shard answers instead.
+const FAILED_OVER: [LeafBehaviour; 11] = [
     LeafBehaviour::LoseAnswer,
     LeafBehaviour::BreakOff,
     LeafBehaviour::Foreign,
@@ -33,7 +33,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_odd_back_end_is_replaced_by_the_other_of_its_shard() {
     let (deployment, node) = one_node().await;
-    for behaviour in REPLACED {
+    for behaviour in FAILED_OVER {
         deployment.shards[0].behave(behaviour);
         for number in 0..6 {
             let id = format!("r-{behaviour:?}-{number}").replace(['(', ')'], "");
@@ -93,7 +93,7 @@
         leaf.behave(LeafBehaviour::Fail);
     }
     let answer = node.get(GATHER_PATH, "r-1").await;
-    assert_eq!(answer.status.as_u16(), 502, "one of four is in, and two are needed");
+    assert_eq!(answer.status.as_u16(), 502, "one of four shards answered, and two are required");
     assert!(!answer.guarantees_not_run());
 }
 
@@ -107,8 +107,8 @@
     assert_eq!(answer.status.as_u16(), 503);
     assert!(answer.retry_after.is_some_and(|seconds| seconds > 0.0));
     assert_eq!(deployment.runs_of("r-1"), 0);
-    // Over several shards the answer is final as soon as success is out of reach. What is open then
-    // may run, so that nothing is promised unless every shard has said that it did not.
+    // A gather fails as soon as success is out of reach. Calls still open may run, so the answer rules
+    // out a run only if every shard reported that it did not run the request.
     let gathered = node.get(GATHER_PATH, "r-2").await;
     assert!(matches!(gathered.status.as_u16(), 502 | 503));
     assert_eq!(gathered.retry_after.is_some(), gathered.guarantees_not_run());
@@ -124,10 +124,7 @@
     let call = CallerCall::get(HOST, SAFE_PATH, "r-1");
     let calling = node.caller.call(&call);
     let arrived = eventually("the request arrives", || async { deployment.runs_of("r-1") > 0 });
-    tokio::select! {
-        answer = calling => panic!("nobody answers: {answer:?}"),
-        () = arrived => {}
-    }
+    tokio::select! { answer = calling => panic!("no back end answers, but the caller got {answer:?}"), () = arrived => {} }
     eventually("the work is cancelled", || async {
         let records = deployment.singles.iter().map(|leaf| leaf.record());
         records
--- a/crates/sablebay/tests/platform/gathering.rs
+++ b/crates/sablebay/tests/platform/gathering.rs
@@ -1,5 +1,5 @@
-//! Shards that another node gathers: all back ends stand in one zone, and the node that callers
-//! reach in another.
+//! Delegated gathering: all back ends are in one zone, and the node that receives the requests (the root)
+//! is in another.
 
 use std::time::Duration;
 
@@ -11,31 +11,31 @@
     Deployment, GATHER_PATH, HOST, NodeProcess, SAFE_PATH, SHARDS, check_gathered, configuration, eventually,
 };
 
-/// A deployment with nodes in the back ends' zone, and a root in a zone without any.
+/// A deployment with gatherers in the zone of the back ends, and a root in a zone without back ends.
 struct Fleet {
     deployment: Deployment,
     gatherers: Vec<NodeProcess>,
     root: NodeProcess,
 }
 
-/// A metric of a node, as it is served; 0 before it was counted.
+/// The value of a node's metric; 0 if the metric is absent.
 pub fn metric(node: &NodeProcess, name: &str) -> u64 {
     let text = node.admin_text("/metrics");
     let lines = text.lines().filter_map(|line| line.strip_prefix(name));
     lines.filter_map(|value| value.trim().parse::<u64>().ok()).sum()
 }
 
-/// Shards that other nodes were asked for and gave.
-pub const ANSWERED: &str = "sablebay_gateway_delegations_total{outcome=\"answered\"}";
+/// The number of delegations that other nodes answered.
+pub const ANSWERED_DELEGATIONS: &str = "sablebay_gateway_delegations_total{outcome=\"answered\"}";
 
-/// Makes gathered requests until one was gathered by another node; returns its number.
-pub async fn until_delegated(root: &NodeProcess) {
+/// Sends requests until one was gathered by another node.
+pub async fn wait_until_delegated(root: &NodeProcess) {
     let number = std::sync::atomic::AtomicU32::new(0);
     eventually("a request is gathered by another node", || async {
         let number = number.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let id = format!("warm-{number}");
         check_gathered(&root.get(GATHER_PATH, &id).await, &id);
-        metric(root, ANSWERED) > 0
+        metric(root, ANSWERED_DELEGATIONS) > 0
     })
     .await;
 }
@@ -53,7 +53,7 @@
         for node in nodes.iter().chain([&root]) {
             node.wait_ready().await;
         }
-        until_delegated(&root).await;
+        wait_until_delegated(&root).await;
         Self { deployment, gatherers: nodes, root }
     }
 
@@ -63,17 +63,17 @@
         }
     }
 
-    /// Begins a gathered request, and waits until each shard runs it.
-    async fn begin(
+    /// Starts a gather request, and waits until each shard runs it.
+    async fn start_request(
         &self,
         id: &'static str,
     ) -> tokio::task::JoinHandle<sablebay_platform_standin::CallerAnswer> {
         let caller = self.root.caller;
         let call = CallerCall { timeout: Duration::from_secs(60), ..CallerCall::get(HOST, GATHER_PATH, id) };
-        let asked = tokio::spawn(async move { caller.call(&call).await.expect("an answer") });
+        let pending_call = tokio::spawn(async move { caller.call(&call).await.expect("an answer") });
         let runs = || async { self.deployment.runs_of(id) >= u32::from(SHARDS) };
         eventually("each shard runs the request", runs).await;
-        asked
+        pending_call
     }
 }
 
@@ -87,7 +87,7 @@
         assert_eq!(answer.missing, 0);
         assert_eq!(fleet.deployment.runs_of(&id), u32::from(SHARDS), "one back end of each shard");
     }
-    assert!(metric(&fleet.root, ANSWERED) > 1);
+    assert!(metric(&fleet.root, ANSWERED_DELEGATIONS) > 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -102,21 +102,24 @@
     assert!(merged > 0, "the gatherer is in another zone");
     assert_eq!(counted(root, "received", "merged_part", "own"), 0);
     assert!(counted(gatherer, "sent", "merged_part", "other") >= merged);
-    assert!(counted(gatherer, "received", "first_call", "own") > 0, "its replicas are in its zone");
+    assert!(
+        counted(gatherer, "received", "first_call", "own") > 0,
+        "the gatherer's replicas are in its own zone"
+    );
     assert!(counted(root, "sent", "gather_request", "other") > 0);
     assert!(counted(root, "sent", "greeting", "other") > 0);
-    assert!(counted(root, "sent", "member_list", "other") > 0, "it asked the other for the members");
+    assert!(counted(root, "sent", "member_list", "other") > 0, "the root requested the member list");
     assert!(counted(root, "sent", "catalogue_question", "other") > 0);
-    assert_eq!(counted(root, "sent", "member_list", "own"), 0, "nobody else is in its zone");
+    assert_eq!(counted(root, "sent", "member_list", "own"), 0, "the root is alone in its zone");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_shards_of_a_gatherer_that_is_killed_are_called_by_the_root() {
     let fleet = Fleet::start(1).await;
     fleet.slow_shards(Duration::from_millis(1_500));
-    let asked = fleet.begin("r-1").await;
+    let pending_call = fleet.start_request("r-1").await;
     fleet.gatherers[0].signal(Signal::KILL);
-    let answer = asked.await.expect("the task ends");
+    let answer = pending_call.await.expect("the task ends");
     check_gathered(&answer, "r-1");
     assert_eq!(answer.missing, 0, "the root called every shard itself");
     fleet.slow_shards(Duration::ZERO);
@@ -134,15 +137,15 @@
         assert_eq!(answer.missing, 0);
     }
     fleet.gatherers[0].signal(Signal::CONT);
-    let before = metric(&fleet.root, ANSWERED);
+    let before = metric(&fleet.root, ANSWERED_DELEGATIONS);
     let number = std::sync::atomic::AtomicU32::new(0);
-    eventually("the gatherer is asked again", || async {
+    eventually("the gatherer answers delegations again", || async {
         let id = format!("again-{}", number.fetch_add(1, std::sync::atomic::Ordering::Relaxed));
         let answer = fleet.root.get(GATHER_PATH, &id).await;
         check_gathered(&answer, &id);
         let arrivals = fleet.deployment.runs_of(&id);
         assert!(arrivals <= 2 * u32::from(SHARDS), "{arrivals} runs of one request");
-        metric(&fleet.root, ANSWERED) > before
+        metric(&fleet.root, ANSWERED_DELEGATIONS) > before
     })
     .await;
 }
@@ -151,12 +154,12 @@
 async fn a_gatherer_that_stops_as_planned_finishes_what_it_took() {
     let mut fleet = Fleet::start(1).await;
     fleet.slow_shards(Duration::from_millis(1_500));
-    let asked = fleet.begin("r-1").await;
+    let pending_call = fleet.start_request("r-1").await;
     fleet.gatherers[0].signal(Signal::TERM);
-    let answer = asked.await.expect("the task ends");
+    let answer = pending_call.await.expect("the task ends");
     check_gathered(&answer, "r-1");
     assert_eq!(answer.missing, 0);
-    assert_eq!(fleet.deployment.runs_of("r-1"), u32::from(SHARDS), "nothing was sent twice");
+    assert_eq!(fleet.deployment.runs_of("r-1"), u32::from(SHARDS), "no shard was called twice");
     fleet.slow_shards(Duration::ZERO);
     assert_eq!(fleet.gatherers[0].exit_code().await, Some(0));
     check_gathered(&fleet.root.get(GATHER_PATH, "r-2").await, "r-2");
@@ -168,17 +171,17 @@
     for leaf in &fleet.deployment.shards {
         leaf.behave(LeafBehaviour::Slow(Duration::from_secs(3_600)));
     }
-    let asked = fleet.begin("r-1").await;
-    asked.abort();
+    let pending_call = fleet.start_request("r-1").await;
+    pending_call.abort();
     let cancelled = || fleet.deployment.shards.iter().map(|leaf| leaf.record().cancelled).sum::<u64>();
-    eventually("the back ends' work ends", || async { cancelled() >= u64::from(SHARDS) }).await;
+    eventually("the work at the back ends is cancelled", || async { cancelled() >= u64::from(SHARDS) }).await;
     assert_eq!(fleet.root.get(SAFE_PATH, "r-2").await.status.as_u16(), 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_gatherer_of_another_configuration_gathers_what_it_is_asked_for() {
     let fleet = Fleet::start(2).await;
-    // Some nodes will know it before others; the root's version names the shards.
+    // Nodes receive the version at different times; the order of shards follows the root's version.
     let mut fewer = configuration(2);
     for route in &mut fewer.routes {
         if let sablebay_catalogue::Destination::Gather(gather) = &mut route.destination {
--- a/crates/sablebay/tests/platform/main.rs
+++ b/crates/sablebay/tests/platform/main.rs
@@ -1,25 +1,25 @@
-//! The whole path on the users' platform: node processes between callers, back ends and the store,
-//! all stand-ins of `sablebay-platform-standin`, over loopback.
+//! End-to-end tests on the users' platform: node processes over loopback, with stand-ins from
+//! `sablebay-platform-standin` as callers, back ends and the store.
 
 mod at_most_once;
 mod callers;
 mod catalogue;
 mod evacuation;
+mod faulty_answers;
 mod gathering;
+mod incarnations;
+mod key_changes;
 mod large_configurations;
-mod life;
+mod lifecycle;
 mod link;
-mod lives;
-mod odd_answers;
+mod normal_operation;
 mod overload;
 mod quarantine;
-mod quiet_path;
 mod quota;
-mod returning_store;
+mod restored_store;
 mod revocation;
 mod store_eras;
 mod support;
 mod tenant_secrets;
 mod tenant_status;
 mod tenants;
-mod tenants_in_time;
--- a/crates/sablebay/tests/platform/quarantine.rs
+++ b/crates/sablebay/tests/platform/quarantine.rs
@@ -1,10 +1,5 @@
-//! A request that ends each back end which begins to run it.
-//!
-//! Seen: a search of which 20 shards with two replicas each were asked at once, and their second replicas after
-//! the first had gone; all 40 back ends of the service ended within 150 ms, again at each repeat, at whichever
-//! node it came in. How: nothing was remembered of a request beyond its own attempt, so that a repeat was a new
-//! request, and an end was one more failed call to send on. Cause: failures were counted by replica alone,
-//! never by request. Proof: the same with stand-ins, which end on one path and live on all others.
+//! Requests that crash every back end that runs them: after a few crashes they are quarantined, so that
+//! retries, hedges and repeated requests at other nodes do not take down a whole service.
 
 use std::time::Duration;
 
@@ -13,33 +8,37 @@
     CallerAnswer, CallerCall, LeafBehaviour, LeafIdentity, RestartingLeaf, StoreStandIn,
 };
 
-use crate::gathering::until_delegated;
+use crate::gathering::wait_until_delegated;
 use crate::support::{
     GATHER_PATH, HOST, NodeProcess, SAFE_PATH, SHARDS, check_gathered, configuration, eventually,
     shard_service, single_service,
 };
 
-/// The first line of what ends a back end, as far as it counts.
+/// A part of the request line that makes a back end crash.
 const FATAL: &str = "/fatal ";
-/// Back ends of each service.
-const COPIES: u8 = 2;
-/// How long a back end is gone.
-const RESTART: Duration = Duration::from_millis(150);
-/// Attempts that may reach back ends after three have ended.
+/// The number of back ends per service.
+const REPLICAS: u8 = 2;
+/// How long a crashed back end is down.
+const RESTART_DELAY: Duration = Duration::from_millis(150);
+/// The limit on attempts that reach back ends after three crashes.
 const LATE_ATTEMPTS: usize = 3;
 
-/// Back ends that end on one path, and nodes in front of them.
+/// Back ends that crash on one path, and nodes in front of them.
 struct Fleet {
     store: StoreStandIn,
     leaves: Vec<RestartingLeaf>,
     nodes: Vec<NodeProcess>,
 }
 
-/// Back ends of a service that end on one path.
-pub async fn leaves_of(service: &ServiceName, shard: u8, store: &StoreStandIn) -> Vec<RestartingLeaf> {
+/// Starts the back ends of a service; they crash on one path.
+pub async fn crashing_leaves_of(
+    service: &ServiceName,
+    shard: u8,
+    store: &StoreStandIn,
+) -> Vec<RestartingLeaf> {
     let mut leaves = Vec::new();
-    for copy in 0..COPIES {
-        // Records are told apart by the number in the name.
+    for copy in 0..REPLICAS {
+        // Gathered parts are attributed to shards by the number in the name.
         let identity = LeafIdentity {
             name: format!("i-{shard}-{copy}"),
             keeps_name: false,
@@ -47,7 +46,8 @@
             shard,
             zone: "zone-a".to_string(),
         };
-        let leaf = RestartingLeaf::start(identity, LeafBehaviour::CrashOn(FATAL), RESTART, store.registry());
+        let leaf =
+            RestartingLeaf::start(identity, LeafBehaviour::CrashOn(FATAL), RESTART_DELAY, store.registry());
         leaves.push(leaf.await.expect("a back end"));
     }
     leaves
@@ -58,14 +58,14 @@
         Self::start_in(&vec!["zone-a"; nodes]).await
     }
 
-    /// Nodes in these zones; all back ends are in the first.
+    /// Starts nodes in these zones; all back ends are in `zone-a`.
     async fn start_in(zones: &[&str]) -> Self {
         let store = StoreStandIn::start().await.expect("a store");
         let mut leaves = Vec::new();
         for shard in 0..SHARDS {
-            leaves.extend(leaves_of(&shard_service(shard), shard, &store).await);
+            leaves.extend(crashing_leaves_of(&shard_service(shard), shard, &store).await);
         }
-        leaves.extend(leaves_of(&single_service(), 200, &store).await);
+        leaves.extend(crashing_leaves_of(&single_service(), 200, &store).await);
         store.publish(&configuration(1));
         let mut started: Vec<NodeProcess> = Vec::new();
         for (number, zone) in zones.iter().enumerate() {
@@ -76,11 +76,11 @@
             node.wait_ready().await;
         }
         let fleet = Self { store, leaves, nodes: started };
-        fleet.wait_whole("start").await;
+        fleet.wait_until_recovered("start").await;
         fleet
     }
 
-    fn ended(&self) -> u32 {
+    fn crashes(&self) -> u32 {
         self.leaves.iter().map(RestartingLeaf::crash_count).sum()
     }
 
@@ -88,11 +88,10 @@
         self.leaves.iter().map(|leaf| leaf.arrivals_of(FATAL)).sum()
     }
 
-    /// Waits until every back end is there, and every node gets answers from all shards and from the single
-    /// service, and so knows their new lives.
-    async fn wait_whole(&self, name: &str) {
-        eventually("all back ends are there", || async { self.leaves.iter().all(RestartingLeaf::is_up) })
-            .await;
+    /// Waits until every back end is up, and every node gets answers from all shards and from the single
+    /// service, which shows that it has their new incarnations.
+    async fn wait_until_recovered(&self, name: &str) {
+        eventually("all back ends are up", || async { self.leaves.iter().all(RestartingLeaf::is_up) }).await;
         for (number, node) in self.nodes.iter().enumerate() {
             let attempt = std::sync::atomic::AtomicU32::new(0);
             eventually("all shards answer", || async {
@@ -106,87 +105,85 @@
         }
     }
 
-    /// Makes attempts at one node after the other, each once all back ends are back. Returns the answers, and
-    /// how many attempts reached a back end after three had ended.
+    /// Sends a request repeatedly, at one node after the other, each time after all back ends have recovered.
+    /// Returns the answers, and how many attempts reached a back end after three crashes.
     async fn attempt(&self, path: &str, attempts: usize) -> (Vec<CallerAnswer>, usize) {
         let mut answers = Vec::new();
         let mut late = 0;
         for attempt in 0..attempts {
-            let (ended, arrived) = (self.ended(), self.arrivals());
+            let (crashes, arrived) = (self.crashes(), self.arrivals());
             let node = &self.nodes[attempt % self.nodes.len()];
             let id = format!("{}-{attempt}", path.replace('/', "-"));
             answers.push(node.get(path, &id).await);
-            late += usize::from(ended >= 3 && self.arrivals() > arrived);
-            self.wait_whole(&id).await;
+            late += usize::from(crashes >= 3 && self.arrivals() > arrived);
+            self.wait_until_recovered(&id).await;
         }
         (answers, late)
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_search_that_ends_back_ends_is_kept_from_the_rest() {
+async fn a_search_that_crashes_back_ends_is_quarantined() {
     let fleet = Fleet::start(3).await;
     let (answers, late) = fleet.attempt("/all/fatal", 12).await;
-    assert!(fleet.ended() >= 3, "it ends back ends");
-    assert!(late <= LATE_ATTEMPTS, "{late} attempts reached back ends, {} ended", fleet.ended());
+    assert!(fleet.crashes() >= 3, "the request crashes back ends");
+    assert!(late <= LATE_ATTEMPTS, "{late} attempts reached back ends, {} crashed", fleet.crashes());
     let last = answers.last().expect("an answer");
-    assert!(last.guarantees_not_run(), "a request that is not tried says so: {}", last.status);
-    let near = fleet.nodes[0].get("/all/fatally", "near-miss").await;
-    check_gathered(&near, "near-miss");
+    assert!(last.guarantees_not_run(), "a refused request is reported as not run: {}", last.status);
+    let similar = fleet.nodes[0].get("/all/fatally", "near-miss").await;
+    check_gathered(&similar, "near-miss");
 }
 
-/// Seen: after the first repair a request was still sent on four times too often. Attempts come in at several
-/// nodes at once; together they end every back end in the first moment, so that no node meets a second end one
-/// after the other, and the next time each node tried it carefully, all of them at the same moment.
+/// Attempts that arrive at several nodes at once: each node on its own sees few crashes, so that only a
+/// shared history keeps all of them from trying the request again.
 #[tokio::test(flavor = "multi_thread")]
 async fn attempts_that_come_in_at_all_nodes_at_once_cost_few_back_ends() {
     let fleet = Fleet::start(3).await;
     let mut late = 0;
-    for spell in 0..4 {
-        let ended = fleet.ended();
-        let asked = fleet.nodes.iter().enumerate().map(|(number, node)| {
+    for round in 0..4 {
+        let crashes = fleet.crashes();
+        let pending_call = fleet.nodes.iter().enumerate().map(|(number, node)| {
             let caller = node.caller;
-            let id = format!("spell-{spell}-{number}");
+            let id = format!("spell-{round}-{number}");
             tokio::spawn(async move { caller.call(&CallerCall::get(HOST, "/all/fatal", &id)).await })
         });
-        for attempt in asked.collect::<Vec<_>>() {
+        for attempt in pending_call.collect::<Vec<_>>() {
             attempt.await.expect("the task ends").expect("an answer");
         }
-        if ended >= 3 {
-            late += fleet.ended() - ended;
+        if crashes >= 3 {
+            late += fleet.crashes() - crashes;
         }
-        fleet.wait_whole(&format!("spell-{spell}")).await;
+        fleet.wait_until_recovered(&format!("spell-{round}")).await;
     }
     assert!(
         late < LATE_ATTEMPTS as u32,
-        "{late} back ends ended after the first spell, {} in all",
-        fleet.ended()
+        "{late} back ends crashed after the first round, {} in total",
+        fleet.crashes()
     );
 }
 
-/// Two of three nodes have no back end in their zone: they have the third gather for them, once the fleet has
-/// settled.
+/// Two of the three nodes have no back end in their zone and delegate gathering to the third.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_search_that_others_gather_is_kept_from_the_rest_too() {
+async fn a_search_gathered_by_other_nodes_is_quarantined_too() {
     let fleet = Fleet::start_in(&["zone-a", "zone-b", "zone-b"]).await;
     for root in &fleet.nodes[1..] {
-        until_delegated(root).await;
+        wait_until_delegated(root).await;
     }
     let (answers, late) = fleet.attempt("/all/fatal", 9).await;
-    assert!(fleet.ended() >= 3, "it ends back ends");
-    assert!(late < LATE_ATTEMPTS, "{late} attempts reached back ends, {} ended", fleet.ended());
+    assert!(fleet.crashes() >= 3, "the request crashes back ends");
+    assert!(late < LATE_ATTEMPTS, "{late} attempts reached back ends, {} crashed", fleet.crashes());
     assert!(answers.last().expect("an answer").guarantees_not_run());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_has_just_started_learns_what_is_held_back() {
+async fn a_newly_started_node_learns_of_quarantined_requests() {
     let mut fleet = Fleet::start(2).await;
     fleet.attempt("/all/fatal", 4).await;
     let seeds: Vec<_> = fleet.nodes.iter().map(|node| node.peers).collect();
     let fresh = NodeProcess::start("fresh", fleet.store.address, &seeds);
     fresh.wait_ready().await;
     let admin = fresh.admin.to_string();
-    eventually("it is told", || async { knows(&admin) }).await;
+    eventually("the node has the quarantined request", || async { has_quarantine(&admin) }).await;
     let before = fleet.arrivals();
     let answer = fresh.get("/all/fatal", "at-the-fresh-one").await;
     assert!(answer.guarantees_not_run());
@@ -194,21 +191,20 @@
     fleet.nodes.push(fresh);
 }
 
-/// Whether a node itself knows of a request that is held back.
-fn knows(admin: &str) -> bool {
+/// Whether the node's own status lists a quarantined request.
+fn has_quarantine(admin: &str) -> bool {
     use std::io::{Read, Write};
-    let mut stream = std::net::TcpStream::connect(admin).expect("the node takes a connection");
+    let mut stream = std::net::TcpStream::connect(admin).expect("a connection to the admin API");
     stream
         .write_all(b"GET /v1/status HTTP/1.1\r\nhost: node\r\nconnection: close\r\n\r\n")
-        .expect("the request is sent");
+        .expect("the request is written");
     let mut text = String::new();
-    stream.read_to_string(&mut text).expect("the report comes");
+    stream.read_to_string(&mut text).expect("the response is read");
     text.contains("held back")
 }
 
-/// Operators see what is held back, since when and why, and let it go.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_operator_sees_what_is_held_back_and_releases_it() {
+async fn an_operator_sees_a_quarantined_request_and_releases_it() {
     let fleet = Fleet::start(3).await;
     fleet.attempt("/all/fatal", 3).await;
     let status = sablebay(&["status", "--admin", &fleet.nodes[2].admin.to_string()]);
@@ -222,7 +218,7 @@
     let admin = fleet.nodes[0].admin.to_string();
     assert!(sablebay(&["release", "--admin", &admin, &digest]).contains("is released"));
     let number = std::sync::atomic::AtomicU32::new(0);
-    eventually("the request is tried again, at a node that was told", || async {
+    eventually("another node runs the request again after the release", || async {
         let id = format!("again-{}", number.fetch_add(1, std::sync::atomic::Ordering::Relaxed));
         fleet.nodes[1].get("/all/fatal", &id).await;
         fleet.arrivals() > before
@@ -230,7 +226,7 @@
     .await;
 }
 
-/// Runs a command of the program, which must succeed.
+/// Runs a `sablebay` command and returns its output; panics if the command fails.
 pub fn sablebay(arguments: &[&str]) -> String {
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_sablebay")).args(arguments).output();
     let output = output.expect("the command runs");
@@ -239,12 +235,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_operation_that_ends_back_ends_is_kept_from_the_rest() {
+async fn an_operation_that_crashes_back_ends_is_quarantined() {
     let fleet = Fleet::start(3).await;
     let (answers, late) = fleet.attempt("/once/fatal", 15).await;
-    assert!(fleet.ended() >= 3, "it ends back ends");
-    assert!(late <= LATE_ATTEMPTS, "{late} attempts reached back ends, {} ended", fleet.ended());
+    assert!(fleet.crashes() >= 3, "the request crashes back ends");
+    assert!(late <= LATE_ATTEMPTS, "{late} attempts reached back ends, {} crashed", fleet.crashes());
     for answer in &answers {
-        assert!(answer.status.is_server_error(), "it is never answered");
+        assert!(answer.status.is_server_error(), "the request never succeeds");
     }
 }
--- a/crates/sablebay/tests/platform/tenants.rs
+++ b/crates/sablebay/tests/platform/tenants.rs
@@ -1,4 +1,4 @@
-//! Who may run what, and in whose name it reaches back ends.
+//! Authentication of callers, and the tenant name that back ends receive.
 
 use std::time::Duration;
 
@@ -10,23 +10,23 @@
     CallerAnswer, CallerCall, LeafBehaviour, LeafCall, StoreStandIn, TenantSpec,
 };
 
-use crate::gathering::{ANSWERED, metric};
-use crate::quarantine::leaves_of;
+use crate::gathering::{ANSWERED_DELEGATIONS, metric};
+use crate::quarantine::crashing_leaves_of;
 use crate::support::{
-    Deployment, GATHER_PATH, HOST, NodeProcess, PATIENCE, SAFE_PATH, UNSAFE_PATH, check_gathered,
+    Deployment, EVENT_TIMEOUT, GATHER_PATH, HOST, NodeProcess, SAFE_PATH, UNSAFE_PATH, check_gathered,
     configuration, eventually, single_service,
 };
 
 /// The header that names a tenant to back ends.
 pub const TENANT: HeaderName = HeaderName::from_static("x-sablebay-tenant");
-/// The header of a caller's key.
+/// The header with the caller's API key.
 pub const API_KEY: HeaderName = HeaderName::from_static("api-key");
-/// The path of a request that ends back ends of [`leaves_of`].
+/// A path that crashes the back ends of [`crashing_leaves_of`].
 const FATAL_PATH: &str = "/one/fatal";
-/// The path of the route that needs no key.
+/// A path of the public route, which needs no key.
 pub const PUBLIC_PATH: &str = "/open/1";
 
-/// The configuration with one more route, which needs no key.
+/// The configuration with a public route added.
 pub fn with_public_route(version: u64) -> RoutingConfiguration {
     let mut configuration = configuration(version);
     let mut open = configuration.routes[1].clone();
@@ -51,36 +51,35 @@
     (deployment, node)
 }
 
-/// A read on the route to one back end.
+/// A GET request on the route to a single back end.
 pub fn read(id: &str) -> CallerCall {
     CallerCall::get(HOST, SAFE_PATH, id)
 }
 
-/// A header value of some bytes.
 fn value(bytes: &[u8]) -> HeaderValue {
     HeaderValue::from_bytes(bytes).expect("a value")
 }
 
-/// The arrivals of a request at the back ends.
+/// All arrivals of a request at the back ends.
 pub fn arrivals_of(deployment: &Deployment, id: &str) -> Vec<LeafCall> {
     deployment.leaves().flat_map(|leaf| leaf.record().calls).filter(|call| call.id == id).collect()
 }
 
-/// Checks that a request reached back ends, each time in this name alone and without a key.
+/// Checks that a request reached back ends, always with exactly this tenant name and without a key; returns how often.
 pub fn check_arrivals(deployment: &Deployment, id: &str, tenant: Option<&str>) -> usize {
     let calls = arrivals_of(deployment, id);
-    assert!(!calls.is_empty(), "{id} reached nobody");
+    assert!(!calls.is_empty(), "{id} reached no back end");
     for call in &calls {
         let names: Vec<&str> = call.tenants.iter().map(String::as_str).collect();
         assert_eq!(names, tenant.into_iter().collect::<Vec<_>>(), "{id}");
-        assert!(!call.has_key, "{id} came with its caller's key");
+        assert!(!call.has_key, "{id} carried its caller's key");
     }
     calls.len()
 }
 
 fn check_refused(deployment: &Deployment, id: &str, answer: &CallerAnswer) {
     assert_eq!(answer.status.as_u16(), 401, "{id}");
-    assert!(answer.challenge.is_some(), "{id}: a 401 says what is missing");
+    assert!(answer.challenge.is_some(), "{id}: a 401 must carry a challenge");
     assert!(arrivals_of(deployment, id).is_empty(), "{id} reached a back end");
 }
 
@@ -100,7 +99,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn whoever_shows_no_one_known_key_is_refused() {
+async fn a_caller_without_exactly_one_known_key_is_refused() {
     let (deployment, node) = one_node(&two_tenants()).await;
     let wrong = [
         ("none", read("none")),
@@ -137,7 +136,9 @@
     stream.write_all(head.as_bytes()).await.expect("written");
     let mut bytes = vec![0; 4_096];
     let count = tokio::time::timeout(Duration::from_secs(10), stream.read(&mut bytes)).await;
-    let answer = String::from_utf8_lossy(&bytes[..count.expect("it waits for no body").expect("read")]);
+    let answer = String::from_utf8_lossy(
+        &bytes[..count.expect("the answer does not wait for the body").expect("read")],
+    );
     assert!(answer.starts_with("HTTP/1.1 401"), "{answer}");
     assert!(answer.to_ascii_lowercase().contains("www-authenticate"), "{answer}");
     assert_eq!(deployment.runs_of("bodiless"), 0);
@@ -161,7 +162,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_a_caller_says_of_itself_changes_nothing() {
+async fn identity_headers_sent_by_a_caller_are_ignored() {
     let (deployment, node) = one_node(&two_tenants()).await;
     let calls = [
         ("forged", read("forged").with_header(TENANT, value(b"tenant-b"))),
@@ -185,7 +186,7 @@
     }
 }
 
-/// A second call goes on what the first one was made of.
+/// Further calls carry the same tenant as the first one.
 #[tokio::test(flavor = "multi_thread")]
 async fn retries_and_hedges_come_in_the_tenants_name() {
     let (deployment, node) = one_node(&two_tenants()).await;
@@ -196,7 +197,7 @@
     };
     let number = std::sync::atomic::AtomicUsize::new(0);
     eventually("requests are sent again", || async {
-        // Whichever of the two is called first, it is the one that loses answers sooner or later.
+        // The fault alternates, so that the back end called first is sooner or later the one that loses answers.
         let number = number.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         deployment.singles[number % 2].behave(LeafBehaviour::LoseAnswer);
         deployment.singles[(number + 1) % 2].behave(LeafBehaviour::Answer);
@@ -215,7 +216,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_other_nodes_gather_comes_in_the_tenants_name() {
+async fn requests_gathered_by_other_nodes_carry_the_tenants_name() {
     let deployment = Deployment::start().await;
     deployment.store.publish_with_tenants(&with_public_route(2), &two_tenants());
     let gatherer = NodeProcess::start("node-0", deployment.store.address, &[]);
@@ -231,47 +232,46 @@
             .with_header(header::CONNECTION, value(b"X-Sablebay-Tenant"));
         check_gathered(&root.call(&call).await, &id);
         check_arrivals(&deployment, &id, Some("tenant-a"));
-        metric(&root, ANSWERED) > 10
+        metric(&root, ANSWERED_DELEGATIONS) > 10
     })
     .await;
 }
 
-/// Sends a request that ends back ends until it is held back.
-async fn until_held_back(node: &NodeProcess, key: &str, harmless: &CallerCall) {
+/// Sends a request that crashes back ends until it is quarantined.
+async fn wait_until_quarantined(node: &NodeProcess, key: &str, harmless: &CallerCall) {
     let number = std::sync::atomic::AtomicU32::new(0);
-    eventually("the request is held back", || async {
+    eventually("the request is quarantined", || async {
         let number = number.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let call = CallerCall::get(HOST, FATAL_PATH, &format!("held-{number}")).with_key(key);
         let answer = node.call(&call).await;
         let held = answer.retry_after.is_some_and(|seconds| seconds > 30.0);
-        eventually("a back end is there", || async { node.call(harmless).await.status.as_u16() == 200 })
-            .await;
+        eventually("a back end is up", || async { node.call(harmless).await.status.as_u16() == 200 }).await;
         held
     })
     .await;
 }
 
-/// Nothing one tenant asks for keeps another waiting, and a second key is no second try.
+/// A quarantine does not affect the same request of another tenant, and covers all keys of its own tenant.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_two_tenants_ask_for_are_two_requests() {
+async fn quarantine_is_separate_for_each_tenant() {
     let store = StoreStandIn::start().await.expect("a store");
-    let leaves = leaves_of(&single_service(), 200, &store).await;
+    let leaves = crashing_leaves_of(&single_service(), 200, &store).await;
     store.publish_with_tenants(&with_public_route(1), &two_tenants());
     let node = NodeProcess::start("node-1", store.address, &[]);
     node.wait_ready().await;
-    until_held_back(&node, "a 1,x", &read("harmless").with_key("a-2")).await;
+    wait_until_quarantined(&node, "a 1,x", &read("harmless").with_key("a-2")).await;
     let reached = |id: &str| leaves.iter().flat_map(|leaf| leaf.calls()).any(|call| call.id == id);
     let fatal = |id: &str, key: &str| CallerCall::get(HOST, FATAL_PATH, id).with_key(key);
     let again = node.call(&fatal("same-tenant", "a-2").with_header(TENANT, value(b"tenant-b"))).await;
     assert_eq!(again.status.as_u16(), 503);
-    assert!(!reached("same-tenant"), "it is held back under its tenant's other key too");
+    assert!(!reached("same-tenant"), "the quarantine must cover the tenant's other key");
     node.call(&fatal("other-tenant", "b-1")).await;
-    assert!(reached("other-tenant"), "another tenant's request is another request");
+    assert!(reached("other-tenant"), "the quarantine must not cover another tenant's request");
 }
 
-/// What may not be repeated runs once under one name, also when its key goes away meanwhile.
+/// An at-most-once request runs once, under one tenant, even if its key is revoked while it runs.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_runs_goes_on_in_the_name_that_it_began_in() {
+async fn a_running_request_keeps_its_tenant_when_its_key_is_revoked() {
     let (deployment, node) = one_node(&two_tenants()).await;
     for leaf in &deployment.singles {
         leaf.behave(LeafBehaviour::Slow(Duration::from_millis(1_500)));
@@ -280,12 +280,12 @@
     let order = CallerCall {
         method: Method::POST,
         body: b"an order".to_vec(),
-        timeout: PATIENCE,
+        timeout: EVENT_TIMEOUT,
         ..CallerCall::get(HOST, UNSAFE_PATH, "order").with_key("b-1")
     };
-    let asked = tokio::spawn(async move { caller.call(&order).await.expect("an answer") });
-    eventually("it runs", || async { deployment.runs_of("order") > 0 }).await;
+    let pending_call = tokio::spawn(async move { caller.call(&order).await.expect("an answer") });
+    eventually("the request runs", || async { deployment.runs_of("order") > 0 }).await;
     deployment.store.publish_with_tenants(&with_public_route(3), &two_tenants()[..1]);
-    assert_eq!(asked.await.expect("the task ends").status.as_u16(), 200);
+    assert_eq!(pending_call.await.expect("the task ends").status.as_u16(), 200);
     assert_eq!(check_arrivals(&deployment, "order", Some("tenant-b")), 1);
 }
