--- a/crates/sablebay-bench/src/child_process.rs
+++ b/crates/sablebay-bench/src/child_process.rs
@@ -53,7 +53,7 @@
     }
 
     /// Ends it without warning, and without waiting until it is gone.
-    pub fn kill_at_once(&self) {
+    pub fn kill_without_waiting(&self) {
         self.signal(Signal::KILL);
     }
 
@@ -69,10 +69,10 @@
 
     /// Waits for the process to end; false when it did not within the limit.
     pub async fn wait_ended(&mut self, limit: Duration) -> bool {
-        const LOOK: Duration = Duration::from_millis(20);
+        const POLL_INTERVAL: Duration = Duration::from_millis(20);
         let waiting = async {
             while self.exited().is_none() {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
         tokio::time::timeout(limit, waiting).await.is_ok()
--- a/crates/sablebay-bench/src/cli.rs
+++ b/crates/sablebay-bench/src/cli.rs
@@ -453,7 +453,7 @@
         "full_coverage": summary.full,
         "not_run": summary.not_run,
         "unknown": summary.unknown,
-        "cut": summary.cut,
+        "cut": summary.connections_lost,
         "p50_ms": summary.latency_ms(0.5),
         "p99_ms": summary.latency_ms(0.99),
         "extra_load": summary.extra_load(),
--- a/crates/sablebay-bench/src/experiment/at_most_once.rs
+++ b/crates/sablebay-bench/src/experiment/at_most_once.rs
@@ -130,7 +130,7 @@
             tokio::time::sleep(CUT).await;
             cluster.proxies[victim].set(Faults::default());
         }
-        InjectedFault::Kill => node.kill_at_once(),
+        InjectedFault::Kill => node.kill_without_waiting(),
         InjectedFault::PauseAndCut => {
             cluster.proxies[victim].set(Faults::cut());
             node.pause();
--- a/crates/sablebay-bench/src/experiment/drain.rs
+++ b/crates/sablebay-bench/src/experiment/drain.rs
@@ -25,7 +25,7 @@
     let steady = one_run(options, false).await?;
     let drained = one_run(options, true).await?;
     let callers_errors = drained.load.not_run + drained.load.unknown;
-    result.violation("cut", drained.load.cut);
+    result.violation("cut", drained.load.connections_lost);
     result.violation("late_new_work", drained.late_calls);
     result.violation("callers_errors", callers_errors);
     result.violations += drained.load.violations.len() as u64;
--- a/crates/sablebay-bench/src/experiment/rolling_restart.rs
+++ b/crates/sablebay-bench/src/experiment/rolling_restart.rs
@@ -25,7 +25,7 @@
     let mut result = options.result("rolling-restart");
     let run = one_run(options).await?;
     let callers_errors = run.load.not_run + run.load.unknown;
-    result.violation("cut", run.load.cut);
+    result.violation("cut", run.load.connections_lost);
     result.violation("callers_errors", callers_errors);
     result.violation("unclean_exits", run.unclean_exits);
     result.violations += run.load.violations.len() as u64;
--- a/crates/sablebay-bench/src/experiment/straggler.rs
+++ b/crates/sablebay-bench/src/experiment/straggler.rs
@@ -114,7 +114,7 @@
     };
     let mut deployment = deployment.clone();
     let service_time = ServiceTime {
-        straggler_share: if stragglers { STRAGGLER_SHARE } else { 0.0 },
+        straggler_fraction: if stragglers { STRAGGLER_SHARE } else { 0.0 },
         straggler_factor: STRAGGLER_FACTOR,
         ..ServiceTime::log_normal(MEDIAN_US, SIGMA)
     };
@@ -124,7 +124,7 @@
     let cluster = Cluster::start(deployment, &cluster_options).await?;
     let warm_up = options.seconds(3.0);
     let mut load = cluster.load(0.0, options.seconds(11.0) + warm_up, options.seed);
-    let mean_us = ServiceTime { straggler_share: 0.0, ..service_time }.mean_us();
+    let mean_us = ServiceTime { straggler_fraction: 0.0, ..service_time }.mean_us();
     load.services = weights(&cluster.deployment, utilisation, mean_us);
     load.rate = load.services.iter().map(|service| service.weight).sum();
     load.warm_up = warm_up;
--- a/crates/sablebay-bench/src/processes.rs
+++ b/crates/sablebay-bench/src/processes.rs
@@ -17,7 +17,7 @@
 use crate::error::BenchError;
 
 /// One of the project's binaries, beside the one that runs (or a running test).
-fn binary_beside_this_one(name: &str) -> Result<PathBuf, BenchError> {
+fn sibling_binary(name: &str) -> Result<PathBuf, BenchError> {
     let own = std::env::current_exe()?;
     let mut candidates = own.ancestors().skip(1).take(2).map(|folder| folder.join(name));
     let missing =
@@ -26,7 +26,7 @@
 }
 
 #[derive(Deserialize)]
-struct Announced {
+struct ListenAddresses {
     caller_address: SocketAddr,
     admin_address: SocketAddr,
     peer_address: SocketAddr,
@@ -51,7 +51,7 @@
     /// When the product's binary is not there.
     pub fn with_break(broken: Option<&str>) -> Result<Self, BenchError> {
         match broken {
-            None => Ok(NodeCommand::Product(binary_beside_this_one("sablebay")?)),
+            None => Ok(NodeCommand::Product(sibling_binary("sablebay")?)),
             Some(mechanism) => Ok(NodeCommand::Broken { mechanism: mechanism.to_string() }),
         }
     }
@@ -65,7 +65,7 @@
                 Ok(command)
             }
             NodeCommand::Broken { mechanism } => {
-                let mut command = Command::new(binary_beside_this_one("sablebay-bench")?);
+                let mut command = Command::new(sibling_binary("sablebay-bench")?);
                 command.args(["node", "--break", mechanism]);
                 Ok(command)
             }
@@ -102,13 +102,13 @@
         let stdout = child.stdout.take().ok_or_else(|| std::io::Error::other("no standard output"))?;
         let mut line = String::new();
         BufReader::new(stdout).read_line(&mut line)?;
-        let announced: Announced = serde_json::from_str(&line)?;
+        let addresses: ListenAddresses = serde_json::from_str(&line)?;
         Ok(Self {
             process: child.into(),
             name: name.to_string(),
-            caller_address: announced.caller_address,
-            admin_address: announced.admin_address,
-            peer_address: announced.peer_address,
+            caller_address: addresses.caller_address,
+            admin_address: addresses.admin_address,
+            peer_address: addresses.peer_address,
         })
     }
 
@@ -154,8 +154,8 @@
 }
 
 /// How long nodes may take to be ready.
-const READY_PATIENCE: Duration = Duration::from_secs(30);
-const READY_INTERVAL: Duration = Duration::from_millis(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl ProcessCluster {
     /// Starts everything, and waits until every node is ready.
@@ -248,12 +248,12 @@
                 if ready && present_members(&body) + 1 == members {
                     break;
                 }
-                if started.elapsed() > READY_PATIENCE {
-                    let said = String::from_utf8_lossy(&body);
-                    let what = format!("{} ready with {members} members: it says {said}", node.name);
-                    return Err(BenchError::NotInTime { what, seconds: READY_PATIENCE.as_secs() });
+                if started.elapsed() > READY_TIMEOUT {
+                    let status = String::from_utf8_lossy(&body);
+                    let what = format!("{} ready with {members} members: it says {status}", node.name);
+                    return Err(BenchError::NotInTime { what, seconds: READY_TIMEOUT.as_secs() });
                 }
-                tokio::time::sleep(READY_INTERVAL).await;
+                tokio::time::sleep(READY_POLL_INTERVAL).await;
             }
         }
         Ok(())
--- a/crates/sablebay-bench/src/soak.rs
+++ b/crates/sablebay-bench/src/soak.rs
@@ -88,12 +88,12 @@
 }
 
 /// How long what is in flight may take to end before the last check.
-const QUIESCE: Duration = Duration::from_millis(1_500);
+const DRAIN_TIME: Duration = Duration::from_millis(1_500);
 /// How long the system has to heal before an operation is watched.
-const HEALING: Duration = Duration::from_millis(4_000);
+const RECOVERY_TIME: Duration = Duration::from_millis(4_000);
 
 /// The part of calm spells in which a return of the store is watched as well.
-const RETURNS_WATCHED: f64 = 0.5;
+const STORE_RESTORE_PROBABILITY: f64 = 0.5;
 
 /// Runs a soak.
 ///
@@ -103,43 +103,47 @@
     std::fs::create_dir_all(&options.logs)?;
     let mut random = SmallRng::seed_from_u64(options.seed);
     // Drawn by themselves: what a seed has played so far stays in its place.
-    let mut returns = SmallRng::seed_from_u64(!options.seed);
+    let mut restore_random = SmallRng::seed_from_u64(!options.seed);
     let checker = Arc::new(Checker::default());
     let mut deployment = SoakDeployment::start(options, checker.clone()).await?;
     deployment.wait_ready().await?;
     let load = load::start(&deployment, checker.clone());
-    let begun = Instant::now();
+    let started = Instant::now();
     let (mut storms, mut faults, mut operations) = (0, 0, 0);
-    while begun.elapsed() < options.length {
+    while started.elapsed() < options.length {
         let mut storm = Storm::draw(&mut random);
         if options.returns {
-            storm = storm.with_returns(&mut returns);
+            storm = storm.with_store_restores(&mut restore_random);
         }
         faults += storm.faults.len() as u32;
         schedule::play(&storm, &mut deployment).await?;
         storms += 1;
         deployment.heal().await?;
-        tokio::time::sleep(HEALING).await;
+        tokio::time::sleep(RECOVERY_TIME).await;
         operations::watch_one(&mut deployment, &checker, options.bounds, &mut random).await?;
         operations += 1;
-        if options.bounds && returns.random_bool(RETURNS_WATCHED) {
-            operations::watch_return(&mut deployment, &checker, returns.random_range(0..routes::SHARDS))
-                .await?;
+        if options.bounds && restore_random.random_bool(STORE_RESTORE_PROBABILITY) {
+            operations::watch_store_restore(
+                &mut deployment,
+                &checker,
+                restore_random.random_range(0..routes::SHARDS),
+            )
+            .await?;
             operations += 1;
         }
     }
     load.stop().await;
-    tokio::time::sleep(QUIESCE).await;
-    checker.judge_runs(&deployment.records());
-    checker.judge_tenants(&deployment.calls(), deployment.keys());
-    checker.judge_ends(deployment.fragile_ended(), storms);
+    tokio::time::sleep(DRAIN_TIME).await;
+    checker.check_runs(&deployment.records());
+    checker.check_tenants(&deployment.calls(), deployment.keys());
+    checker.check_crashes(deployment.fragile_crashes(), storms);
     let counts = checker.counts();
     let violations = checker.violations();
     Ok(SoakReport {
         seed: options.seed,
         break_caught: options.broken.as_ref().map(|_| !violations.is_empty()),
         broken: options.broken.clone(),
-        seconds: begun.elapsed().as_secs_f64(),
+        seconds: started.elapsed().as_secs_f64(),
         storms,
         faults,
         operations,
@@ -148,7 +152,7 @@
         incomplete: counts.incomplete,
         promised_not_run: counts.promised_not_run,
         unanswered: counts.unanswered,
-        ended: deployment.fragile_ended(),
+        ended: deployment.fragile_crashes(),
         violations,
     })
 }
--- a/crates/sablebay-bench/src/soak/checker.rs
+++ b/crates/sablebay-bench/src/soak/checker.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use super::routes::{SHARDS, ShardIdentity, TOP_RECORDS, expected_records};
-use super::tenants::{KeyHistory, ShownKey, judge_quotas};
+use super::tenants::{KeyHistory, PresentedKey, check_quotas};
 
 /// A promise to callers, back ends and operators.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize)]
@@ -74,13 +74,13 @@
 }
 
 /// Back ends that may end under a request before it is held back.
-const ENDS: u32 = 8;
+const MAXIMUM_CRASHES: u32 = 8;
 /// Back ends that may end in a storm besides: nodes that were cut off or started anew know less for a while.
-const ENDS_PER_STORM: u32 = 4;
+const MAXIMUM_CRASHES_PER_STORM: u32 = 4;
 /// The shortest time after which a request comes back that is held back; all others are told less.
-const HELD_BACK_S: f64 = 20.0;
+const QUARANTINE_RETRY_AFTER_S: f64 = 20.0;
 /// Violations kept of each promise; one is enough to fail.
-const KEPT: usize = 5;
+const REPORTED_PER_PROMISE: usize = 5;
 
 #[derive(Default)]
 struct State {
@@ -90,9 +90,9 @@
     once: HashSet<String>,
     not_run: HashSet<String>,
     /// What callers showed, by request.
-    shown: HashMap<String, ShownKey>,
+    presented: HashMap<String, PresentedKey>,
     /// Requests that were held back and end no back end.
-    held_back: Vec<String>,
+    quarantined: Vec<String>,
     /// The highest version whose effect each life of a node has shown.
     highest_seen: HashMap<(usize, u64), u64>,
 }
@@ -105,9 +105,11 @@
 
 impl Checker {
     /// Notes a broken promise.
-    pub fn violated(&self, promise: Promise, seen: String) {
+    pub fn report_violation(&self, promise: Promise, seen: String) {
         let mut state = self.state.lock();
-        if state.violations.iter().filter(|violation| violation.promise == promise).count() < KEPT {
+        if state.violations.iter().filter(|violation| violation.promise == promise).count()
+            < REPORTED_PER_PROMISE
+        {
             state.violations.push(Violation { promise, seen });
         }
     }
@@ -122,10 +124,10 @@
     }
 
     /// A call is about to be made with a key, or with none where none is needed. Returns it with that key.
-    pub fn shows(&self, call: CallerCall, key: Option<&'static str>) -> CallerCall {
+    pub fn with_key(&self, call: CallerCall, key: Option<&'static str>) -> CallerCall {
         if let Some(id) = &call.id {
-            let shown = ShownKey { key, at: Instant::now() };
-            self.state.lock().shown.insert(id.clone(), shown);
+            let presented = PresentedKey { key, at: Instant::now() };
+            self.state.lock().presented.insert(id.clone(), presented);
         }
         CallerCall { key: key.map(str::to_string), ..call }
     }
@@ -139,8 +141,8 @@
     pub fn answered(&self, id: &str, gathered: bool, answer: &CallerAnswer) {
         {
             let mut state = self.state.lock();
-            if answer.retry_after.is_some_and(|seconds| seconds >= HELD_BACK_S) {
-                state.held_back.push(id.to_string());
+            if answer.retry_after.is_some_and(|seconds| seconds >= QUARANTINE_RETRY_AFTER_S) {
+                state.quarantined.push(id.to_string());
             }
             if answer.promises_not_run() {
                 state.counts.promised_not_run += 1;
@@ -158,7 +160,7 @@
     fn check_single(&self, id: &str, answer: &CallerAnswer) {
         let stamp = answer.stamp.as_deref().unwrap_or_default();
         if !stamp.ends_with(&format!(".{id}")) {
-            self.violated(Promise::OwnAnswer, format!("{id} got the answer signed {stamp}"));
+            self.report_violation(Promise::OwnAnswer, format!("{id} got the answer signed {stamp}"));
         }
     }
 
@@ -166,28 +168,31 @@
         let mut shards = BTreeSet::new();
         let mut sets = BTreeSet::new();
         for stamp in &answer.part_stamps {
-            let named = stamp
+            let parsed = stamp
                 .rsplit_once('.')
                 .and_then(|(leaf, request)| Some((ShardIdentity::parse(leaf)?, request)));
-            let Some((identity, request)) = named else {
-                self.violated(Promise::OwnAnswer, format!("{id} got a part signed {stamp}"));
+            let Some((identity, request)) = parsed else {
+                self.report_violation(Promise::OwnAnswer, format!("{id} got a part signed {stamp}"));
                 return;
             };
             if request != id {
-                self.violated(Promise::OwnAnswer, format!("{id} got a part of {request}"));
+                self.report_violation(Promise::OwnAnswer, format!("{id} got a part of {request}"));
                 return;
             }
             sets.insert(identity.set);
             if !shards.insert((identity.set, identity.shard)) {
-                self.violated(Promise::TrueCoverage, format!("{id}: shard {} stands twice", identity.shard));
+                self.report_violation(
+                    Promise::TrueCoverage,
+                    format!("{id}: shard {} stands twice", identity.shard),
+                );
             }
         }
         if sets.len() > 1 {
-            self.violated(Promise::OneSnapshot, format!("{id} mixes the sets {sets:?}"));
+            self.report_violation(Promise::OneSnapshot, format!("{id} mixes the sets {sets:?}"));
         }
         if shards.len() + answer.missing != usize::from(SHARDS) {
-            let told = format!("{id}: {} shards in, {} said to be missing", shards.len(), answer.missing);
-            self.violated(Promise::TrueCoverage, told);
+            let seen = format!("{id}: {} shards in, {} said to be missing", shards.len(), answer.missing);
+            self.report_violation(Promise::TrueCoverage, seen);
         }
         let expected = expected_records(shards);
         if answer.body != expected {
@@ -195,73 +200,74 @@
                 "{id}: {} bytes, not the greatest {TOP_RECORDS} records of its parts",
                 answer.body.len()
             );
-            self.violated(Promise::OwnAnswer, seen);
+            self.report_violation(Promise::OwnAnswer, seen);
         }
     }
 
     /// The highest version whose effect a life of a node has shown so far.
-    pub fn highest_seen(&self, node: usize, life: u64) -> u64 {
-        self.state.lock().highest_seen.get(&(node, life)).copied().unwrap_or(0)
+    pub fn highest_seen(&self, node: usize, incarnation: u64) -> u64 {
+        self.state.lock().highest_seen.get(&(node, incarnation)).copied().unwrap_or(0)
     }
 
     /// A life of a node showed the effect of a version, in a request sent when `highest_before` had
     /// been seen already.
-    pub fn version_seen(&self, node: usize, life: u64, version: u64, highest_before: u64) {
+    pub fn version_seen(&self, node: usize, incarnation: u64, version: u64, highest_before: u64) {
         if version < highest_before {
             let seen = format!("node {node} went from version {highest_before} back to {version}");
-            self.violated(Promise::Configuration, seen);
+            self.report_violation(Promise::Configuration, seen);
         }
         let mut state = self.state.lock();
-        let highest = state.highest_seen.entry((node, life)).or_default();
+        let highest = state.highest_seen.entry((node, incarnation)).or_default();
         *highest = (*highest).max(version);
     }
 
     /// Holds how many back ends ended under a request against what that may cost.
-    pub fn judge_ends(&self, ended: u32, storms: u32) {
-        let most = ENDS + ENDS_PER_STORM * storms;
-        if ended > most {
-            let seen = format!("{ended} back ends ended under one request in {storms} storms; {most} may");
-            self.violated(Promise::Containment, seen);
+    pub fn check_crashes(&self, ended: u32, storms: u32) {
+        let limit = MAXIMUM_CRASHES + MAXIMUM_CRASHES_PER_STORM * storms;
+        if ended > limit {
+            let seen = format!("{ended} back ends ended under one request in {storms} storms; {limit} may");
+            self.report_violation(Promise::Containment, seen);
         }
     }
 
     /// Holds in whose names requests came to back ends against who had their callers' keys.
-    pub fn judge_tenants(&self, calls: &[LeafCall], keys: &KeyHistory) {
-        let shown = self.state.lock().shown.clone();
+    pub fn check_tenants(&self, calls: &[LeafCall], keys: &KeyHistory) {
+        let presented = self.state.lock().presented.clone();
         let nobody = |call: &LeafCall| (Promise::Authentication, format!("{} was sent by nobody", call.id));
         for call in calls {
-            let verdict =
-                shown.get(&call.id).map_or_else(|| Some(nobody(call)), |shown| keys.judge(call, shown));
+            let verdict = presented
+                .get(&call.id)
+                .map_or_else(|| Some(nobody(call)), |presented| keys.check(call, presented));
             if let Some((promise, seen)) = verdict {
-                self.violated(promise, seen);
+                self.report_violation(promise, seen);
             }
         }
-        for seen in judge_quotas(calls, &shown) {
-            self.violated(Promise::Quota, seen);
+        for seen in check_quotas(calls, &presented) {
+            self.report_violation(Promise::Quota, seen);
         }
     }
 
     /// Holds the back ends' records against what callers were promised.
-    pub fn judge_runs(&self, records: &[LeafRecord]) {
+    pub fn check_runs(&self, records: &[LeafRecord]) {
         let mut runs: HashMap<&str, u32> = HashMap::new();
         for record in records {
             for (id, count) in &record.runs {
                 *runs.entry(id).or_default() += count;
             }
         }
-        let (once, not_run, held_back) = {
+        let (once, not_run, quarantined) = {
             let state = self.state.lock();
-            (state.once.clone(), state.not_run.clone(), state.held_back.clone())
+            (state.once.clone(), state.not_run.clone(), state.quarantined.clone())
         };
-        for id in held_back {
-            self.violated(Promise::Innocence, format!("{id} was held back, and ends no back end"));
+        for id in quarantined {
+            self.report_violation(Promise::Innocence, format!("{id} was held back, and ends no back end"));
         }
         for (id, count) in runs {
             if once.contains(id) && count > 1 {
-                self.violated(Promise::AtMostOnce, format!("{id} ran {count} times"));
+                self.report_violation(Promise::AtMostOnce, format!("{id} ran {count} times"));
             }
             if not_run.contains(id) {
-                self.violated(Promise::NotRun, format!("{id} was said not to have run, and ran"));
+                self.report_violation(Promise::NotRun, format!("{id} was said not to have run, and ran"));
             }
         }
     }
--- a/crates/sablebay-bench/src/soak/deployment.rs
+++ b/crates/sablebay-bench/src/soak/deployment.rs
@@ -29,26 +29,26 @@
 /// Nodes of a soak.
 pub const NODES: usize = 3;
 /// Replicas of each shard, and of the service of single requests.
-const COPIES: u8 = 2;
+const REPLICAS: u8 = 2;
 /// The zones of back ends; the nodes are in the first.
 pub const ZONES: [&str; 2] = ["zone-a", "zone-b"];
 /// All back ends.
-pub const LEAVES: usize = (SETS * SHARDS * COPIES + COPIES) as usize;
+pub const LEAVES: usize = (SETS * SHARDS * REPLICAS + REPLICAS) as usize;
 /// What the records of single requests are made from; unlike every shard's.
 const SINGLE_SEED: u8 = 250;
 /// Back ends that end under some requests.
-const FRAGILE_COPIES: u8 = 3;
+const FRAGILE_REPLICAS: u8 = 3;
 /// How long one of these is gone.
-const FRAGILE_PAUSE: Duration = Duration::from_millis(300);
+const FRAGILE_RESTART_DELAY: Duration = Duration::from_millis(300);
 /// The time between two writers that write again after a return of the store, and how many turns there are: two seconds.
-const WRITE_AGAIN_PERIOD: Duration = Duration::from_millis(250);
-const WRITE_AGAIN_TURNS: u32 = 9;
+const REWRITE_PERIOD: Duration = Duration::from_millis(250);
+const REWRITE_SLOTS: u32 = 9;
 /// How long a process may take to end, or to become ready.
-const PROCESS_PATIENCE: Duration = Duration::from_secs(30);
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A way between two parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Link {
     /// From callers to a node.
     Callers(usize),
     /// From a node to the store.
@@ -68,7 +68,7 @@
 }
 
 /// One place for a node, with the proxies around it. The process in it comes and goes.
-struct NodePlace {
+struct NodeSlot {
     plan: NodePlan,
     callers: Proxy,
     store: Proxy,
@@ -77,17 +77,17 @@
     /// Whether the process was told to stop.
     stopping: bool,
     /// Counts the lives of the place.
-    life: u64,
+    incarnation: u64,
 }
 
 /// What ends at a time.
-enum Ending {
+enum Recovery {
     Resume(usize),
     Start(usize),
-    Heal(Way),
+    Heal(Link),
     Store,
-    Return,
-    WriteAgain(String),
+    RestoreStore,
+    Rewrite(String),
     Leaf(usize),
 }
 
@@ -101,14 +101,14 @@
     /// Back ends that end under some requests, and are started again. No proxy stands before them: it would take
     /// connections for a process that is not there.
     fragile: Vec<RestartingLeaf>,
-    places: Vec<NodePlace>,
-    endings: Vec<(Instant, Ending)>,
+    slots: Vec<NodeSlot>,
+    recoveries: Vec<(Instant, Recovery)>,
     version: u64,
     set: u8,
     /// Whether the guest has its key.
     with_guest: bool,
     keys: KeyHistory,
-    lives: u32,
+    incarnations: u32,
     seed: u64,
     /// Holds what is seen against the promises.
     pub checker: Arc<Checker>,
@@ -126,34 +126,34 @@
             leaves: Vec::new(),
             retired: Vec::new(),
             fragile: Vec::new(),
-            places: Vec::new(),
-            endings: Vec::new(),
+            slots: Vec::new(),
+            recoveries: Vec::new(),
             version: 0,
             set: 0,
             with_guest: true,
             keys: KeyHistory::default(),
-            lives: 0,
+            incarnations: 0,
             seed: options.seed,
             checker,
         };
         for set in 0..SETS {
             for shard in 0..SHARDS {
-                for copy in 0..COPIES {
+                for copy in 0..REPLICAS {
                     let leaf = deployment.start_leaf(&shard_service(set, shard), set, shard, copy).await?;
                     deployment.leaves.push(leaf);
                 }
             }
         }
-        for copy in 0..COPIES {
+        for copy in 0..REPLICAS {
             let leaf = deployment.start_leaf(&single_service(), SETS, 0, copy).await?;
             deployment.leaves.push(leaf);
         }
-        for copy in 0..FRAGILE_COPIES {
+        for copy in 0..FRAGILE_REPLICAS {
             let leaf = deployment.start_fragile(copy).await?;
             deployment.fragile.push(leaf);
         }
         deployment.publish();
-        deployment.start_places(options.logs.clone()).await?;
+        deployment.start_slots(options.logs.clone()).await?;
         Ok(deployment)
     }
 
@@ -164,12 +164,13 @@
         shard: u8,
         copy: u8,
     ) -> Result<SoakLeaf, BenchError> {
-        self.lives += 1;
-        let id = format!("{set}-{shard}-{copy}-{}", self.lives);
+        self.incarnations += 1;
+        let id = format!("{set}-{shard}-{copy}-{}", self.incarnations);
         let seed = if set < SETS { ShardIdentity { set, shard }.seed() } else { SINGLE_SEED + copy };
         let zone = ZONES[usize::from(copy) % ZONES.len()];
         let leaf = LeafStandIn::start(&id, service, seed, zone).await?;
-        let proxy = Proxy::start(leaf.address(), self.seed.wrapping_add(u64::from(self.lives))).await?;
+        let proxy =
+            Proxy::start(leaf.address(), self.seed.wrapping_add(u64::from(self.incarnations))).await?;
         let announced = Replica { address: proxy.address, ..leaf.replica.clone() };
         self.store.announce(&announced);
         Ok(SoakLeaf { leaf, proxy, announced })
@@ -181,19 +182,19 @@
             // One of them starts again under its name.
             keeps_name: copy % 2 == 1,
             service: fragile_service(),
-            shard: SINGLE_SEED + COPIES + copy,
+            shard: SINGLE_SEED + REPLICAS + copy,
             zone: ZONES[0].to_string(),
         };
         let behaviour = LeafBehaviour::EndsOn(FATAL_PATH);
-        Ok(RestartingLeaf::start(identity, behaviour, FRAGILE_PAUSE, self.store.registry()).await?)
+        Ok(RestartingLeaf::start(identity, behaviour, FRAGILE_RESTART_DELAY, self.store.registry()).await?)
     }
 
     /// How often back ends ended under a request.
-    pub fn fragile_ended(&self) -> u32 {
+    pub fn fragile_crashes(&self) -> u32 {
         self.fragile.iter().map(RestartingLeaf::ended).sum()
     }
 
-    async fn start_places(&mut self, folder: PathBuf) -> Result<(), BenchError> {
+    async fn start_slots(&mut self, folder: PathBuf) -> Result<(), BenchError> {
         for position in 0..NODES {
             let seed = self.seed.wrapping_add(1_000 + position as u64);
             let callers = Proxy::start_without_target(seed).await?;
@@ -206,45 +207,45 @@
                 peers: Vec::new(),
                 folder: folder.clone(),
             };
-            self.places.push(NodePlace {
+            self.slots.push(NodeSlot {
                 plan,
                 callers,
                 store,
                 peers,
                 process: None,
                 stopping: false,
-                life: 0,
+                incarnation: 0,
             });
         }
-        let addresses: Vec<SocketAddr> = self.places.iter().map(|place| place.peers.address).collect();
+        let addresses: Vec<SocketAddr> = self.slots.iter().map(|slot| slot.peers.address).collect();
         for position in 0..NODES {
-            self.places[position].plan.peers = addresses.clone();
+            self.slots[position].plan.peers = addresses.clone();
             self.start_node(position)?;
         }
         Ok(())
     }
 
     fn start_node(&mut self, position: usize) -> Result<(), BenchError> {
-        let place = &mut self.places[position];
-        place.process = None;
-        place.stopping = false;
-        place.life += 1;
-        let node = SoakNode::start(&self.command, &place.plan)?;
-        place.callers.set_target(node.callers);
-        place.peers.set_target(node.peers);
-        place.process = Some(node);
+        let slot = &mut self.slots[position];
+        slot.process = None;
+        slot.stopping = false;
+        slot.incarnation += 1;
+        let node = SoakNode::start(&self.command, &slot.plan)?;
+        slot.callers.set_target(node.callers);
+        slot.peers.set_target(node.peers);
+        slot.process = Some(node);
         Ok(())
     }
 
     /// The callers' way into a node, and the life of the process behind it.
-    pub fn way_in(&self, position: usize) -> (CallerStandIn, u64) {
-        let place = &self.places[position];
-        (CallerStandIn { address: place.callers.address }, place.life)
+    pub fn caller_for(&self, position: usize) -> (CallerStandIn, u64) {
+        let slot = &self.slots[position];
+        (CallerStandIn { address: slot.callers.address }, slot.incarnation)
     }
 
     /// The callers' ways into all nodes; they stay the same over all lives.
-    pub fn ways_in(&self) -> Vec<CallerStandIn> {
-        (0..NODES).map(|position| self.way_in(position).0).collect()
+    pub fn callers(&self) -> Vec<CallerStandIn> {
+        (0..NODES).map(|position| self.caller_for(position).0).collect()
     }
 
     /// The newest version published.
@@ -256,9 +257,9 @@
     pub fn publish(&mut self) {
         self.version += 1;
         let tenants = tenants(self.version, self.with_guest);
-        let begun = Instant::now();
+        let started = Instant::now();
         self.store.publish_with_tenants(&configuration(self.version, self.set), &tenants);
-        self.keys.published(&tenants, begun, Instant::now());
+        self.keys.published(&tenants, started, Instant::now());
     }
 
     /// The operator gives the guest its key, or takes it away.
@@ -275,14 +276,14 @@
     /// Cuts a node off from the store, and all nodes from each other; or heals that.
     pub fn cut_off(&self, position: usize, cut: bool) {
         let faults = if cut { Faults::cut() } else { Faults::default() };
-        let peers = (0..NODES).map(Way::Peers);
-        for way in peers.chain([Way::Store(position)]) {
-            self.proxy(way).set(faults.clone());
+        let peers = (0..NODES).map(Link::Peers);
+        for link in peers.chain([Link::Store(position)]) {
+            self.proxy(link).set(faults.clone());
         }
     }
 
     async fn is_ready(&self, position: usize) -> bool {
-        let Some(node) = &self.places[position].process else {
+        let Some(node) = &self.slots[position].process else {
             return false;
         };
         let call = CallerCall { id: None, ..CallerCall::get("readiness", "/ready", "") };
@@ -295,31 +296,31 @@
     /// # Errors
     /// When one does not in time.
     pub async fn wait_ready(&self) -> Result<(), BenchError> {
-        const LOOK: Duration = Duration::from_millis(50);
-        let end = Instant::now() + PROCESS_PATIENCE;
+        const POLL_INTERVAL: Duration = Duration::from_millis(50);
+        let end = Instant::now() + PROCESS_TIMEOUT;
         for position in 0..NODES {
             while !self.is_ready(position).await {
                 if Instant::now() > end {
                     let what = format!("node {position} becoming ready");
-                    return Err(BenchError::NotInTime { what, seconds: PROCESS_PATIENCE.as_secs() });
+                    return Err(BenchError::NotInTime { what, seconds: PROCESS_TIMEOUT.as_secs() });
                 }
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    fn proxy(&self, way: Way) -> &Proxy {
-        match way {
-            Way::Callers(position) => &self.places[position].callers,
-            Way::Store(position) => &self.places[position].store,
-            Way::Peers(position) => &self.places[position].peers,
-            Way::Leaf(position) => &self.leaves[position % self.leaves.len()].proxy,
+    fn proxy(&self, link: Link) -> &Proxy {
+        match link {
+            Link::Callers(position) => &self.slots[position].callers,
+            Link::Store(position) => &self.slots[position].store,
+            Link::Peers(position) => &self.slots[position].peers,
+            Link::Leaf(position) => &self.leaves[position % self.leaves.len()].proxy,
         }
     }
 
-    fn ends_after(&mut self, time: Duration, ending: Ending) {
-        self.endings.push((Instant::now() + time, ending));
+    fn schedule_recovery(&mut self, time: Duration, recovery: Recovery) {
+        self.recoveries.push((Instant::now() + time, recovery));
     }
 
     /// Injects a fault.
@@ -329,43 +330,43 @@
     pub async fn inject(&mut self, fault: &Fault) -> Result<(), BenchError> {
         match fault {
             Fault::Pause(position, time) => {
-                if let Some(node) = &self.places[*position].process {
+                if let Some(node) = &self.slots[*position].process {
                     node.process.pause();
                 }
-                self.ends_after(*time, Ending::Resume(*position));
+                self.schedule_recovery(*time, Recovery::Resume(*position));
             }
             Fault::Kill(position, time) => {
-                self.places[*position].process = None;
-                self.ends_after(*time, Ending::Start(*position));
+                self.slots[*position].process = None;
+                self.schedule_recovery(*time, Recovery::Start(*position));
             }
             Fault::Terminate(position, time) => {
-                let place = &mut self.places[*position];
-                if let Some(node) = &place.process {
+                let slot = &mut self.slots[*position];
+                if let Some(node) = &slot.process {
                     node.process.resume();
                     node.process.terminate();
-                    place.stopping = true;
+                    slot.stopping = true;
                 }
-                self.ends_after(*time, Ending::Start(*position));
+                self.schedule_recovery(*time, Recovery::Start(*position));
             }
-            Fault::Disturb(way, faults, time) => {
-                self.proxy(*way).set(faults.clone());
-                self.ends_after(*time, Ending::Heal(*way));
+            Fault::Disturb(link, faults, time) => {
+                self.proxy(*link).set(faults.clone());
+                self.schedule_recovery(*time, Recovery::Heal(*link));
             }
-            Fault::Reset(way) => self.proxy(*way).reset_connections(),
+            Fault::Reset(link) => self.proxy(*link).reset_connections(),
             Fault::Store(mode, time) => {
                 self.store.set_mode(*mode);
-                self.ends_after(*time, Ending::Store);
+                self.schedule_recovery(*time, Recovery::Store);
             }
             Fault::ForgetHistory => self.store.forget_history(),
-            Fault::KeepCopy => self.store.keep_copy(),
-            Fault::Return(away) => {
+            Fault::BackUpStore => self.store.keep_copy(),
+            Fault::RestoreStore(away) => {
                 self.store.set_mode(StoreMode::Refusing);
-                self.ends_after(*away, Ending::Return);
+                self.schedule_recovery(*away, Recovery::RestoreStore);
             }
             Fault::Leaf(position, behaviour, time) => {
                 let position = position % self.leaves.len();
                 self.leaves[position].leaf.behave(*behaviour);
-                self.ends_after(*time, Ending::Leaf(position));
+                self.schedule_recovery(*time, Recovery::Leaf(position));
             }
             Fault::Service(shard, behaviour, time) => {
                 let service = shard.map_or_else(single_service, |shard| shard_service(self.set, shard));
@@ -373,7 +374,7 @@
                     (0..self.leaves.len()).filter(|at| self.leaves[*at].announced.service == service);
                 for position in of_shard.collect::<Vec<usize>>() {
                     self.leaves[position].leaf.behave(*behaviour);
-                    self.ends_after(*time, Ending::Leaf(position));
+                    self.schedule_recovery(*time, Recovery::Leaf(position));
                 }
             }
             Fault::Publish => self.publish(),
@@ -389,48 +390,48 @@
     ///
     /// # Errors
     /// When a node does not start.
-    pub async fn end_what_is_over(&mut self) -> Result<(), BenchError> {
+    pub async fn run_due_recoveries(&mut self) -> Result<(), BenchError> {
         let now = Instant::now();
-        let (over, on): (Vec<_>, Vec<_>) = self.endings.drain(..).partition(|(at, _)| *at <= now);
-        self.endings = on;
-        for (_, ending) in over {
-            self.end(ending).await?;
+        let (due, pending): (Vec<_>, Vec<_>) = self.recoveries.drain(..).partition(|(at, _)| *at <= now);
+        self.recoveries = pending;
+        for (_, recovery) in due {
+            self.recover(recovery).await?;
         }
         Ok(())
     }
 
-    async fn end(&mut self, ending: Ending) -> Result<(), BenchError> {
-        match ending {
-            Ending::Resume(position) => {
-                if let Some(node) = &self.places[position].process {
+    async fn recover(&mut self, recovery: Recovery) -> Result<(), BenchError> {
+        match recovery {
+            Recovery::Resume(position) => {
+                if let Some(node) = &self.slots[position].process {
                     node.process.resume();
                 }
             }
-            Ending::Start(position) => {
-                let place = &mut self.places[position];
-                if let Some(node) = &mut place.process {
+            Recovery::Start(position) => {
+                let slot = &mut self.slots[position];
+                if let Some(node) = &mut slot.process {
                     // Another fault has started it already.
-                    if !place.stopping {
+                    if !slot.stopping {
                         return Ok(());
                     }
                     // It may have been paused while it stopped.
                     node.process.resume();
-                    node.process.wait_ended(PROCESS_PATIENCE).await;
+                    node.process.wait_ended(PROCESS_TIMEOUT).await;
                 }
                 self.start_node(position)?;
             }
-            Ending::Heal(way) => self.proxy(way).set(Faults::default()),
-            Ending::Store => self.store.set_mode(StoreMode::Serving),
-            Ending::Return => {
+            Recovery::Heal(link) => self.proxy(link).set(Faults::default()),
+            Recovery::Store => self.store.set_mode(StoreMode::Serving),
+            Recovery::RestoreStore => {
                 self.store.return_from_copy();
                 self.store.set_mode(StoreMode::Serving);
                 for (number, key) in self.store.lost().into_iter().enumerate() {
-                    let after = WRITE_AGAIN_PERIOD * (number as u32 % WRITE_AGAIN_TURNS);
-                    self.ends_after(after, Ending::WriteAgain(key));
+                    let after = REWRITE_PERIOD * (number as u32 % REWRITE_SLOTS);
+                    self.schedule_recovery(after, Recovery::Rewrite(key));
                 }
             }
-            Ending::WriteAgain(key) => self.store.write_again(&key),
-            Ending::Leaf(position) => self.leaves[position].leaf.behave(LeafBehaviour::Answer),
+            Recovery::Rewrite(key) => self.store.write_again(&key),
+            Recovery::Leaf(position) => self.leaves[position].leaf.behave(LeafBehaviour::Answer),
         }
         Ok(())
     }
@@ -440,8 +441,8 @@
     /// # Errors
     /// When a node does not start, or does not become ready.
     pub async fn heal(&mut self) -> Result<(), BenchError> {
-        for (_, ending) in std::mem::take(&mut self.endings) {
-            self.end(ending).await?;
+        for (_, recovery) in std::mem::take(&mut self.recoveries) {
+            self.recover(recovery).await?;
         }
         self.store.write_all_again();
         self.wait_ready().await
@@ -453,7 +454,7 @@
     }
 
     /// The store comes back with its copy; nobody has written again.
-    pub fn come_back(&self) {
+    pub fn restore_store(&self) {
         self.store.return_from_copy();
     }
 
@@ -485,7 +486,7 @@
     }
 
     /// The operator takes a zone back.
-    pub fn take_back(&self, zone: &str) {
+    pub fn lift_evacuation(&self, zone: &str) {
         self.store.take_back(&ZoneName::new(zone));
     }
 
@@ -507,9 +508,9 @@
     /// When it does not start again.
     pub async fn stop_as_planned(&mut self, position: usize) -> Result<bool, BenchError> {
         let mut ended = false;
-        if let Some(node) = &mut self.places[position].process {
+        if let Some(node) = &mut self.slots[position].process {
             node.process.terminate();
-            ended = node.process.wait_ended(PROCESS_PATIENCE).await;
+            ended = node.process.wait_ended(PROCESS_TIMEOUT).await;
         }
         self.start_node(position)?;
         self.wait_ready().await?;
--- a/crates/sablebay-bench/src/soak/load.rs
+++ b/crates/sablebay-bench/src/soak/load.rs
@@ -12,7 +12,7 @@
 use super::checker::Checker;
 use super::deployment::SoakDeployment;
 use super::routes::{FATAL_PATH, HARMLESS_PATH, HOST, PUBLIC_PATH};
-use super::tenants::{FORGED_TENANT, PASSING_KEY, STEADY_KEY, UNKNOWN_KEY};
+use super::tenants::{FORGED_TENANT, ROTATING_KEY, STEADY_KEY, UNKNOWN_KEY};
 
 /// The header in which callers say who they are.
 const TENANT: HeaderName = HeaderName::from_static("x-sablebay-tenant");
@@ -25,9 +25,9 @@
 /// The pause between two attempts of a request that ends back ends.
 const FATAL_PAUSE: Duration = Duration::from_millis(170);
 /// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_millis(1_500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long it waits beyond that before it leaves.
-const SLACK: Duration = Duration::from_millis(500);
+const CALL_TIMEOUT_SLACK: Duration = Duration::from_millis(500);
 
 /// Running callers.
 pub struct Load {
@@ -48,17 +48,17 @@
     let stopping = Arc::new(AtomicBool::new(false));
     let numbers = Arc::new(AtomicU64::new(0));
     let mut tasks = JoinSet::new();
-    for way in deployment.ways_in() {
+    for caller in deployment.callers() {
         for _ in 0..CALLERS {
-            tasks.spawn(call_on(way, checker.clone(), numbers.clone(), stopping.clone()));
+            tasks.spawn(run_caller(caller, checker.clone(), numbers.clone(), stopping.clone()));
         }
     }
-    tasks.spawn(call_fatally(deployment.ways_in(), checker, stopping.clone()));
+    tasks.spawn(run_fatal_caller(deployment.callers(), checker, stopping.clone()));
     Load { stopping, tasks }
 }
 
-async fn call_on(
-    way: CallerStandIn,
+async fn run_caller(
+    caller: CallerStandIn,
     checker: Arc<Checker>,
     numbers: Arc<AtomicU64>,
     stopping: Arc<AtomicBool>,
@@ -68,11 +68,11 @@
         let id = format!("r{number}");
         let key = Some(key_of(number / PATHS));
         match number % PATHS {
-            0 | 1 => send(&way, &checker, &id, "/all/1", Method::GET, key).await,
-            2 => send(&way, &checker, &id, "/one/1", Method::GET, key).await,
-            3 => send(&way, &checker, &id, HARMLESS_PATH, Method::GET, key).await,
-            4 => send(&way, &checker, &id, PUBLIC_PATH, Method::GET, None).await,
-            _ => send(&way, &checker, &id, "/once/1", Method::POST, key).await,
+            0 | 1 => send(&caller, &checker, &id, "/all/1", Method::GET, key).await,
+            2 => send(&caller, &checker, &id, "/one/1", Method::GET, key).await,
+            3 => send(&caller, &checker, &id, HARMLESS_PATH, Method::GET, key).await,
+            4 => send(&caller, &checker, &id, PUBLIC_PATH, Method::GET, None).await,
+            _ => send(&caller, &checker, &id, "/once/1", Method::POST, key).await,
         }
         tokio::time::sleep(PAUSE).await;
     }
@@ -81,30 +81,30 @@
 /// The key that a caller shows: mostly one that is good.
 fn key_of(number: u64) -> &'static str {
     match number % 6 {
-        0 | 1 => PASSING_KEY,
+        0 | 1 => ROTATING_KEY,
         2 => UNKNOWN_KEY,
         _ => STEADY_KEY,
     }
 }
 
 /// Sends a request that ends back ends, to one node after the other. What becomes of it shows at the back ends.
-async fn call_fatally(ways: Vec<CallerStandIn>, checker: Arc<Checker>, stopping: Arc<AtomicBool>) {
+async fn run_fatal_caller(callers: Vec<CallerStandIn>, checker: Arc<Checker>, stopping: Arc<AtomicBool>) {
     let mut attempt = 0;
     while !stopping.load(Ordering::Acquire) {
         let call = CallerCall {
-            patience: PATIENCE,
+            patience: CALL_TIMEOUT,
             ..CallerCall::get(HOST, FATAL_PATH, &format!("fatal-{attempt}"))
         };
-        let call = checker.shows(call, Some(STEADY_KEY));
+        let call = checker.with_key(call, Some(STEADY_KEY));
         // Nothing is promised of its answer.
-        let _ = tokio::time::timeout(PATIENCE, ways[attempt % ways.len()].call(&call)).await;
+        let _ = tokio::time::timeout(CALL_TIMEOUT, callers[attempt % callers.len()].call(&call)).await;
         attempt += 1;
         tokio::time::sleep(FATAL_PAUSE).await;
     }
 }
 
 async fn send(
-    way: &CallerStandIn,
+    caller: &CallerStandIn,
     checker: &Checker,
     id: &str,
     path: &str,
@@ -113,11 +113,11 @@
 ) {
     let once = method == Method::POST;
     let body = if once { b"an order".to_vec() } else { Vec::new() };
-    let call = CallerCall { method, body, patience: PATIENCE, ..CallerCall::get(HOST, path, id) };
+    let call = CallerCall { method, body, patience: CALL_TIMEOUT, ..CallerCall::get(HOST, path, id) };
     let call = call.with_header(TENANT, HeaderValue::from_static(FORGED_TENANT));
-    let call = checker.shows(call, key);
+    let call = checker.with_key(call, key);
     checker.sent(id, once);
-    match tokio::time::timeout(PATIENCE + SLACK, way.call(&call)).await {
+    match tokio::time::timeout(CALL_TIMEOUT + CALL_TIMEOUT_SLACK, caller.call(&call)).await {
         Ok(Ok(answer)) => checker.answered(id, path.starts_with("/all/"), &answer),
         Ok(Err(_)) | Err(_) => checker.unanswered(),
     }
--- a/crates/sablebay-bench/src/soak/operations.rs
+++ b/crates/sablebay-bench/src/soak/operations.rs
@@ -16,13 +16,13 @@
 
 /// How long a configuration may take to be in force, and a leaving back end or an evacuated zone may get new
 /// work.
-const BOUND: Duration = Duration::from_secs(3);
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(3);
 /// What the soak's own machine may add to that.
 const MACHINE_SLACK: Duration = Duration::from_secs(1);
 /// How long it is watched afterwards.
-const WATCHED: Duration = Duration::from_millis(1_500);
+const OBSERVATION_PERIOD: Duration = Duration::from_millis(1_500);
 /// How often a node is asked for its version.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Requests in flight at a planned stop.
 const IN_FLIGHT: u64 = 6;
 /// How long these take.
@@ -54,15 +54,15 @@
 }
 
 /// Whether a node serves the route that only this version has.
-async fn shows(deployment: &SoakDeployment, node: usize, version: u64, number: u64) -> bool {
-    let (way, life) = deployment.way_in(node);
-    let before = deployment.checker.highest_seen(node, life);
+async fn serves_version(deployment: &SoakDeployment, node: usize, version: u64, number: u64) -> bool {
+    let (caller, incarnation) = deployment.caller_for(node);
+    let before = deployment.checker.highest_seen(node, incarnation);
     let id = format!("m{version}-{node}-{number}");
     let call = CallerCall::get(HOST, &marker_path(version), &id);
-    let answer = way.call(&deployment.checker.shows(call, Some(STEADY_KEY))).await;
+    let answer = caller.call(&deployment.checker.with_key(call, Some(STEADY_KEY))).await;
     let serves = answer.is_ok_and(|answer| answer.status.is_success());
     if serves {
-        deployment.checker.version_seen(node, life, version, before);
+        deployment.checker.version_seen(node, incarnation, version, before);
     }
     serves
 }
@@ -73,31 +73,31 @@
     let accepted = Instant::now();
     let mut number = 0;
     for node in 0..NODES {
-        while !shows(deployment, node, version, number).await {
+        while !serves_version(deployment, node, version, number).await {
             number += 1;
-            if accepted.elapsed() > BOUND + MACHINE_SLACK {
+            if accepted.elapsed() > PROPAGATION_LIMIT + MACHINE_SLACK {
                 let seen = format!(
                     "version {version} is not in force at node {node} after {:?}",
                     accepted.elapsed()
                 );
-                checker.violated(Promise::Configuration, seen);
+                checker.report_violation(Promise::Configuration, seen);
                 return Ok(());
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
     let watched = Instant::now();
-    while watched.elapsed() < WATCHED {
+    while watched.elapsed() < OBSERVATION_PERIOD {
         for node in 0..NODES {
             number += 1;
-            if shows(deployment, node, version - 1, number).await {
-                checker.violated(
+            if serves_version(deployment, node, version - 1, number).await {
+                checker.report_violation(
                     Promise::Configuration,
                     format!("node {node} went back to version {}", version - 1),
                 );
             }
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
@@ -108,13 +108,13 @@
     shard: u8,
 ) -> Result<(), BenchError> {
     let leaving = deployment.drain_leaf(shard).await?;
-    tokio::time::sleep(BOUND + MACHINE_SLACK).await;
+    tokio::time::sleep(PROPAGATION_LIMIT + MACHINE_SLACK).await;
     let before = leaving.arrivals();
-    tokio::time::sleep(WATCHED).await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
     let after = leaving.arrivals();
     if after > before {
         let seen = format!("back end {} got {} requests after it had left", leaving.id(), after - before);
-        checker.violated(Promise::Leaving, seen);
+        checker.report_violation(Promise::Leaving, seen);
     }
     deployment.retire(leaving);
     Ok(())
@@ -123,15 +123,15 @@
 async fn watch_evacuation(deployment: &SoakDeployment, checker: &Checker) -> Result<(), BenchError> {
     let zone = ZONES[0];
     deployment.evacuate(zone);
-    tokio::time::sleep(BOUND + MACHINE_SLACK).await;
+    tokio::time::sleep(PROPAGATION_LIMIT + MACHINE_SLACK).await;
     let before = deployment.arrivals_in(zone);
-    tokio::time::sleep(WATCHED).await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
     let after = deployment.arrivals_in(zone);
     if after > before {
         let seen = format!("back ends of {zone} got {} requests after it was evacuated", after - before);
-        checker.violated(Promise::Evacuation, seen);
+        checker.report_violation(Promise::Evacuation, seen);
     }
-    deployment.take_back(zone);
+    deployment.lift_evacuation(zone);
     Ok(())
 }
 
@@ -141,18 +141,18 @@
     checker: &Checker,
     node: usize,
 ) -> Result<(), BenchError> {
-    let (way, life) = deployment.way_in(node);
+    let (caller, incarnation) = deployment.caller_for(node);
     deployment.cut_off(node, true);
     deployment.publish_guest(false);
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut number = 0;
-    while begun.elapsed() < Duration::from_millis(REVOCATION_LIMIT_MS) + WATCHED {
-        let id = format!("guest{node}-{life}-{}-{number}", deployment.version());
-        let call = checker.shows(CallerCall::get(HOST, "/one/1", &id), Some(GUEST_KEY));
+    while started.elapsed() < Duration::from_millis(REVOCATION_LIMIT_MS) + OBSERVATION_PERIOD {
+        let id = format!("guest{node}-{incarnation}-{}-{number}", deployment.version());
+        let call = checker.with_key(CallerCall::get(HOST, "/one/1", &id), Some(GUEST_KEY));
         // Nothing is promised of its answer.
-        let _ = tokio::time::timeout(BOUND, way.call(&call)).await;
+        let _ = tokio::time::timeout(PROPAGATION_LIMIT, caller.call(&call)).await;
         number += 1;
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     deployment.cut_off(node, false);
     deployment.publish_guest(true);
@@ -165,28 +165,29 @@
     node: usize,
 ) -> Result<(), BenchError> {
     deployment.slow_singles(Some(WORK));
-    let (way, life) = deployment.way_in(node);
-    let ids: Vec<String> = (0..IN_FLIGHT).map(|number| format!("stop{node}-{life}-{number}")).collect();
+    let (caller, incarnation) = deployment.caller_for(node);
+    let ids: Vec<String> =
+        (0..IN_FLIGHT).map(|number| format!("stop{node}-{incarnation}-{number}")).collect();
     let mut calls = JoinSet::new();
     for id in &ids {
         checker.sent(id, false);
-        let call = checker.shows(CallerCall::get(HOST, "/one/1", id), Some(STEADY_KEY));
-        calls.spawn(async move { (call.id.clone(), way.call(&call).await) });
+        let call = checker.with_key(CallerCall::get(HOST, "/one/1", id), Some(STEADY_KEY));
+        calls.spawn(async move { (call.id.clone(), caller.call(&call).await) });
     }
-    let begun = Instant::now();
-    while !ids.iter().all(|id| deployment.runs_of(id) > 0) && begun.elapsed() < WORK / 2 {
-        tokio::time::sleep(LOOK / 5).await;
+    let started = Instant::now();
+    while !ids.iter().all(|id| deployment.runs_of(id) > 0) && started.elapsed() < WORK / 2 {
+        tokio::time::sleep(POLL_INTERVAL / 5).await;
     }
     let ended = deployment.stop_as_planned(node).await?;
     deployment.slow_singles(None);
     if !ended {
-        checker.violated(Promise::PlannedStop, format!("node {node} did not end"));
+        checker.report_violation(Promise::PlannedStop, format!("node {node} did not end"));
     }
     for (id, answer) in calls.join_all().await {
         let id = id.unwrap_or_default();
         match answer {
             Ok(answer) => checker.answered(&id, false, &answer),
-            Err(error) => checker.violated(Promise::PlannedStop, format!("{id} was cut: {error}")),
+            Err(error) => checker.report_violation(Promise::PlannedStop, format!("{id} was cut: {error}")),
         }
     }
     Ok(())
@@ -194,7 +195,7 @@
 
 /// Nodes hear that a back end leaves, that a zone is empty and of a configuration; then the store comes back with a copy of
 /// before, and nobody has written again. Nothing of it may be undone.
-pub async fn watch_return(
+pub async fn watch_store_restore(
     deployment: &mut SoakDeployment,
     checker: &Checker,
     shard: u8,
@@ -205,32 +206,32 @@
     deployment.evacuate(zone);
     deployment.publish();
     let version = deployment.version();
-    tokio::time::sleep(BOUND + MACHINE_SLACK).await;
+    tokio::time::sleep(PROPAGATION_LIMIT + MACHINE_SLACK).await;
     let before = (leaving.arrivals(), deployment.arrivals_in(zone));
-    deployment.come_back();
+    deployment.restore_store();
     let returned = Instant::now();
     let mut number = 0;
-    while returned.elapsed() < WATCHED {
+    while returned.elapsed() < OBSERVATION_PERIOD {
         for node in 0..NODES {
             number += 1;
-            if shows(deployment, node, version - 1, number).await {
+            if serves_version(deployment, node, version - 1, number).await {
                 let seen = format!("node {node} went back to version {} with the store", version - 1);
-                checker.violated(Promise::Configuration, seen);
+                checker.report_violation(Promise::Configuration, seen);
             }
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     let after = (leaving.arrivals(), deployment.arrivals_in(zone));
     if after.0 > before.0 {
         let seen = format!("{} got {} requests when the store came back", leaving.id(), after.0 - before.0);
-        checker.violated(Promise::Leaving, seen);
+        checker.report_violation(Promise::Leaving, seen);
     }
     if after.1 > before.1 {
         let seen = format!("{zone} got {} requests when the store came back", after.1 - before.1);
-        checker.violated(Promise::Evacuation, seen);
+        checker.report_violation(Promise::Evacuation, seen);
     }
     deployment.write_all_again();
-    deployment.take_back(zone);
+    deployment.lift_evacuation(zone);
     deployment.retire(leaving);
     Ok(())
 }
--- a/crates/sablebay-bench/src/soak/schedule.rs
+++ b/crates/sablebay-bench/src/soak/schedule.rs
@@ -7,7 +7,7 @@
 use sablebay_platform_standin::{LeafBehaviour, StoreMode};
 use sablebay_standin::Faults;
 
-use super::deployment::{LEAVES, NODES, SoakDeployment, Way};
+use super::deployment::{LEAVES, Link, NODES, SoakDeployment};
 use super::routes::SHARDS;
 use crate::error::BenchError;
 
@@ -21,17 +21,17 @@
     /// A process is stopped as planned, and started again after a time.
     Terminate(usize, Duration),
     /// A way between two parts is disturbed for a time.
-    Disturb(Way, Faults, Duration),
+    Disturb(Link, Faults, Duration),
     /// Every connection on a way is reset.
-    Reset(Way),
+    Reset(Link),
     /// The store behaves oddly for a time.
     Store(StoreMode, Duration),
     /// The store forgets its history.
     ForgetHistory,
     /// The store keeps a copy of what it holds.
-    KeepCopy,
+    BackUpStore,
     /// The store is away for a time, and comes back with the copy; its writers write again one by one.
-    Return(Duration),
+    RestoreStore(Duration),
     /// A back end answers oddly for a time.
     Leaf(usize, LeafBehaviour, Duration),
     /// All back ends of a shard answer oddly for a time; nothing stands for those of the requests to
@@ -51,9 +51,9 @@
 }
 
 /// How long faults go on beginning.
-const STORM: Duration = Duration::from_secs(6);
+const STORM_DURATION: Duration = Duration::from_secs(6);
 /// Bounds of the pause between two faults, in milliseconds.
-const GAP_MS: std::ops::Range<u64> = 100..600;
+const FAULT_INTERVAL_MS: std::ops::Range<u64> = 100..600;
 
 fn milliseconds(random: &mut impl Rng, range: std::ops::Range<u64>) -> Duration {
     Duration::from_millis(random.random_range(range))
@@ -63,13 +63,13 @@
     choices[random.random_range(0..choices.len())].clone()
 }
 
-fn draw_way(random: &mut impl Rng) -> Way {
+fn draw_link(random: &mut impl Rng) -> Link {
     let node = random.random_range(0..NODES);
     match random.random_range(0..4) {
-        0 => Way::Callers(node),
-        1 => Way::Store(node),
-        2 => Way::Peers(node),
-        _ => Way::Leaf(random.random_range(0..LEAVES)),
+        0 => Link::Callers(node),
+        1 => Link::Store(node),
+        2 => Link::Peers(node),
+        _ => Link::Leaf(random.random_range(0..LEAVES)),
     }
 }
 
@@ -124,8 +124,10 @@
         0 => Fault::Pause(node, milliseconds(random, 100..1_500)),
         1 => Fault::Kill(node, milliseconds(random, 50..800)),
         2 => Fault::Terminate(node, milliseconds(random, 50..400)),
-        3..=5 => Fault::Disturb(draw_way(random), draw_disturbance(random), milliseconds(random, 200..2_500)),
-        6 => Fault::Reset(draw_way(random)),
+        3..=5 => {
+            Fault::Disturb(draw_link(random), draw_disturbance(random), milliseconds(random, 200..2_500))
+        }
+        6 => Fault::Reset(draw_link(random)),
         7..=9 => Fault::Store(draw_store_mode(random), milliseconds(random, 200..3_000)),
         10 => Fault::ForgetHistory,
         11..=12 => {
@@ -147,22 +149,22 @@
     pub fn draw(random: &mut impl Rng) -> Self {
         let mut faults = Vec::new();
         let mut at = Duration::ZERO;
-        while at < STORM {
+        while at < STORM_DURATION {
             faults.push((at, draw_fault(random)));
-            at += milliseconds(random, GAP_MS);
+            at += milliseconds(random, FAULT_INTERVAL_MS);
         }
         Self { faults }
     }
 
     /// Has the store come back from an older copy once or twice in the storm.
-    pub fn with_returns(mut self, random: &mut impl Rng) -> Self {
-        let half = (STORM / 2).as_millis() as u64;
-        self.faults.push((Duration::ZERO, Fault::KeepCopy));
+    pub fn with_store_restores(mut self, random: &mut impl Rng) -> Self {
+        let half = (STORM_DURATION / 2).as_millis() as u64;
+        self.faults.push((Duration::ZERO, Fault::BackUpStore));
         let first = milliseconds(random, 1_000..half);
-        self.faults.push((first, Fault::Return(milliseconds(random, 50..1_500))));
+        self.faults.push((first, Fault::RestoreStore(milliseconds(random, 50..1_500))));
         if random.random_bool(0.5) {
             let second = milliseconds(random, half..2 * half);
-            self.faults.push((second, Fault::Return(milliseconds(random, 50..1_500))));
+            self.faults.push((second, Fault::RestoreStore(milliseconds(random, 50..1_500))));
         }
         self.faults.sort_by_key(|(at, _)| *at);
         self
@@ -171,10 +173,10 @@
 
 /// Plays a storm; what it disturbs heals by [`SoakDeployment::heal`] at the latest.
 pub async fn play(storm: &Storm, deployment: &mut SoakDeployment) -> Result<(), BenchError> {
-    let begun = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     for (at, fault) in &storm.faults {
-        tokio::time::sleep_until(begun + *at).await;
-        deployment.end_what_is_over().await?;
+        tokio::time::sleep_until(started + *at).await;
+        deployment.run_due_recoveries().await?;
         deployment.inject(fault).await?;
     }
     Ok(())
--- a/crates/sablebay-bench/src/soak/tenants_tests.rs
+++ b/crates/sablebay-bench/src/soak/tenants_tests.rs
@@ -8,7 +8,7 @@
 use sablebay_platform_standin::{LeafCall, TenantSpec};
 
 use super::checker::Promise;
-use super::tenants::{FORGED_TENANT, KeyHistory, REVOCATION_LIMIT_MS, ShownKey, judge_quotas};
+use super::tenants::{FORGED_TENANT, KeyHistory, PresentedKey, REVOCATION_LIMIT_MS, check_quotas};
 
 const KEY: &str = "key-1";
 
@@ -20,8 +20,8 @@
 fn history(start: Instant) -> KeyHistory {
     let mut history = KeyHistory::default();
     history.published(&[TenantSpec::new("a", &[KEY]), TenantSpec::new("b", &[])], start, start);
-    let passed = start + seconds(10.0);
-    history.published(&[TenantSpec::new("a", &[]), TenantSpec::new("b", &[KEY])], passed, passed);
+    let rotated = start + seconds(10.0);
+    history.published(&[TenantSpec::new("a", &[]), TenantSpec::new("b", &[KEY])], rotated, rotated);
     history
 }
 
@@ -36,35 +36,35 @@
 }
 
 /// What is noticed of a request that was sent and came to a back end this long after the start.
-fn noticed(key: Option<&'static str>, tenants: &[&str], after_s: f64) -> Option<Promise> {
+fn violated_promise(key: Option<&'static str>, tenants: &[&str], after_s: f64) -> Option<Promise> {
     let start = Instant::now();
     let at = start + seconds(after_s);
-    history(start).judge(&call(tenants, at), &ShownKey { key, at }).map(|(promise, _)| promise)
+    history(start).check(&call(tenants, at), &PresentedKey { key, at }).map(|(promise, _)| promise)
 }
 
 #[test]
 fn a_key_counts_for_whoever_has_it() {
-    assert_eq!(noticed(Some(KEY), &["a"], 5.0), None);
-    assert_eq!(noticed(Some(KEY), &["b"], 11.0), None);
-    assert_eq!(noticed(None, &[], 5.0), None);
-    assert_eq!(noticed(Some(KEY), &["b"], 5.0), Some(Promise::Authentication));
-    assert_eq!(noticed(Some("key-2"), &["a"], 5.0), Some(Promise::Authentication));
-    assert_eq!(noticed(Some(KEY), &["c"], 5.0), Some(Promise::Authentication));
+    assert_eq!(violated_promise(Some(KEY), &["a"], 5.0), None);
+    assert_eq!(violated_promise(Some(KEY), &["b"], 11.0), None);
+    assert_eq!(violated_promise(None, &[], 5.0), None);
+    assert_eq!(violated_promise(Some(KEY), &["b"], 5.0), Some(Promise::Authentication));
+    assert_eq!(violated_promise(Some("key-2"), &["a"], 5.0), Some(Promise::Authentication));
+    assert_eq!(violated_promise(Some(KEY), &["c"], 5.0), Some(Promise::Authentication));
 }
 
 #[test]
 fn a_key_that_was_taken_away_counts_up_to_the_limit() {
     let limit = REVOCATION_LIMIT_MS as f64 / 1e3;
-    assert_eq!(noticed(Some(KEY), &["a"], 10.0 + limit), None);
-    assert_eq!(noticed(Some(KEY), &["a"], 10.3 + limit), Some(Promise::Revocation));
+    assert_eq!(violated_promise(Some(KEY), &["a"], 10.0 + limit), None);
+    assert_eq!(violated_promise(Some(KEY), &["a"], 10.3 + limit), Some(Promise::Revocation));
 }
 
 /// What was sent in time may run later.
 #[test]
 fn the_moment_of_sending_counts() {
     let start = Instant::now();
-    let shown = ShownKey { key: Some(KEY), at: start + seconds(9.0) };
-    assert_eq!(history(start).judge(&call(&["a"], start + seconds(60.0)), &shown), None);
+    let presented = PresentedKey { key: Some(KEY), at: start + seconds(9.0) };
+    assert_eq!(history(start).check(&call(&["a"], start + seconds(60.0)), &presented), None);
 }
 
 #[test]
@@ -76,11 +76,11 @@
         (None, vec!["a"]),
         (None, vec![FORGED_TENANT]),
     ] {
-        assert_eq!(noticed(key, &tenants, 5.0), Some(Promise::Identity), "{key:?} {tenants:?}");
+        assert_eq!(violated_promise(key, &tenants, 5.0), Some(Promise::Identity), "{key:?} {tenants:?}");
     }
     let start = Instant::now();
     let with_key = LeafCall { shows_key: true, ..call(&["a"], start) };
-    let verdict = history(start).judge(&with_key, &ShownKey { key: Some(KEY), at: start });
+    let verdict = history(start).check(&with_key, &PresentedKey { key: Some(KEY), at: start });
     assert_eq!(verdict.map(|(promise, _)| promise), Some(Promise::Identity));
 }
 
@@ -96,13 +96,13 @@
 
 #[test]
 fn quotas_hold_in_each_window() {
-    let shown = HashMap::new();
-    let judged = |tenant, count, per_s| judge_quotas(&requests(tenant, count, per_s), &shown).len();
-    assert_eq!(judged("east", 170, 1_000.0), 0);
-    assert_eq!(judged("east", 171, 1_000.0), 1);
-    assert_eq!(judged("east", 900, 33.0), 0);
-    assert_eq!(judged("east", 900, 36.0), 1);
-    assert_eq!(judged("steady", 6_000, 10_000.0), 0);
+    let presented = HashMap::new();
+    let violations = |tenant, count, per_s| check_quotas(&requests(tenant, count, per_s), &presented).len();
+    assert_eq!(violations("east", 170, 1_000.0), 0);
+    assert_eq!(violations("east", 171, 1_000.0), 1);
+    assert_eq!(violations("east", 900, 33.0), 0);
+    assert_eq!(violations("east", 900, 36.0), 1);
+    assert_eq!(violations("steady", 6_000, 10_000.0), 0);
 }
 
 #[test]
@@ -110,8 +110,8 @@
     let calls = requests("east", 300, 1_000.0);
     let sent_before = |number: usize, call: &LeafCall| {
         let at = call.at - if number % 4 < 2 { seconds(6.0) } else { seconds(0.0) };
-        (call.id.clone(), ShownKey { key: Some(KEY), at })
+        (call.id.clone(), PresentedKey { key: Some(KEY), at })
     };
-    let shown = calls.iter().enumerate().map(|(number, call)| sent_before(number, call)).collect();
-    assert!(judge_quotas(&calls, &shown).is_empty());
+    let presented = calls.iter().enumerate().map(|(number, call)| sent_before(number, call)).collect();
+    assert!(check_quotas(&calls, &presented).is_empty());
 }
--- a/crates/sablebay-standin/src/load.rs
+++ b/crates/sablebay-standin/src/load.rs
@@ -87,7 +87,7 @@
     /// Refusals that said `unknown`.
     pub unknown: u64,
     /// Connections that failed without an answer.
-    pub cut: u64,
+    pub connections_lost: u64,
     /// Latencies of timed answers, in microseconds.
     pub latency_us: Histogram<u64>,
     /// Calls to leaves.
@@ -112,7 +112,7 @@
             full: 0,
             not_run: 0,
             unknown: 0,
-            cut: 0,
+            connections_lost: 0,
             latency_us: Histogram::new_with_bounds(1, 600_000_000, 3).expect("constant bounds are valid"),
             leaf_calls: 0,
             hedges: 0,
@@ -179,7 +179,7 @@
                 self.unknown += 1;
                 self.note(format!("unknown: {reason}"));
             }
-            QueryOutcome::Cut => self.cut += 1,
+            QueryOutcome::ConnectionLost => self.connections_lost += 1,
         }
     }
 
@@ -205,8 +205,8 @@
         let client_of = |node: &SocketAddr| {
             clients.entry(*node).or_insert_with(|| Arc::new(CallerClient::new(*node))).clone()
         };
-        let in_turn = nodes.iter().map(client_of).collect();
-        let query = OneQuery { clients: in_turn, service, outlet, first_node: number };
+        let node_clients = nodes.iter().map(client_of).collect();
+        let query = OneQuery { clients: node_clients, service, outlet, first_node: number };
         running.spawn(query.run(options.clone(), summary.clone(), started, due));
         number += 1;
         let uniform: f64 = random.random_range(f64::EPSILON..1.0);
@@ -232,7 +232,7 @@
         started: Instant,
         due: Instant,
     ) {
-        let mut outcome = QueryOutcome::Cut;
+        let mut outcome = QueryOutcome::ConnectionLost;
         for attempt in 0..options.attempts.max(1) {
             let client = &self.clients[(self.first_node + attempt as usize) % self.clients.len()];
             let deadline = options.deadline_ms;
--- a/crates/sablebay-standin/src/load/check.rs
+++ b/crates/sablebay-standin/src/load/check.rs
@@ -70,10 +70,10 @@
     }
     let coverage = &answer.coverage;
     let missing: u32 = coverage.missing.iter().map(|gap| gap.partitions.len()).sum();
-    let adds_up = coverage.partitions_answered + missing == coverage.partitions_total;
-    let says_the_same = coverage.answered.len() == coverage.partitions_answered;
+    let totals_match = coverage.partitions_answered + missing == coverage.partitions_total;
+    let counts_match = coverage.answered.len() == coverage.partitions_answered;
     let overlaps = coverage.missing.iter().any(|gap| gap.partitions.intersects(&coverage.answered));
-    if !adds_up || !says_the_same || overlaps {
+    if !totals_match || !counts_match || overlaps {
         violations.push(Violation::FalseCoverage);
     }
     let order = SortOrder::Descending;
--- a/crates/sablebay-standin/src/load/client.rs
+++ b/crates/sablebay-standin/src/load/client.rs
@@ -20,7 +20,7 @@
 /// Connections of one client.
 const CONNECTIONS: usize = 4_096;
 /// How long a caller waits at the most.
-const PATIENCE: Duration = Duration::from_secs(60);
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// What came of a query.
 #[derive(Clone, Debug)]
@@ -40,7 +40,7 @@
         reason: Reason,
     },
     /// The connection ended without an answer.
-    Cut,
+    ConnectionLost,
 }
 
 /// What came of an operation.
@@ -68,7 +68,7 @@
     pool: ConnectionPool,
 }
 
-enum Exchanged<T> {
+enum ExchangeOutcome<T> {
     Answer(T),
     Refused(Refusal),
     NotSent,
@@ -81,17 +81,17 @@
         Self { pool: ConnectionPool::new(address, CONNECTIONS) }
     }
 
-    async fn exchange<T: DeserializeOwned>(&self, request: Request<Full<Bytes>>) -> Exchanged<T> {
-        let exchanged = tokio::time::timeout(PATIENCE, self.fetch(request)).await;
-        let (status, body) = match exchanged {
+    async fn exchange<T: DeserializeOwned>(&self, request: Request<Full<Bytes>>) -> ExchangeOutcome<T> {
+        let result = tokio::time::timeout(CALL_TIMEOUT, self.fetch(request)).await;
+        let (status, body) = match result {
             Ok(Ok(fetched)) => fetched,
-            Ok(Err(ExchangeFailure::NotSent)) => return Exchanged::NotSent,
-            Ok(Err(ExchangeFailure::Broken)) | Err(_) => return Exchanged::Broken,
+            Ok(Err(ExchangeFailure::NotSent)) => return ExchangeOutcome::NotSent,
+            Ok(Err(ExchangeFailure::Broken)) | Err(_) => return ExchangeOutcome::Broken,
         };
         if status.is_success() {
-            return serde_json::from_slice(&body).map_or(Exchanged::Broken, Exchanged::Answer);
+            return serde_json::from_slice(&body).map_or(ExchangeOutcome::Broken, ExchangeOutcome::Answer);
         }
-        serde_json::from_slice(&body).map_or(Exchanged::Broken, Exchanged::Refused)
+        serde_json::from_slice(&body).map_or(ExchangeOutcome::Broken, ExchangeOutcome::Refused)
     }
 
     async fn fetch(&self, request: Request<Full<Bytes>>) -> Result<(StatusCode, Bytes), ExchangeFailure> {
@@ -119,13 +119,15 @@
             request.headers_mut().insert(DEADLINE_HEADER, HeaderValue::from(deadline_ms));
         }
         match self.exchange::<QueryAnswer>(request).await {
-            Exchanged::Answer(answer) => QueryOutcome::Answered(check_answer(&answer, outlet, limit, corpus)),
-            Exchanged::Refused(refusal) if refusal.outcome == Outcome::NotRun => {
+            ExchangeOutcome::Answer(answer) => {
+                QueryOutcome::Answered(check_answer(&answer, outlet, limit, corpus))
+            }
+            ExchangeOutcome::Refused(refusal) if refusal.outcome == Outcome::NotRun => {
                 QueryOutcome::NotRun { reason: Some(refusal.reason), retry_after_ms: refusal.retry_after_ms }
             }
-            Exchanged::Refused(refusal) => QueryOutcome::Unknown { reason: refusal.reason },
-            Exchanged::NotSent => QueryOutcome::NotRun { reason: None, retry_after_ms: None },
-            Exchanged::Broken => QueryOutcome::Cut,
+            ExchangeOutcome::Refused(refusal) => QueryOutcome::Unknown { reason: refusal.reason },
+            ExchangeOutcome::NotSent => QueryOutcome::NotRun { reason: None, retry_after_ms: None },
+            ExchangeOutcome::Broken => QueryOutcome::ConnectionLost,
         }
     }
 
@@ -133,7 +135,7 @@
     pub async fn ticket(&self, service: &str) -> Option<String> {
         let request = post(format!("/v1/services/{service}/tickets"), String::new());
         match self.exchange::<TicketAnswer>(request).await {
-            Exchanged::Answer(answer) => Some(answer.ticket),
+            ExchangeOutcome::Answer(answer) => Some(answer.ticket),
             _ => None,
         }
     }
@@ -154,13 +156,13 @@
             request.headers_mut().insert(DEADLINE_HEADER, HeaderValue::from(deadline_ms));
         }
         match self.exchange::<OperationAnswer>(request).await {
-            Exchanged::Answer(answer) => OperationOutcome::Done { ticket: answer.ticket },
-            Exchanged::Refused(refusal) if refusal.outcome == Outcome::NotRun => {
+            ExchangeOutcome::Answer(answer) => OperationOutcome::Done { ticket: answer.ticket },
+            ExchangeOutcome::Refused(refusal) if refusal.outcome == Outcome::NotRun => {
                 OperationOutcome::NotRun { reason: Some(refusal.reason) }
             }
-            Exchanged::Refused(refusal) => OperationOutcome::Unknown { reason: Some(refusal.reason) },
-            Exchanged::NotSent => OperationOutcome::NotRun { reason: None },
-            Exchanged::Broken => OperationOutcome::Unknown { reason: None },
+            ExchangeOutcome::Refused(refusal) => OperationOutcome::Unknown { reason: Some(refusal.reason) },
+            ExchangeOutcome::NotSent => OperationOutcome::NotRun { reason: None },
+            ExchangeOutcome::Broken => OperationOutcome::Unknown { reason: None },
         }
     }
 
@@ -169,7 +171,7 @@
         let mut request = Request::new(Full::default());
         *request.uri_mut() = format!("/v1/tickets/{ticket}").parse().ok()?;
         match self.exchange::<TicketStatusAnswer>(request).await {
-            Exchanged::Answer(answer) => Some(answer),
+            ExchangeOutcome::Answer(answer) => Some(answer),
             _ => None,
         }
     }
@@ -178,7 +180,7 @@
     pub async fn send(&self, method: Method, path: &str, body: &str) -> Option<(StatusCode, Bytes)> {
         let mut request = post(path.to_string(), body.to_string());
         *request.method_mut() = method;
-        tokio::time::timeout(PATIENCE, self.fetch(request)).await.ok()?.ok()
+        tokio::time::timeout(CALL_TIMEOUT, self.fetch(request)).await.ok()?.ok()
     }
 }
 
--- a/crates/sablebay-standin/src/platform.rs
+++ b/crates/sablebay-standin/src/platform.rs
@@ -83,17 +83,17 @@
     }
 
     fn serve(&self) -> Option<Arc<str>> {
-        const TURN: u64 = 10;
+        const FLAP_READS: u64 = 10;
         let read = self.reads.fetch_add(1, Ordering::Relaxed);
         let documents = self.documents.lock();
         let newest = documents.last().cloned();
-        let before = documents.len().checked_sub(2).map(|position| documents[position].clone());
+        let previous = documents.len().checked_sub(2).map(|position| documents[position].clone());
         match *self.mode.lock() {
             PlatformMode::Newest => newest,
             PlatformMode::Oldest => documents.first().cloned(),
-            PlatformMode::Split if read % 2 == 1 => before.or(newest),
+            PlatformMode::Split if read % 2 == 1 => previous.or(newest),
             PlatformMode::Split => newest,
-            PlatformMode::Flapping if (read / TURN) % 2 == 1 => documents.first().cloned(),
+            PlatformMode::Flapping if (read / FLAP_READS) % 2 == 1 => documents.first().cloned(),
             PlatformMode::Flapping => newest,
             PlatformMode::Down => None,
         }
--- a/crates/sablebay-standin/src/proxy.rs
+++ b/crates/sablebay-standin/src/proxy.rs
@@ -33,9 +33,9 @@
     pub jitter: Duration,
     /// New connections are closed at once.
     pub refuse: bool,
-    /// Data is taken and not passed on, forward.
+    /// Data is taken and not forwarded, forward.
     pub black_hole_forward: bool,
-    /// Data is taken and not passed on, back.
+    /// Data is taken and not forwarded, back.
     pub black_hole_back: bool,
     /// Connections are reset when this many bytes have gone back.
     pub reset_after: Option<u64>,
@@ -62,7 +62,7 @@
 
 const BUFFER_BYTES: usize = 16 * 1024;
 /// How often a held-back direction looks whether it may go on.
-const HOLD_INTERVAL: Duration = Duration::from_millis(5);
+const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Proxy {
     /// Starts a proxy to `target`.
@@ -160,12 +160,12 @@
     direction: Direction,
     faults: Arc<Mutex<Faults>>,
     random: SmallRng,
-    passed: u64,
+    forwarded: u64,
 }
 
 impl Pump {
     fn new(direction: Direction, faults: Arc<Mutex<Faults>>, seed: u64) -> Self {
-        Self { direction, faults, random: SmallRng::seed_from_u64(seed), passed: 0 }
+        Self { direction, faults, random: SmallRng::seed_from_u64(seed), forwarded: 0 }
     }
 
     async fn run(mut self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf) {
@@ -181,7 +181,7 @@
             if self.must_reset() || to.write_all(&buffer[..count]).await.is_err() {
                 return;
             }
-            self.passed += count as u64;
+            self.forwarded += count as u64;
         }
     }
 
@@ -197,7 +197,7 @@
     /// as packets that are sent again do.
     async fn hold(&self) {
         while self.is_held() {
-            tokio::time::sleep(HOLD_INTERVAL).await;
+            tokio::time::sleep(HOLD_POLL_INTERVAL).await;
         }
     }
 
@@ -217,6 +217,6 @@
 
     fn must_reset(&self) -> bool {
         let limit = self.faults.lock().reset_after;
-        self.direction == Direction::Back && limit.is_some_and(|limit| self.passed >= limit)
+        self.direction == Direction::Back && limit.is_some_and(|limit| self.forwarded >= limit)
     }
 }
--- a/crates/sablebay-standin/src/service_time.rs
+++ b/crates/sablebay-standin/src/service_time.rs
@@ -13,7 +13,7 @@
     /// The standard deviation of the logarithm: 0.3 is narrow, 1 has a heavy tail.
     pub sigma: f64,
     /// The share of calls that are stragglers.
-    pub straggler_share: f64,
+    pub straggler_fraction: f64,
     /// How many times longer those take.
     pub straggler_factor: f64,
 }
@@ -21,7 +21,7 @@
 impl ServiceTime {
     /// No time at all.
     pub const NONE: ServiceTime =
-        ServiceTime { median_us: 0.0, sigma: 0.0, straggler_share: 0.0, straggler_factor: 1.0 };
+        ServiceTime { median_us: 0.0, sigma: 0.0, straggler_fraction: 0.0, straggler_factor: 1.0 };
 
     /// A log-normal distribution without stragglers.
     pub fn log_normal(median_us: f64, sigma: f64) -> Self {
@@ -37,7 +37,7 @@
         let angle: f64 = random.random_range(0.0..TAU);
         let normal = (-2.0 * uniform.ln()).sqrt() * angle.cos();
         let mut micros = self.median_us * (self.sigma * normal).exp();
-        if self.straggler_share > 0.0 && random.random_bool(self.straggler_share) {
+        if self.straggler_fraction > 0.0 && random.random_bool(self.straggler_fraction) {
             micros *= self.straggler_factor;
         }
         Duration::from_micros(micros as u64)
@@ -46,6 +46,6 @@
     /// The mean, in microseconds.
     pub fn mean_us(&self) -> f64 {
         let mean = self.median_us * (self.sigma * self.sigma / 2.0).exp();
-        mean * (1.0 + self.straggler_share * (self.straggler_factor - 1.0))
+        mean * (1.0 + self.straggler_fraction * (self.straggler_factor - 1.0))
     }
 }
--- a/crates/sablebay/tests/leaving_back_ends.rs
+++ b/crates/sablebay/tests/leaving_back_ends.rs
@@ -68,7 +68,7 @@
     };
     let (load, ()) = tokio::join!(load(&cluster, 20.0, 1.5, 4), draining);
     assert_eq!(load.full, load.queries);
-    assert_eq!(load.cut, 0);
+    assert_eq!(load.connections_lost, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/sablebay/tests/own_answer.rs
+++ b/crates/sablebay/tests/own_answer.rs
@@ -50,7 +50,7 @@
     let load = sablebay_standin::run_load(options).await;
     assert_eq!(load.violations, []);
     assert!(load.answered > 0);
-    assert!(load.cut > 0, "the proxy reset nothing: the test has lost its fault");
+    assert!(load.connections_lost > 0, "the proxy reset nothing: the test has lost its fault");
 }
 
 /// A node that was frozen answers late; the caller's next request on the same connection still
--- a/crates/sablebay/tests/planned_stop.rs
+++ b/crates/sablebay/tests/planned_stop.rs
@@ -39,7 +39,7 @@
 async fn of_one_node_under_load() {
     let mut cluster = start(small_deployment("latency", 50_000.0)).await;
     let load = stop_under_load(&mut cluster, 1).await;
-    assert_eq!((load.cut, load.unknown, load.not_run), (0, 0, 0), "{load:?}");
+    assert_eq!((load.connections_lost, load.unknown, load.not_run), (0, 0, 0), "{load:?}");
     assert_eq!(load.violations, []);
 }
 
@@ -49,7 +49,7 @@
     cluster.platform.state.set_mode(sablebay_standin::PlatformMode::Down);
     cluster.leaves.leaves.remove("desk-leaf-1");
     let load = stop_under_load(&mut cluster, 2).await;
-    assert_eq!((load.cut, load.unknown, load.not_run), (0, 0, 0), "{load:?}");
+    assert_eq!((load.connections_lost, load.unknown, load.not_run), (0, 0, 0), "{load:?}");
 }
 
 /// Two nodes that aggregate for each other are stopped at the same moment.
@@ -70,7 +70,7 @@
         nodes.lock().drain(..2);
     };
     let (load, ()) = tokio::join!(run_load(options), stopping);
-    assert_eq!((load.cut, load.unknown, load.not_run), (0, 0, 0), "{load:?}");
+    assert_eq!((load.connections_lost, load.unknown, load.not_run), (0, 0, 0), "{load:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
