--- a/crates/sablebay-bench/src/cluster.rs
+++ b/crates/sablebay-bench/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A platform, leaves and nodes in this process, over real TCP.
+//! An in-process cluster of platform, leaves and nodes over TCP.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,16 +13,16 @@
 
 use crate::error::BenchError;
 
-/// How a cluster is set up.
+/// Configuration of a cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterOptions {
-    /// How many nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Mechanisms of the nodes that are on.
+    /// Enabled mechanisms of the nodes.
     pub mechanisms: NodeMechanisms,
-    /// Seed of the leaves' draws.
+    /// Seed of the leaves.
     pub seed: u64,
-    /// Further lines of the nodes' settings.
+    /// Additional lines of the nodes' settings.
     pub settings: String,
 }
 
@@ -32,28 +32,24 @@
     }
 }
 
-/// How long a cluster may take to be ready.
+/// Timeout for the cluster to become ready.
 const READY_SECONDS: u64 = 30;
 const ZONES: [&str; 4] = ["zone-a", "zone-b", "zone-c", "zone-d"];
 
-/// A cluster that runs.
+/// A running cluster.
 pub struct Cluster {
-    /// What is deployed.
     pub deployment: Deployment,
-    /// The platform.
     pub platform: Platform,
-    /// The leaves.
     pub leaves: RunningLeaves,
-    /// The nodes.
     pub nodes: Vec<Node>,
     revision: u64,
 }
 
 impl Cluster {
-    /// Starts everything, and waits until every node is ready.
+    /// Starts the cluster and waits until every node is ready.
     ///
     /// # Errors
-    /// When something does not start.
+    /// Fails if a part does not start.
     pub async fn start(deployment: Deployment, options: &ClusterOptions) -> Result<Self, BenchError> {
         let leaves = deployment.start_leaves(options.seed).await?;
         let platform = Platform::start(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
@@ -89,10 +85,10 @@
         .await
     }
 
-    /// Publishes the deployment as it is now, under the next revision.
+    /// Publishes the current deployment with the next revision.
     ///
     /// # Errors
-    /// When the platform does not take it.
+    /// Fails if the platform rejects the document.
     pub fn publish(&mut self) -> Result<u64, BenchError> {
         self.revision += 1;
         let document = self.deployment.document(self.revision, &self.leaves.addresses());
@@ -100,12 +96,12 @@
         Ok(self.revision)
     }
 
-    /// Where callers connect, on each node.
+    /// Returns the caller address of each node.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.nodes.iter().map(|node| node.addresses.caller_address).collect()
     }
 
-    /// A load over all services of the deployment, equally weighted.
+    /// Returns the options of a load over all services with equal weights.
     pub fn load(&self, rate: f64, duration: Duration, seed: u64) -> LoadOptions {
         LoadOptions {
             nodes: Arc::new(Mutex::new(self.caller_addresses())),
@@ -121,7 +117,7 @@
         }
     }
 
-    /// Stops every node as planned.
+    /// Performs a planned stop of every node.
     pub async fn stop(self) {
         for node in self.nodes {
             node.stop().await;
@@ -129,8 +125,8 @@
     }
 }
 
-/// A fleet name of its own for each cluster: clusters of tests that run side by side come to
-/// listen at ports that were another's a moment ago, and must not take its nodes for their own.
+/// Returns a unique fleet name. Parallel tests may reuse each other's ports, and a node must not
+/// join another test's fleet.
 pub fn unique_fleet_name() -> String {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     format!("fleet-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed))
@@ -139,7 +135,7 @@
 /// Waits until a condition holds.
 ///
 /// # Errors
-/// When it does not within `seconds`.
+/// Fails if the condition does not hold within `seconds`.
 pub async fn wait_for(
     what: &str,
     seconds: u64,
--- a/crates/sablebay-bench/src/processes.rs
+++ b/crates/sablebay-bench/src/processes.rs
@@ -1,4 +1,4 @@
-//! Nodes as processes of their own, which can be paused and killed.
+//! Nodes as separate processes that can be paused and killed.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -16,12 +16,15 @@
 use crate::cluster::unique_fleet_name;
 use crate::error::BenchError;
 
-/// One of the project's binaries, beside the one that runs (or a running test).
+/// Finds a binary of the project next to the running executable or test.
 fn sibling_binary(name: &str) -> Result<PathBuf, BenchError> {
     let own = std::env::current_exe()?;
     let mut candidates = own.ancestors().skip(1).take(2).map(|folder| folder.join(name));
-    let missing =
-        || std::io::Error::other(format!("the {name} binary is not beside this one; build it first"));
+    let missing = || {
+        std::io::Error::other(format!(
+            "the {name} binary is not next to the running executable; build it first"
+        ))
+    };
     candidates.find(|path| path.is_file()).ok_or_else(|| missing().into())
 }
 
@@ -32,23 +35,20 @@
     peer_address: SocketAddr,
 }
 
-/// How nodes are started.
+/// The command that starts a node.
 #[derive(Clone, Debug)]
 pub enum NodeCommand {
-    /// `sablebay serve`, from this binary.
+    /// `sablebay serve` from the given binary.
     Product(PathBuf),
-    /// The same with one mechanism off, from the running binary.
-    Broken {
-        /// The mechanism.
-        mechanism: String,
-    },
+    /// `sablebay-bench node` with one mechanism disabled.
+    Broken { mechanism: String },
 }
 
 impl NodeCommand {
-    /// The product, or with a mechanism off.
+    /// Selects the product binary, or the bench binary if a mechanism is to be disabled.
     ///
     /// # Errors
-    /// When the product's binary is not there.
+    /// Fails if the product binary does not exist.
     pub fn with_break(broken: Option<&str>) -> Result<Self, BenchError> {
         match broken {
             None => Ok(NodeCommand::Product(sibling_binary("sablebay")?)),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The command that starts a node.
+    /// Builds the command that starts a node.
     pub(crate) fn command(&self) -> Result<Command, BenchError> {
         match self {
             NodeCommand::Product(binary) => {
@@ -73,24 +73,23 @@
     }
 }
 
-/// One node as a process. Killed when dropped.
+/// A node process; killed when dropped.
 pub struct NodeProcess {
     process: ChildProcess,
-    /// The node's name.
     pub name: String,
-    /// Where callers connect.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Where operators connect.
+    /// Address of the admin interface.
     pub admin_address: SocketAddr,
-    /// Where peers connect.
+    /// Address for peers.
     pub peer_address: SocketAddr,
 }
 
 impl NodeProcess {
-    /// Starts a node with these flags, and waits until it listens.
+    /// Starts a node with these flags and waits until it listens.
     ///
     /// # Errors
-    /// When it does not start.
+    /// Fails if the node does not start.
     pub fn spawn(command: &NodeCommand, name: &str, flags: &[String]) -> Result<Self, BenchError> {
         let mut child = command
             .command()?
@@ -112,7 +111,7 @@
         })
     }
 
-    /// A caller's client of it.
+    /// Returns a client of the node's caller interface.
     pub fn client(&self) -> CallerClient {
         CallerClient::new(self.caller_address)
     }
@@ -132,36 +131,32 @@
     }
 }
 
-/// Nodes as processes; platform and leaves in this one. A proxy stands before each node's peer
-/// listener, so that nodes can be cut off from each other.
+/// A cluster of node processes, with platform and leaves in this process. Each node's peer
+/// listener is behind a proxy, so that nodes can be isolated from each other.
 pub struct ProcessCluster {
-    /// What is deployed.
     pub deployment: Deployment,
-    /// The platform.
     pub platform: Platform,
-    /// The leaves.
     pub leaves: RunningLeaves,
-    /// The nodes.
     pub nodes: Vec<NodeProcess>,
-    /// The proxy before each node's peer listener, in the same order.
+    /// The proxies of the nodes' peer listeners, in the same order.
     pub proxies: Vec<Proxy>,
     command: NodeCommand,
     started: usize,
     fleet: String,
     extra: Vec<String>,
-    /// The revision last published.
+    /// The last published revision.
     pub revision: u64,
 }
 
-/// How long nodes may take to be ready.
+/// Timeout for the nodes to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl ProcessCluster {
-    /// Starts everything, and waits until every node is ready.
+    /// Starts the cluster and waits until every node is ready.
     ///
     /// # Errors
-    /// When something does not start.
+    /// Fails if a part does not start.
     pub async fn start(
         command: NodeCommand,
         deployment: Deployment,
@@ -190,15 +185,15 @@
         Ok(cluster)
     }
 
-    /// Starts one more node, which joins through those there are.
+    /// Starts a node that joins through the existing ones. Returns its position.
     ///
     /// # Errors
-    /// When it does not start.
+    /// Fails if the node does not start.
     pub async fn add_node(&mut self) -> Result<usize, BenchError> {
         const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
         let number = self.started;
         self.started += 1;
-        // The proxy has to be there before the node, which tells its peers the proxy's address.
+        // The proxy starts first because the node advertises its address to peers.
         let proxy = Proxy::start_without_target(number as u64).await?;
         let mut flags: Vec<String> = vec![
             "--zone".into(),
@@ -226,16 +221,16 @@
         Ok(self.nodes.len() - 1)
     }
 
-    /// Takes a node out of the lists, with the proxy before it: as long as the node runs, its
-    /// peers reach it through that.
+    /// Removes a node and its proxy from the lists. The proxy must be kept while the node runs,
+    /// because peers connect through it.
     pub fn remove_node(&mut self, position: usize) -> (NodeProcess, Proxy) {
         (self.nodes.remove(position), self.proxies.remove(position))
     }
 
-    /// Waits until every node is ready and sees `members` nodes, itself among them.
+    /// Waits until every node is ready and sees `members` nodes, including itself.
     ///
     /// # Errors
-    /// When that does not happen in time.
+    /// Fails on timeout.
     pub async fn wait_until_ready(&self, members: usize) -> Result<(), BenchError> {
         let started = std::time::Instant::now();
         for node in &self.nodes {
@@ -250,7 +245,7 @@
                 }
                 if started.elapsed() > READY_TIMEOUT {
                     let status = String::from_utf8_lossy(&body);
-                    let what = format!("{} ready with {members} members: it says {status}", node.name);
+                    let what = format!("{} ready with {members} members (last status: {status})", node.name);
                     return Err(BenchError::NotInTime { what, seconds: READY_TIMEOUT.as_secs() });
                 }
                 tokio::time::sleep(READY_POLL_INTERVAL).await;
@@ -259,15 +254,15 @@
         Ok(())
     }
 
-    /// Where callers connect, on each node.
+    /// Returns the caller address of each node.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.nodes.iter().map(|node| node.caller_address).collect()
     }
 
-    /// Publishes the deployment as it is now, under the next revision.
+    /// Publishes the current deployment with the next revision.
     ///
     /// # Errors
-    /// When the platform does not take it.
+    /// Fails if the platform rejects the document.
     pub fn publish(&mut self) -> Result<u64, BenchError> {
         self.revision += 1;
         let document = self.deployment.document(self.revision, &self.leaves.addresses());
--- a/crates/sablebay-bench/src/soak.rs
+++ b/crates/sablebay-bench/src/soak.rs
@@ -1,10 +1,10 @@
-//! A randomized fault soak of the real programs on the users' platform.
+//! A randomized fault soak of the node binaries.
 //!
-//! Three node processes stand between callers, back ends and a store, all stand-ins of this process,
-//! with a fault-injecting proxy on every way. Storms of faults drawn from the seed alternate with
-//! calm spells, in which one operation is watched closely: a new configuration, a replica that
-//! leaves, a planned stop. What callers, back ends and the operator see is held against the promises
-//! while it runs and at the end. Only processes that the soak started are ended.
+//! Three node processes run against stand-ins for callers, back ends and the store, with a
+//! fault-injecting proxy on every link. Storms of faults drawn from the seed alternate with calm
+//! periods, each of which observes one operation such as a new configuration or a planned stop.
+//! Observations of callers, back ends and the operator are checked against the promises. Only
+//! processes that the soak started are killed.
 
 mod checker;
 mod deployment;
@@ -35,74 +35,69 @@
 use checker::Checker;
 use deployment::SoakDeployment;
 
-/// What a soak is asked to do.
+/// Configuration of a soak.
 #[derive(Clone, Debug)]
 pub struct SoakOptions {
-    /// Decides the faults.
+    /// Seed of the faults.
     pub seed: u64,
-    /// How long it runs.
+    /// Duration of the run.
     pub length: Duration,
-    /// A mechanism to turn off in every node.
+    /// Mechanism to disable in every node.
     pub broken: Option<String>,
-    /// Whether operations with a bound in seconds are watched too. A run whose verdict must not depend
-    /// on the machine watches planned stops alone.
+    /// Whether to check operations with a time bound too. Disabled where the verdict must not
+    /// depend on the speed of the machine.
     pub bounds: bool,
-    /// Whether the store comes back from older copies in the storms. Requests with keys are refused for seconds then: a
-    /// broken mechanism that shows in what passes needs storms without.
+    /// Whether storms restore the store from older copies. Nodes then refuse requests with keys
+    /// for seconds, which can hide a disabled mechanism.
     pub returns: bool,
-    /// Where the logs of the nodes are kept.
+    /// Directory for the nodes' logs.
     pub logs: PathBuf,
 }
 
-/// What a soak has come to.
+/// Results of a soak.
 #[derive(Debug, Serialize)]
 pub struct SoakReport {
-    /// The seed.
     pub seed: u64,
-    /// The mechanism that was off.
+    /// The disabled mechanism.
     pub broken: Option<String>,
-    /// How long it ran, in seconds.
+    /// Duration of the run in seconds.
     pub seconds: f64,
-    /// Storms played.
     pub storms: u32,
-    /// Faults injected.
     pub faults: u32,
-    /// Operations watched in calm spells.
+    /// Operations observed in calm periods.
     pub operations: u32,
-    /// Requests that callers sent.
+    /// Requests sent by callers.
     pub requests: u64,
-    /// Requests answered with success.
+    /// Requests answered successfully.
     pub answered: u64,
-    /// Answers that left shards out.
+    /// Answers with missing shards.
     pub incomplete: u64,
-    /// Requests promised not to have run.
+    /// Requests reported as not run.
     pub promised_not_run: u64,
-    /// Requests without an answer.
     pub unanswered: u64,
-    /// Back ends that ended under the request that ends them.
+    /// Crashes of back ends on the fatal request.
     pub ended: u32,
-    /// What was promised and not kept.
+    /// Violated promises.
     pub violations: Vec<Violation>,
-    /// Whether the mechanism that was off was noticed; nothing when all were on.
+    /// Whether the disabled mechanism was detected; `None` if all were enabled.
     pub break_caught: Option<bool>,
 }
 
-/// How long what is in flight may take to end before the last check.
+/// Time for requests in flight to finish before the final check.
 const DRAIN_TIME: Duration = Duration::from_millis(1_500);
-/// How long the system has to heal before an operation is watched.
+/// Time for the system to recover before an operation is observed.
 const RECOVERY_TIME: Duration = Duration::from_millis(4_000);
 
-/// The part of calm spells in which a return of the store is watched as well.
+/// Fraction of calm periods that also observe a restore of the store.
 const STORE_RESTORE_PROBABILITY: f64 = 0.5;
 
-/// Runs a soak.
 ///
 /// # Errors
-/// When a stand-in or a node does not start. Broken promises are in the report.
+/// Fails if a stand-in or a node does not start. Violated promises are in the report.
 pub async fn run_soak(options: &SoakOptions) -> Result<SoakReport, BenchError> {
     std::fs::create_dir_all(&options.logs)?;
     let mut random = SmallRng::seed_from_u64(options.seed);
-    // Drawn by themselves: what a seed has played so far stays in its place.
+    // A separate generator keeps the other faults of a seed unchanged.
     let mut restore_random = SmallRng::seed_from_u64(!options.seed);
     let checker = Arc::new(Checker::default());
     let mut deployment = SoakDeployment::start(options, checker.clone()).await?;
--- a/crates/sablebay-bench/src/soak/checker.rs
+++ b/crates/sablebay-bench/src/soak/checker.rs
@@ -1,5 +1,5 @@
-//! Holds what callers, back ends and the operator see against the promises. It knows nothing of the
-//! nodes' insides.
+//! Checks the observations of callers, back ends and the operator against the promises, without
+//! knowledge of the nodes' internals.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
@@ -13,98 +13,95 @@
 use super::routes::{SHARDS, ShardIdentity, TOP_RECORDS, expected_records};
 use super::tenants::{KeyHistory, PresentedKey, check_quotas};
 
-/// A promise to callers, back ends and operators.
+/// A guarantee to callers, back ends and operators.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Promise {
-    /// An answer comes from one configuration's shards.
+    /// An answer uses the shards of a single configuration.
     OneSnapshot,
-    /// Its reported coverage is true.
+    /// The reported coverage of an answer is correct.
     TrueCoverage,
-    /// Each caller gets the whole answer to its own request.
+    /// Each caller receives the complete answer to its own request.
     OwnAnswer,
-    /// "Not run" means that it did not run.
+    /// A request reported as not run did not run.
     NotRun,
-    /// A request that may not be repeated runs at most once.
+    /// A non-repeatable request runs at most once.
     AtMostOnce,
-    /// A leaving back end gets no new work.
+    /// A draining back end receives no new requests.
     Leaving,
-    /// A back end of an evacuated zone gets no new work.
+    /// Back ends in an evacuated zone receive no new requests.
     Evacuation,
-    /// A planned stop cuts no request in flight.
+    /// A planned stop interrupts no request in flight.
     PlannedStop,
-    /// An accepted configuration is in force everywhere, and never reverts.
+    /// An accepted configuration takes effect on every node and never reverts.
     Configuration,
-    /// A request that ends each back end which runs it is kept from the rest.
+    /// A request that crashes back ends is quarantined.
     Containment,
-    /// No other request is held back.
+    /// No other request is quarantined.
     Innocence,
-    /// A request runs in the name of the tenant that has, or lately had, its caller's key.
+    /// A request runs as the tenant that owns, or recently owned, its caller's key.
     Authentication,
-    /// Back ends are told who calls by the nodes alone, and get no key.
+    /// Only nodes set the tenant of a request; back ends never receive a key.
     Identity,
-    /// Nothing runs by a key that was taken away longer ago than the limit.
+    /// No request runs with a key revoked longer ago than the limit.
     Revocation,
-    /// A tenant gets no more through than its quota.
+    /// No tenant exceeds its quota.
     Quota,
 }
 
-/// A promise that was not kept.
+/// A violated promise.
 #[derive(Clone, Debug, Serialize)]
 pub struct Violation {
-    /// The promise.
     pub promise: Promise,
-    /// What was seen.
+    /// Description of the observation.
     pub seen: String,
 }
 
-/// Counts of what callers saw.
+/// Request counts as seen by callers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Requests sent.
     pub requests: u64,
-    /// Answered with success.
+    /// Requests answered successfully.
     pub answered: u64,
-    /// Of these, with shards left out.
+    /// Successful answers with missing shards.
     pub incomplete: u64,
-    /// Promised not to have run.
+    /// Requests reported as not run.
     pub promised_not_run: u64,
-    /// Without an answer.
+    /// Requests without an answer.
     pub unanswered: u64,
 }
 
-/// Back ends that may end under a request before it is held back.
+/// Maximum crashes of back ends on a request before it is quarantined.
 const MAXIMUM_CRASHES: u32 = 8;
-/// Back ends that may end in a storm besides: nodes that were cut off or started anew know less for a while.
+/// Additional crashes per storm, for nodes that were isolated or restarted.
 const MAXIMUM_CRASHES_PER_STORM: u32 = 4;
-/// The shortest time after which a request comes back that is held back; all others are told less.
+/// Minimum `Retry-After`, in seconds, that identifies a quarantined request.
 const QUARANTINE_RETRY_AFTER_S: f64 = 20.0;
-/// Violations kept of each promise; one is enough to fail.
+/// Maximum violations recorded per promise.
 const REPORTED_PER_PROMISE: usize = 5;
 
 #[derive(Default)]
 struct State {
     counts: Counts,
     violations: Vec<Violation>,
-    /// Requests that may run once at the most.
+    /// Requests that may run at most once.
     once: HashSet<String>,
     not_run: HashSet<String>,
-    /// What callers showed, by request.
+    /// Keys presented by callers, by request id.
     presented: HashMap<String, PresentedKey>,
-    /// Requests that were held back and end no back end.
+    /// Quarantined requests that crash no back end.
     quarantined: Vec<String>,
-    /// The highest version whose effect each life of a node has shown.
+    /// Highest configuration version observed, by node and incarnation.
     highest_seen: HashMap<(usize, u64), u64>,
 }
 
-/// The checker of one soak.
 #[derive(Default)]
 pub struct Checker {
     state: Mutex<State>,
 }
 
 impl Checker {
-    /// Notes a broken promise.
+    /// Records a violation.
     pub fn report_violation(&self, promise: Promise, seen: String) {
         let mut state = self.state.lock();
         if state.violations.iter().filter(|violation| violation.promise == promise).count()
@@ -114,7 +111,7 @@
         }
     }
 
-    /// A request is sent; `once` when it may run once at the most.
+    /// Records a sent request; `once` if it may run at most once.
     pub fn sent(&self, id: &str, once: bool) {
         let mut state = self.state.lock();
         state.counts.requests += 1;
@@ -123,7 +120,7 @@
         }
     }
 
-    /// A call is about to be made with a key, or with none where none is needed. Returns it with that key.
+    /// Records the key presented by a call and returns the call with that key.
     pub fn with_key(&self, call: CallerCall, key: Option<&'static str>) -> CallerCall {
         if let Some(id) = &call.id {
             let presented = PresentedKey { key, at: Instant::now() };
@@ -132,12 +129,12 @@
         CallerCall { key: key.map(str::to_string), ..call }
     }
 
-    /// A request got no answer.
+    /// Records a request without an answer.
     pub fn unanswered(&self) {
         self.state.lock().counts.unanswered += 1;
     }
 
-    /// A request was answered.
+    /// Records and checks an answer.
     pub fn answered(&self, id: &str, gathered: bool, answer: &CallerAnswer) {
         {
             let mut state = self.state.lock();
@@ -160,7 +157,7 @@
     fn check_single(&self, id: &str, answer: &CallerAnswer) {
         let stamp = answer.stamp.as_deref().unwrap_or_default();
         if !stamp.ends_with(&format!(".{id}")) {
-            self.report_violation(Promise::OwnAnswer, format!("{id} got the answer signed {stamp}"));
+            self.report_violation(Promise::OwnAnswer, format!("{id} received an answer with stamp {stamp}"));
         }
     }
 
@@ -172,48 +169,51 @@
                 .rsplit_once('.')
                 .and_then(|(leaf, request)| Some((ShardIdentity::parse(leaf)?, request)));
             let Some((identity, request)) = parsed else {
-                self.report_violation(Promise::OwnAnswer, format!("{id} got a part signed {stamp}"));
+                self.report_violation(Promise::OwnAnswer, format!("{id} received a part with stamp {stamp}"));
                 return;
             };
             if request != id {
-                self.report_violation(Promise::OwnAnswer, format!("{id} got a part of {request}"));
+                self.report_violation(
+                    Promise::OwnAnswer,
+                    format!("{id} received a part of request {request}"),
+                );
                 return;
             }
             sets.insert(identity.set);
             if !shards.insert((identity.set, identity.shard)) {
                 self.report_violation(
                     Promise::TrueCoverage,
-                    format!("{id}: shard {} stands twice", identity.shard),
+                    format!("{id}: shard {} appears twice", identity.shard),
                 );
             }
         }
         if sets.len() > 1 {
-            self.report_violation(Promise::OneSnapshot, format!("{id} mixes the sets {sets:?}"));
+            self.report_violation(Promise::OneSnapshot, format!("{id} mixes shard sets {sets:?}"));
         }
         if shards.len() + answer.missing != usize::from(SHARDS) {
-            let seen = format!("{id}: {} shards in, {} said to be missing", shards.len(), answer.missing);
+            let seen = format!("{id}: {} shards present, {} reported missing", shards.len(), answer.missing);
             self.report_violation(Promise::TrueCoverage, seen);
         }
         let expected = expected_records(shards);
         if answer.body != expected {
             let seen = format!(
-                "{id}: {} bytes, not the greatest {TOP_RECORDS} records of its parts",
+                "{id}: body of {} bytes is not the top {TOP_RECORDS} records of its shards",
                 answer.body.len()
             );
             self.report_violation(Promise::OwnAnswer, seen);
         }
     }
 
-    /// The highest version whose effect a life of a node has shown so far.
+    /// Returns the highest configuration version observed on an incarnation of a node.
     pub fn highest_seen(&self, node: usize, incarnation: u64) -> u64 {
         self.state.lock().highest_seen.get(&(node, incarnation)).copied().unwrap_or(0)
     }
 
-    /// A life of a node showed the effect of a version, in a request sent when `highest_before` had
-    /// been seen already.
+    /// Records that an incarnation of a node served a version, in a request sent after
+    /// `highest_before` was observed.
     pub fn version_seen(&self, node: usize, incarnation: u64, version: u64, highest_before: u64) {
         if version < highest_before {
-            let seen = format!("node {node} went from version {highest_before} back to {version}");
+            let seen = format!("node {node} reverted from version {highest_before} to {version}");
             self.report_violation(Promise::Configuration, seen);
         }
         let mut state = self.state.lock();
@@ -221,19 +221,21 @@
         *highest = (*highest).max(version);
     }
 
-    /// Holds how many back ends ended under a request against what that may cost.
+    /// Checks the number of crashes on the fatal request.
     pub fn check_crashes(&self, ended: u32, storms: u32) {
         let limit = MAXIMUM_CRASHES + MAXIMUM_CRASHES_PER_STORM * storms;
         if ended > limit {
-            let seen = format!("{ended} back ends ended under one request in {storms} storms; {limit} may");
+            let seen = format!("{ended} back ends crashed on one request in {storms} storms; limit {limit}");
             self.report_violation(Promise::Containment, seen);
         }
     }
 
-    /// Holds in whose names requests came to back ends against who had their callers' keys.
+    /// Checks the tenants of requests at back ends against the keys presented by callers.
     pub fn check_tenants(&self, calls: &[LeafCall], keys: &KeyHistory) {
         let presented = self.state.lock().presented.clone();
-        let nobody = |call: &LeafCall| (Promise::Authentication, format!("{} was sent by nobody", call.id));
+        let nobody = |call: &LeafCall| {
+            (Promise::Authentication, format!("{} reached a back end, but no caller sent it", call.id))
+        };
         for call in calls {
             let verdict = presented
                 .get(&call.id)
@@ -247,7 +249,7 @@
         }
     }
 
-    /// Holds the back ends' records against what callers were promised.
+    /// Checks the back ends' records against the outcomes reported to callers.
     pub fn check_runs(&self, records: &[LeafRecord]) {
         let mut runs: HashMap<&str, u32> = HashMap::new();
         for record in records {
@@ -260,24 +262,25 @@
             (state.once.clone(), state.not_run.clone(), state.quarantined.clone())
         };
         for id in quarantined {
-            self.report_violation(Promise::Innocence, format!("{id} was held back, and ends no back end"));
+            self.report_violation(
+                Promise::Innocence,
+                format!("{id} was quarantined, but crashes no back end"),
+            );
         }
         for (id, count) in runs {
             if once.contains(id) && count > 1 {
                 self.report_violation(Promise::AtMostOnce, format!("{id} ran {count} times"));
             }
             if not_run.contains(id) {
-                self.report_violation(Promise::NotRun, format!("{id} was said not to have run, and ran"));
+                self.report_violation(Promise::NotRun, format!("{id} was reported as not run, but ran"));
             }
         }
     }
 
-    /// What callers saw so far.
     pub fn counts(&self) -> Counts {
         self.state.lock().counts
     }
 
-    /// The broken promises so far.
     pub fn violations(&self) -> Vec<Violation> {
         self.state.lock().violations.clone()
     }
--- a/crates/sablebay-bench/src/soak/deployment.rs
+++ b/crates/sablebay-bench/src/soak/deployment.rs
@@ -1,4 +1,4 @@
-//! What surrounds the nodes in a soak: store, back ends, and a proxy on every way.
+//! The environment of a soak: nodes, store, back ends and a proxy on every link.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -26,27 +26,27 @@
 use crate::error::BenchError;
 use crate::processes::NodeCommand;
 
-/// Nodes of a soak.
+/// Number of nodes.
 pub const NODES: usize = 3;
-/// Replicas of each shard, and of the service of single requests.
+/// Replicas of each shard and of the single service.
 const REPLICAS: u8 = 2;
-/// The zones of back ends; the nodes are in the first.
+/// Zones of the back ends; the nodes are in the first.
 pub const ZONES: [&str; 2] = ["zone-a", "zone-b"];
-/// All back ends.
+/// Number of back ends, without the fragile ones.
 pub const LEAVES: usize = (SETS * SHARDS * REPLICAS + REPLICAS) as usize;
-/// What the records of single requests are made from; unlike every shard's.
+/// Record seed of the single service; differs from the seed of every shard.
 const SINGLE_SEED: u8 = 250;
-/// Back ends that end under some requests.
+/// Number of back ends that crash on the fatal request.
 const FRAGILE_REPLICAS: u8 = 3;
-/// How long one of these is gone.
+/// Delay before a crashed back end restarts.
 const FRAGILE_RESTART_DELAY: Duration = Duration::from_millis(300);
-/// The time between two writers that write again after a return of the store, and how many turns there are: two seconds.
+/// Interval between rewrites of lost keys after a restore, and the number of intervals used.
 const REWRITE_PERIOD: Duration = Duration::from_millis(250);
 const REWRITE_SLOTS: u32 = 9;
-/// How long a process may take to end, or to become ready.
+/// Timeout for a process to exit or become ready.
 const PROCESS_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A way between two parts.
+/// A proxied connection path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Link {
     /// From callers to a node.
@@ -55,32 +55,32 @@
     Store(usize),
     /// From other nodes to a node.
     Peers(usize),
-    /// From all nodes to a back end.
+    /// From nodes to a back end.
     Leaf(usize),
 }
 
-/// A back end with the proxy before it.
+/// A back end behind a proxy.
 struct SoakLeaf {
     leaf: LeafStandIn,
     proxy: Proxy,
-    /// As announced: with the proxy's address.
+    /// The replica as announced, with the proxy's address.
     announced: Replica,
 }
 
-/// One place for a node, with the proxies around it. The process in it comes and goes.
+/// A node's proxies and its current process, if any.
 struct NodeSlot {
     plan: NodePlan,
     callers: Proxy,
     store: Proxy,
     peers: Proxy,
     process: Option<SoakNode>,
-    /// Whether the process was told to stop.
+    /// Whether a planned stop is in progress.
     stopping: bool,
-    /// Counts the lives of the place.
+    /// Number of processes started in this slot.
     incarnation: u64,
 }
 
-/// What ends at a time.
+/// The scheduled end of a fault.
 enum Recovery {
     Resume(usize),
     Start(usize),
@@ -91,34 +91,33 @@
     Leaf(usize),
 }
 
-/// Everything that surrounds the nodes, and the nodes.
+/// The nodes and their environment.
 pub struct SoakDeployment {
     command: NodeCommand,
     store: StoreStandIn,
     leaves: Vec<SoakLeaf>,
-    /// Records of back ends that left.
+    /// Records of retired back ends.
     retired: Vec<LeafRecord>,
-    /// Back ends that end under some requests, and are started again. No proxy stands before them: it would take
-    /// connections for a process that is not there.
+    /// Back ends that crash on the fatal request and restart. They have no proxy, which would
+    /// accept connections while the process is down.
     fragile: Vec<RestartingLeaf>,
     slots: Vec<NodeSlot>,
     recoveries: Vec<(Instant, Recovery)>,
     version: u64,
     set: u8,
-    /// Whether the guest has its key.
+    /// Whether the guest key is valid.
     with_guest: bool,
     keys: KeyHistory,
     incarnations: u32,
     seed: u64,
-    /// Holds what is seen against the promises.
+    /// Checks observations against the promises.
     pub checker: Arc<Checker>,
 }
 
 impl SoakDeployment {
-    /// Starts everything.
     ///
     /// # Errors
-    /// When a stand-in or a node does not start.
+    /// Fails if a stand-in or a node does not start.
     pub async fn start(options: &SoakOptions, checker: Arc<Checker>) -> Result<Self, BenchError> {
         let mut deployment = Self {
             command: NodeCommand::with_break(options.broken.as_deref())?,
@@ -179,7 +178,7 @@
     async fn start_fragile(&self, copy: u8) -> Result<RestartingLeaf, BenchError> {
         let identity = LeafIdentity {
             name: format!("fragile-{copy}"),
-            // One of them starts again under its name.
+            // Odd replicas keep their name across restarts.
             keeps_name: copy % 2 == 1,
             service: fragile_service(),
             shard: SINGLE_SEED + REPLICAS + copy,
@@ -189,7 +188,7 @@
         Ok(RestartingLeaf::start(identity, behaviour, FRAGILE_RESTART_DELAY, self.store.registry()).await?)
     }
 
-    /// How often back ends ended under a request.
+    /// Number of crashes on the fatal request.
     pub fn fragile_crashes(&self) -> u32 {
         self.fragile.iter().map(RestartingLeaf::ended).sum()
     }
@@ -237,23 +236,23 @@
         Ok(())
     }
 
-    /// The callers' way into a node, and the life of the process behind it.
+    /// Returns a caller of a node and the node's incarnation.
     pub fn caller_for(&self, position: usize) -> (CallerStandIn, u64) {
         let slot = &self.slots[position];
         (CallerStandIn { address: slot.callers.address }, slot.incarnation)
     }
 
-    /// The callers' ways into all nodes; they stay the same over all lives.
+    /// Returns callers of all nodes; they remain valid across restarts.
     pub fn callers(&self) -> Vec<CallerStandIn> {
         (0..NODES).map(|position| self.caller_for(position).0).collect()
     }
 
-    /// The newest version published.
+    /// The last published version.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The operator publishes the next configuration.
+    /// Publishes the next configuration.
     pub fn publish(&mut self) {
         self.version += 1;
         let tenants = tenants(self.version, self.with_guest);
@@ -262,18 +261,18 @@
         self.keys.published(&tenants, started, Instant::now());
     }
 
-    /// The operator gives the guest its key, or takes it away.
+    /// Grants or revokes the guest key.
     pub fn publish_guest(&mut self, with_guest: bool) {
         self.with_guest = with_guest;
         self.publish();
     }
 
-    /// Who had which key when.
+    /// The assignments of keys to tenants over time.
     pub fn keys(&self) -> &KeyHistory {
         &self.keys
     }
 
-    /// Cuts a node off from the store, and all nodes from each other; or heals that.
+    /// Isolates a node from the store and all nodes from each other, or reconnects them.
     pub fn cut_off(&self, position: usize, cut: bool) {
         let faults = if cut { Faults::cut() } else { Faults::default() };
         let peers = (0..NODES).map(Link::Peers);
@@ -291,10 +290,10 @@
         answer.is_ok_and(|answer| answer.status.as_u16() == 200)
     }
 
-    /// Waits until every node says that it can serve.
+    /// Waits until every node is ready.
     ///
     /// # Errors
-    /// When one does not in time.
+    /// Fails if a node is not ready in time.
     pub async fn wait_ready(&self) -> Result<(), BenchError> {
         const POLL_INTERVAL: Duration = Duration::from_millis(50);
         let end = Instant::now() + PROCESS_TIMEOUT;
@@ -326,7 +325,7 @@
     /// Injects a fault.
     ///
     /// # Errors
-    /// When a node does not start.
+    /// Fails if a node does not start.
     pub async fn inject(&mut self, fault: &Fault) -> Result<(), BenchError> {
         match fault {
             Fault::Pause(position, time) => {
@@ -386,10 +385,10 @@
         Ok(())
     }
 
-    /// Ends the faults whose time is over.
+    /// Ends the faults whose time has elapsed.
     ///
     /// # Errors
-    /// When a node does not start.
+    /// Fails if a node does not start.
     pub async fn run_due_recoveries(&mut self) -> Result<(), BenchError> {
         let now = Instant::now();
         let (due, pending): (Vec<_>, Vec<_>) = self.recoveries.drain(..).partition(|(at, _)| *at <= now);
@@ -410,11 +409,11 @@
             Recovery::Start(position) => {
                 let slot = &mut self.slots[position];
                 if let Some(node) = &mut slot.process {
-                    // Another fault has started it already.
+                    // Already restarted by another fault.
                     if !slot.stopping {
                         return Ok(());
                     }
-                    // It may have been paused while it stopped.
+                    // The process may have been paused while stopping.
                     node.process.resume();
                     node.process.wait_ended(PROCESS_TIMEOUT).await;
                 }
@@ -436,10 +435,9 @@
         Ok(())
     }
 
-    /// Ends every fault.
     ///
     /// # Errors
-    /// When a node does not start, or does not become ready.
+    /// Fails if a node does not start or become ready.
     pub async fn heal(&mut self) -> Result<(), BenchError> {
         for (_, recovery) in std::mem::take(&mut self.recoveries) {
             self.recover(recovery).await?;
@@ -448,26 +446,25 @@
         self.wait_ready().await
     }
 
-    /// The store keeps a copy of what it holds.
+    /// The store makes a copy of its contents.
     pub fn keep_copy(&self) {
         self.store.keep_copy();
     }
 
-    /// The store comes back with its copy; nobody has written again.
+    /// Restores the store from its copy, without rewrites.
     pub fn restore_store(&self) {
         self.store.return_from_copy();
     }
 
-    /// All writers of the store write again what was lost.
+    /// Rewrites all keys that the store lost.
     pub fn write_all_again(&self) {
         self.store.write_all_again();
     }
 
-    /// A back end of the set of shards in force leaves: it says so, and another takes its place.
-    /// Returns its position among those that left.
+    /// Drains a back end of a current shard and starts a replacement.
     ///
     /// # Errors
-    /// When the other does not start.
+    /// Fails if the replacement does not start.
     pub async fn drain_leaf(&mut self, shard: u8) -> Result<LeavingLeaf, BenchError> {
         let set = self.set;
         let service = shard_service(set, shard % SHARDS);
@@ -480,32 +477,30 @@
         Ok(LeavingLeaf { leaf: leaving })
     }
 
-    /// The operator evacuates a zone.
     pub fn evacuate(&self, zone: &str) {
         self.store.evacuate(&ZoneName::new(zone));
     }
 
-    /// The operator takes a zone back.
     pub fn lift_evacuation(&self, zone: &str) {
         self.store.take_back(&ZoneName::new(zone));
     }
 
-    /// Requests that arrived at the back ends of a zone.
+    /// Number of requests received by the back ends of a zone.
     pub fn arrivals_in(&self, zone: &str) -> u64 {
         let in_zone = self.leaves.iter().filter(|known| known.announced.zone.as_str() == zone);
         in_zone.map(|known| known.leaf.record().arrivals).sum()
     }
 
-    /// A back end that left ends.
+    /// Stops a drained back end and keeps its record.
     pub fn retire(&mut self, leaving: LeavingLeaf) {
         self.store.remove(&leaving.leaf.announced.id);
         self.retired.push(leaving.leaf.leaf.record());
     }
 
-    /// Stops a node as planned while `meanwhile` runs, and starts it again.
+    /// Performs a planned stop of a node and restarts it. Returns whether the process exited in time.
     ///
     /// # Errors
-    /// When it does not start again.
+    /// Fails if the node does not restart.
     pub async fn stop_as_planned(&mut self, position: usize) -> Result<bool, BenchError> {
         let mut ended = false;
         if let Some(node) = &mut self.slots[position].process {
@@ -517,7 +512,7 @@
         Ok(ended)
     }
 
-    /// Lets the back ends of single requests take this long.
+    /// Sets the service time of the single service's back ends.
     pub fn slow_singles(&self, work: Option<Duration>) {
         let behaviour = work.map_or(LeafBehaviour::Answer, LeafBehaviour::Slow);
         for known in self.leaves.iter().filter(|known| known.announced.service == single_service()) {
@@ -525,36 +520,35 @@
         }
     }
 
-    /// How often a request ran at the back ends that are there.
+    /// Number of runs of a request at the current back ends.
     pub fn runs_of(&self, id: &str) -> u32 {
         self.leaves.iter().map(|known| known.leaf.runs_of(id)).sum()
     }
 
-    /// Every request that arrived at a back end.
+    /// All requests received by back ends.
     pub fn calls(&self) -> Vec<LeafCall> {
         let fragile = self.fragile.iter().flat_map(RestartingLeaf::calls);
         self.records().into_iter().flat_map(|record| record.calls).chain(fragile).collect()
     }
 
-    /// The records of all back ends, those that left among them.
+    /// The records of all back ends, including retired ones.
     pub fn records(&self) -> Vec<LeafRecord> {
         let present = self.leaves.iter().map(|known| known.leaf.record());
         present.chain(self.retired.iter().cloned()).collect()
     }
 }
 
-/// A back end that said that it leaves, and still serves.
+/// A draining back end that still serves.
 pub struct LeavingLeaf {
     leaf: SoakLeaf,
 }
 
 impl LeavingLeaf {
-    /// Requests that arrived there so far.
+    /// Number of requests received so far.
     pub fn arrivals(&self) -> u64 {
         self.leaf.leaf.record().arrivals
     }
 
-    /// Its id.
     pub fn id(&self) -> String {
         self.leaf.announced.id.to_string()
     }
--- a/crates/sablebay-bench/src/soak/load.rs
+++ b/crates/sablebay-bench/src/soak/load.rs
@@ -1,4 +1,4 @@
-//! Callers that send requests all the time, and look at which configuration answers.
+//! Callers that send requests continuously.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -14,19 +14,19 @@
 use super::routes::{FATAL_PATH, HARMLESS_PATH, HOST, PUBLIC_PATH};
 use super::tenants::{FORGED_TENANT, ROTATING_KEY, STEADY_KEY, UNKNOWN_KEY};
 
-/// The header in which callers say who they are.
+/// Tenant header, forged by callers.
 const TENANT: HeaderName = HeaderName::from_static("x-sablebay-tenant");
-/// Callers of each node.
+/// Number of callers per node.
 const CALLERS: u64 = 3;
-/// Kinds of requests that callers send in turn.
+/// Number of request kinds, sent round-robin.
 const PATHS: u64 = 6;
-/// The pause of a caller between two requests.
+/// Pause of a caller between requests.
 const PAUSE: Duration = Duration::from_millis(25);
-/// The pause between two attempts of a request that ends back ends.
+/// Pause between fatal requests.
 const FATAL_PAUSE: Duration = Duration::from_millis(170);
-/// How long a caller waits for an answer.
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long it waits beyond that before it leaves.
+/// Additional time before the caller disconnects.
 const CALL_TIMEOUT_SLACK: Duration = Duration::from_millis(500);
 
 /// Running callers.
@@ -36,14 +36,14 @@
 }
 
 impl Load {
-    /// Ends them after the request that each is at.
+    /// Stops the callers after their current requests.
     pub async fn stop(self) {
         self.stopping.store(true, Ordering::Release);
         self.tasks.join_all().await;
     }
 }
 
-/// Starts callers of every node.
+/// Starts the callers of every node.
 pub fn start(deployment: &SoakDeployment, checker: Arc<Checker>) -> Load {
     let stopping = Arc::new(AtomicBool::new(false));
     let numbers = Arc::new(AtomicU64::new(0));
@@ -78,7 +78,7 @@
     }
 }
 
-/// The key that a caller shows: mostly one that is good.
+/// Selects the key for a request; mostly a valid one.
 fn key_of(number: u64) -> &'static str {
     match number % 6 {
         0 | 1 => ROTATING_KEY,
@@ -87,7 +87,7 @@
     }
 }
 
-/// Sends a request that ends back ends, to one node after the other. What becomes of it shows at the back ends.
+/// Sends the fatal request to the nodes in turn. Its effects are checked at the back ends.
 async fn run_fatal_caller(callers: Vec<CallerStandIn>, checker: Arc<Checker>, stopping: Arc<AtomicBool>) {
     let mut attempt = 0;
     while !stopping.load(Ordering::Acquire) {
@@ -96,7 +96,7 @@
             ..CallerCall::get(HOST, FATAL_PATH, &format!("fatal-{attempt}"))
         };
         let call = checker.with_key(call, Some(STEADY_KEY));
-        // Nothing is promised of its answer.
+        // The answer is unspecified.
         let _ = tokio::time::timeout(CALL_TIMEOUT, callers[attempt % callers.len()].call(&call)).await;
         attempt += 1;
         tokio::time::sleep(FATAL_PAUSE).await;
--- a/crates/sablebay-bench/src/soak/node.rs
+++ b/crates/sablebay-bench/src/soak/node.rs
@@ -1,4 +1,4 @@
-//! One node process of the soak, with a settings file of its own.
+//! A node process of the soak with its own settings file.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader, Write};
@@ -25,30 +25,28 @@
     gateway: GatewayAddresses,
 }
 
-/// What a node is started with.
+/// Start parameters of a node.
 #[derive(Clone, Debug)]
 pub struct NodePlan {
-    /// Its name.
     pub name: String,
-    /// Where peers are told to connect.
+    /// Advertised peer address.
     pub advertised: SocketAddr,
-    /// Where it reads the catalogue.
+    /// Address of the catalogue store.
     pub store: SocketAddr,
-    /// Peers to start from.
+    /// Initial peers.
     pub peers: Vec<SocketAddr>,
-    /// Where its settings and logs lie.
+    /// Directory of the settings and log files.
     pub folder: PathBuf,
 }
 
-/// One running node process; killed when dropped.
+/// A running node process; killed when dropped.
 pub struct SoakNode {
-    /// The process.
     pub process: ChildProcess,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where it says whether it is ready.
+    /// Address of the readiness endpoint.
     pub readiness: SocketAddr,
-    /// Where peers connect.
+    /// Address for peers.
     pub peers: SocketAddr,
 }
 
@@ -77,10 +75,10 @@
 }
 
 impl SoakNode {
-    /// Starts a process, and reads where it listens.
+    /// Starts a process and reads its listen addresses.
     ///
     /// # Errors
-    /// When it does not start or prints no addresses.
+    /// Fails if the process does not start or prints no addresses.
     pub fn start(command: &NodeCommand, plan: &NodePlan) -> Result<Self, BenchError> {
         let settings = write_settings(plan)?;
         let mut child = command
--- a/crates/sablebay-bench/src/soak/operations.rs
+++ b/crates/sablebay-bench/src/soak/operations.rs
@@ -1,4 +1,4 @@
-//! Operations that are watched closely in calm spells.
+//! Operations observed in calm periods.
 
 use std::time::Duration;
 
@@ -14,21 +14,21 @@
 use super::tenants::{GUEST_KEY, REVOCATION_LIMIT_MS, STEADY_KEY};
 use crate::error::BenchError;
 
-/// How long a configuration may take to be in force, and a leaving back end or an evacuated zone may get new
-/// work.
+/// Time for a configuration to take effect, and for a draining back end or an evacuated zone to
+/// stop receiving requests.
 const PROPAGATION_LIMIT: Duration = Duration::from_secs(3);
-/// What the soak's own machine may add to that.
+/// Tolerance for scheduling delays of the machine.
 const MACHINE_SLACK: Duration = Duration::from_secs(1);
-/// How long it is watched afterwards.
+/// How long the result is observed.
 const OBSERVATION_PERIOD: Duration = Duration::from_millis(1_500);
-/// How often a node is asked for its version.
+/// Interval between probes of a node.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Requests in flight at a planned stop.
+/// Number of requests in flight at a planned stop.
 const IN_FLIGHT: u64 = 6;
-/// How long these take.
+/// Service time of the requests in flight.
 const WORK: Duration = Duration::from_millis(1_200);
 
-/// Does one operation, drawn from the seed, and watches it.
+/// Performs and observes a randomly drawn operation.
 ///
 /// # Errors
 /// When a node or a stand-in does not start.
@@ -53,7 +53,7 @@
     }
 }
 
-/// Whether a node serves the route that only this version has.
+/// Whether a node serves the route that exists only in this version.
 async fn serves_version(deployment: &SoakDeployment, node: usize, version: u64, number: u64) -> bool {
     let (caller, incarnation) = deployment.caller_for(node);
     let before = deployment.checker.highest_seen(node, incarnation);
@@ -77,7 +77,7 @@
             number += 1;
             if accepted.elapsed() > PROPAGATION_LIMIT + MACHINE_SLACK {
                 let seen = format!(
-                    "version {version} is not in force at node {node} after {:?}",
+                    "version {version} has not taken effect on node {node} after {:?}",
                     accepted.elapsed()
                 );
                 checker.report_violation(Promise::Configuration, seen);
@@ -93,7 +93,7 @@
             if serves_version(deployment, node, version - 1, number).await {
                 checker.report_violation(
                     Promise::Configuration,
-                    format!("node {node} went back to version {}", version - 1),
+                    format!("node {node} reverted to version {}", version - 1),
                 );
             }
         }
@@ -113,7 +113,8 @@
     tokio::time::sleep(OBSERVATION_PERIOD).await;
     let after = leaving.arrivals();
     if after > before {
-        let seen = format!("back end {} got {} requests after it had left", leaving.id(), after - before);
+        let seen =
+            format!("back end {} received {} requests after the drain period", leaving.id(), after - before);
         checker.report_violation(Promise::Leaving, seen);
     }
     deployment.retire(leaving);
@@ -128,14 +129,15 @@
     tokio::time::sleep(OBSERVATION_PERIOD).await;
     let after = deployment.arrivals_in(zone);
     if after > before {
-        let seen = format!("back ends of {zone} got {} requests after it was evacuated", after - before);
+        let seen = format!("back ends of {zone} received {} requests after the evacuation", after - before);
         checker.report_violation(Promise::Evacuation, seen);
     }
     deployment.lift_evacuation(zone);
     Ok(())
 }
 
-/// Takes a key away while a node is cut off, and calls that node with it. What ran too late shows at the back ends.
+/// Revokes a key while a node is isolated and calls the node with it. Late runs are detected at
+/// the back ends.
 async fn watch_revocation(
     deployment: &mut SoakDeployment,
     checker: &Checker,
@@ -149,7 +151,7 @@
     while started.elapsed() < Duration::from_millis(REVOCATION_LIMIT_MS) + OBSERVATION_PERIOD {
         let id = format!("guest{node}-{incarnation}-{}-{number}", deployment.version());
         let call = checker.with_key(CallerCall::get(HOST, "/one/1", &id), Some(GUEST_KEY));
-        // Nothing is promised of its answer.
+        // The answer is unspecified.
         let _ = tokio::time::timeout(PROPAGATION_LIMIT, caller.call(&call)).await;
         number += 1;
         tokio::time::sleep(POLL_INTERVAL).await;
@@ -181,20 +183,22 @@
     let ended = deployment.stop_as_planned(node).await?;
     deployment.slow_singles(None);
     if !ended {
-        checker.report_violation(Promise::PlannedStop, format!("node {node} did not end"));
+        checker.report_violation(Promise::PlannedStop, format!("node {node} did not exit"));
     }
     for (id, answer) in calls.join_all().await {
         let id = id.unwrap_or_default();
         match answer {
             Ok(answer) => checker.answered(&id, false, &answer),
-            Err(error) => checker.report_violation(Promise::PlannedStop, format!("{id} was cut: {error}")),
+            Err(error) => {
+                checker.report_violation(Promise::PlannedStop, format!("{id} was interrupted: {error}"))
+            }
         }
     }
     Ok(())
 }
 
-/// Nodes hear that a back end leaves, that a zone is empty and of a configuration; then the store comes back with a copy of
-/// before, and nobody has written again. Nothing of it may be undone.
+/// Drains a back end, evacuates a zone and publishes a configuration, then restores the store
+/// from an earlier copy without rewrites. None of the changes may be reverted.
 pub async fn watch_store_restore(
     deployment: &mut SoakDeployment,
     checker: &Checker,
@@ -215,7 +219,7 @@
         for node in 0..NODES {
             number += 1;
             if serves_version(deployment, node, version - 1, number).await {
-                let seen = format!("node {node} went back to version {} with the store", version - 1);
+                let seen = format!("node {node} reverted to version {} after the store restore", version - 1);
                 checker.report_violation(Promise::Configuration, seen);
             }
         }
@@ -223,11 +227,12 @@
     }
     let after = (leaving.arrivals(), deployment.arrivals_in(zone));
     if after.0 > before.0 {
-        let seen = format!("{} got {} requests when the store came back", leaving.id(), after.0 - before.0);
+        let seen =
+            format!("{} received {} requests after the store restore", leaving.id(), after.0 - before.0);
         checker.report_violation(Promise::Leaving, seen);
     }
     if after.1 > before.1 {
-        let seen = format!("{zone} got {} requests when the store came back", after.1 - before.1);
+        let seen = format!("{zone} received {} requests after the store restore", after.1 - before.1);
         checker.report_violation(Promise::Evacuation, seen);
     }
     deployment.write_all_again();
--- a/crates/sablebay-bench/src/soak/routes.rs
+++ b/crates/sablebay-bench/src/soak/routes.rs
@@ -1,4 +1,4 @@
-//! What the operator of a soak configures, and what answers must hold by it.
+//! The routing configuration of a soak and the expected answers.
 
 use sablebay_catalogue::{
     BackendService, CallerLimits, Destination, Gather, Repeatability, Route, RoutingConfiguration,
@@ -6,28 +6,27 @@
 };
 use sablebay_platform_standin::part_records;
 
-/// Shards of each set.
+/// Number of shards per set.
 pub const SHARDS: u8 = 4;
-/// Records of a gathered answer.
+/// Number of records in a gathered answer.
 pub const TOP_RECORDS: usize = 12;
 /// The host of every route.
 pub const HOST: &str = "soak.example";
-/// Sets of shards: the index is cut into one or the other.
+/// Number of shard sets; a configuration uses one of them.
 pub const SETS: u8 = 2;
-/// Connections that a back end takes.
+/// Maximum connections of a back end.
 const MAXIMUM_CONNECTIONS: u32 = 40;
 
-/// Which shard a back end holds, as its id says: `SET-SHARD-COPY-LIFE`.
+/// The shard of a back end, from its id `SET-SHARD-COPY-INCARNATION`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardIdentity {
-    /// The set.
     pub set: u8,
-    /// The shard within it.
+    /// The shard within the set.
     pub shard: u8,
 }
 
 impl ShardIdentity {
-    /// Reads it out of a back end's id.
+    /// Parses the id of a back end.
     pub fn parse(id: &str) -> Option<Self> {
         let mut parts = id.split('-');
         let set = parts.next()?.parse().ok()?;
@@ -35,13 +34,13 @@
         Some(Self { set, shard })
     }
 
-    /// What its records are made from.
+    /// Seed of the shard's records.
     pub fn seed(self) -> u8 {
         self.set * SHARDS + self.shard
     }
 }
 
-/// The records that an answer over these shards must hold.
+/// Returns the expected records of an answer from these shards.
 pub fn expected_records(shards: impl IntoIterator<Item = (u8, u8)>) -> Vec<u8> {
     let seeds = shards.into_iter().map(|(set, shard)| ShardIdentity { set, shard }.seed());
     let mut records: Vec<[u8; 16]> = seeds.flat_map(part_records).collect();
@@ -50,30 +49,29 @@
     records.concat()
 }
 
-/// The service of a shard of a set.
 pub fn shard_service(set: u8, shard: u8) -> ServiceName {
     ServiceName::new(format!("set-{set}-shard-{shard}"))
 }
 
-/// The service of requests to one back end.
+/// The service of requests to a single back end.
 pub fn single_service() -> ServiceName {
     ServiceName::new("single")
 }
 
-/// The service whose back ends end under some requests.
+/// The service whose back ends crash on the fatal request.
 pub fn fragile_service() -> ServiceName {
     ServiceName::new("fragile")
 }
 
-/// The path of a request that ends each back end which runs it.
+/// Path of the request that crashes each back end that runs it.
 pub const FATAL_PATH: &str = "/fragile/fatal";
-/// The path of a request to the same back ends that does not.
+/// Path of a harmless request to the same back ends.
 pub const HARMLESS_PATH: &str = "/fragile/harmless";
 
-/// The path of the route that needs no key.
+/// Path of the route that requires no key.
 pub const PUBLIC_PATH: &str = "/open/1";
 
-/// The path of the route that only one version has.
+/// Path of the route that exists only in one version.
 pub fn marker_path(version: u64) -> String {
     format!("/version-{version}/")
 }
@@ -93,7 +91,7 @@
     }
 }
 
-/// The configuration of a version that names a set of shards.
+/// Returns the configuration of a version with a shard set.
 pub fn configuration(version: u64, set: u8) -> RoutingConfiguration {
     let single = || Destination::Services(vec![WeightedService { service: single_service(), weight: 1.0 }]);
     let fragile = || Destination::Services(vec![WeightedService { service: fragile_service(), weight: 1.0 }]);
--- a/crates/sablebay-bench/src/soak/schedule.rs
+++ b/crates/sablebay-bench/src/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! The faults of a storm, drawn from the seed, and how they are played.
+//! Storms: randomly drawn sequences of faults.
 
 use std::time::Duration;
 
@@ -14,45 +14,45 @@
 /// One fault.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// A process stands still for a time.
+    /// Pauses a process for a time.
     Pause(usize, Duration),
-    /// A process is killed, and started again after a time.
+    /// Kills a process and restarts it after a time.
     Kill(usize, Duration),
-    /// A process is stopped as planned, and started again after a time.
+    /// Stops a process gracefully and restarts it after a time.
     Terminate(usize, Duration),
-    /// A way between two parts is disturbed for a time.
+    /// Injects network faults into a link for a time.
     Disturb(Link, Faults, Duration),
-    /// Every connection on a way is reset.
+    /// Resets every connection of a link.
     Reset(Link),
-    /// The store behaves oddly for a time.
+    /// Sets a fault mode of the store for a time.
     Store(StoreMode, Duration),
-    /// The store forgets its history.
+    /// The store drops its history.
     ForgetHistory,
-    /// The store keeps a copy of what it holds.
+    /// The store makes a copy of its contents.
     BackUpStore,
-    /// The store is away for a time, and comes back with the copy; its writers write again one by one.
+    /// The store is down for a time and restored from the copy; lost keys are rewritten gradually.
     RestoreStore(Duration),
-    /// A back end answers oddly for a time.
+    /// Sets a faulty behaviour of a back end for a time.
     Leaf(usize, LeafBehaviour, Duration),
-    /// All back ends of a shard answer oddly for a time; nothing stands for those of the requests to
-    /// one back end.
+    /// Sets a faulty behaviour of all back ends of a shard for a time; `None` means the single
+    /// service.
     Service(Option<u8>, LeafBehaviour, Duration),
-    /// The operator publishes a configuration.
+    /// Publishes a configuration.
     Publish,
-    /// The operator publishes one that names the other set of shards.
+    /// Publishes a configuration with the other shard set.
     Reshard,
 }
 
-/// Faults with the time that each begins at, from the start of the storm.
+/// Faults with their start times relative to the start of the storm.
 #[derive(Clone, Debug)]
 pub struct Storm {
-    /// The faults in order.
+    /// The faults in order of time.
     pub faults: Vec<(Duration, Fault)>,
 }
 
-/// How long faults go on beginning.
+/// Period in which faults start.
 const STORM_DURATION: Duration = Duration::from_secs(6);
-/// Bounds of the pause between two faults, in milliseconds.
+/// Range of the interval between faults.
 const FAULT_INTERVAL_MS: std::ops::Range<u64> = 100..600;
 
 fn milliseconds(random: &mut impl Rng, range: std::ops::Range<u64>) -> Duration {
@@ -145,7 +145,6 @@
 }
 
 impl Storm {
-    /// Draws a storm.
     pub fn draw(random: &mut impl Rng) -> Self {
         let mut faults = Vec::new();
         let mut at = Duration::ZERO;
@@ -156,7 +155,7 @@
         Self { faults }
     }
 
-    /// Has the store come back from an older copy once or twice in the storm.
+    /// Adds one or two restores of the store from an older copy.
     pub fn with_store_restores(mut self, random: &mut impl Rng) -> Self {
         let half = (STORM_DURATION / 2).as_millis() as u64;
         self.faults.push((Duration::ZERO, Fault::BackUpStore));
@@ -171,7 +170,7 @@
     }
 }
 
-/// Plays a storm; what it disturbs heals by [`SoakDeployment::heal`] at the latest.
+/// Plays a storm. Faults that outlast the storm end with [`SoakDeployment::heal`].
 pub async fn play(storm: &Storm, deployment: &mut SoakDeployment) -> Result<(), BenchError> {
     let started = tokio::time::Instant::now();
     for (at, fault) in &storm.faults {
--- a/crates/sablebay-bench/src/soak/tenants.rs
+++ b/crates/sablebay-bench/src/soak/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants of a soak: whose key is whose at which time, and what back ends may see by that.
+//! Tenants of a soak: assignments of keys over time, and checks of requests at back ends.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -9,36 +9,36 @@
 
 use super::checker::Promise;
 
-/// The key of a tenant that always has it.
+/// A key that always belongs to the same tenant.
 pub const STEADY_KEY: &str = "key-steady";
-/// A key that each configuration gives to another tenant, or to nobody.
+/// A key that each configuration assigns to a different tenant or to none.
 pub const ROTATING_KEY: &str = "key-passing";
-/// A key that is taken away from a node that is cut off.
+/// A key that is revoked while a node is isolated.
 pub const GUEST_KEY: &str = "key-guest";
-/// A key that nobody ever has.
+/// A key that never belongs to a tenant.
 pub const UNKNOWN_KEY: &str = "key-unknown";
-/// What some callers say is their tenant.
+/// Tenant name forged by callers.
 pub const FORGED_TENANT: &str = "forged";
-/// How old a configuration may be by which nodes run requests, in milliseconds.
+/// Maximum age of the configuration by which nodes authenticate requests.
 pub const REVOCATION_LIMIT_MS: u64 = 2_000;
-/// What a node may be late beyond that: its clock is read in milliseconds, and by a process that waits its turn.
+/// Tolerance for clock resolution and scheduling delays.
 const REVOCATION_SLACK: Duration = Duration::from_millis(100);
-/// The tenants whose quota is far below what callers with the rotating key send.
+/// Tenants with a quota far below the request rate of the rotating key.
 const LIMITED: [&str; 2] = ["east", "west"];
-/// Requests a second, and on top of that, that these may send.
+/// Requests per second and burst of limited tenants.
 const LIMITED_QUOTA: (f64, f64) = (20.0, 20.0);
-/// What the other tenants may send: more than all callers do, so that nothing is held up by it.
+/// Quota of the other tenants, above the total request rate.
 const AMPLE_QUOTA: (f64, f64) = (1_000.0, 500.0);
-/// The part of a quota that nodes together may let through beyond it while they disagree.
+/// Fraction of a quota by which nodes may exceed it while they disagree.
 pub const QUOTA_OVERAGE: f64 = 0.25;
-/// Requests beyond that.
+/// Additional requests beyond the overage.
 pub const QUOTA_SLACK: f64 = 20.0;
-/// The time over which requests are counted.
+/// Window over which requests are counted.
 const WINDOW: Duration = Duration::from_secs(5);
 
-/// What a configuration says of tenants.
+/// Returns the tenants of a configuration.
 pub fn tenants(version: u64, with_guest: bool) -> Vec<TenantSpec> {
-    let rotating = |turn: u64| if version % 3 == turn { vec![ROTATING_KEY] } else { Vec::new() };
+    let rotating = |remainder: u64| if version % 3 == remainder { vec![ROTATING_KEY] } else { Vec::new() };
     let guest = if with_guest { vec![GUEST_KEY] } else { Vec::new() };
     let keys = [("steady", vec![STEADY_KEY]), ("east", rotating(0)), ("west", rotating(1)), ("guest", guest)];
     let limited = |(name, keys): (&str, Vec<&str>)| {
@@ -48,39 +48,39 @@
     keys.into_iter().map(limited).collect()
 }
 
-/// Requests a second, and on top of that, that a tenant may send.
+/// Returns the requests per second and burst of a tenant.
 fn quota_of(tenant: &str) -> (f64, f64) {
     if LIMITED.contains(&tenant) { LIMITED_QUOTA } else { AMPLE_QUOTA }
 }
 
-/// What a caller showed, and when it began to call.
+/// The key presented by a caller and the time of the call.
 #[derive(Clone, Debug)]
 pub struct PresentedKey {
-    /// The key; none on the route that needs none.
+    /// The key; `None` on the public route.
     pub key: Option<&'static str>,
-    /// Before anything of the request was sent.
+    /// A time before any part of the request was sent.
     pub at: Instant,
 }
 
-/// A key that a tenant had for a time.
+/// The assignment of a key to a tenant for a period.
 #[derive(Clone, Debug)]
 struct KeyAssignment {
     tenant: String,
     key: String,
-    /// Not before this moment.
+    /// Earliest possible start.
     from: Instant,
-    /// Not after it; none as long as the tenant has the key.
+    /// Latest possible end; `None` while the assignment is current.
     until: Option<Instant>,
 }
 
-/// Who had which key when.
+/// The assignments of keys to tenants over time.
 #[derive(Clone, Debug, Default)]
 pub struct KeyHistory {
     assignments: Vec<KeyAssignment>,
 }
 
 impl KeyHistory {
-    /// Tenants were published: not before `begun`, and not after `done`.
+    /// Records a publication of tenants between `started` and `done`.
     pub fn published(&mut self, tenants: &[TenantSpec], started: Instant, done: Instant) {
         let has = |tenant: &str, key: &str| {
             tenants.iter().any(|known| known.name == tenant && known.keys.iter().any(|known| known == key))
@@ -103,21 +103,25 @@
         }
     }
 
-    /// What is wrong with a request as a back end got it.
+    /// Returns the violation in a request as received by a back end, if any.
     pub fn check(&self, call: &LeafCall, presented: &PresentedKey) -> Option<(Promise, String)> {
         let id = &call.id;
         if call.shows_key {
-            return Some((Promise::Identity, format!("{id} came to a back end with its caller's key")));
+            return Some((Promise::Identity, format!("{id} reached a back end with its caller's key")));
         }
         if call.tenants.iter().any(|tenant| tenant == FORGED_TENANT) || call.tenants.len() > 1 {
-            return Some((Promise::Identity, format!("{id} came in the names {:?}", call.tenants)));
+            return Some((
+                Promise::Identity,
+                format!("{id} reached a back end with tenants {:?}", call.tenants),
+            ));
         }
         match (presented.key, call.tenants.first()) {
             (None, None) => None,
-            (None, Some(tenant)) => {
-                Some((Promise::Identity, format!("{id} needs no key, and came in the name of {tenant}")))
-            }
-            (Some(_), None) => Some((Promise::Identity, format!("{id} came in nobody's name"))),
+            (None, Some(tenant)) => Some((
+                Promise::Identity,
+                format!("{id} needs no key, but reached a back end as tenant {tenant}"),
+            )),
+            (Some(_), None) => Some((Promise::Identity, format!("{id} reached a back end without a tenant"))),
             (Some(key), Some(tenant)) => self.check_assignment(call, presented, key, tenant),
         }
     }
@@ -142,26 +146,28 @@
             }
         }
         Some(match late {
-            None => (Promise::Authentication, format!("{id} with {key} came in the name of {tenant}")),
+            None => {
+                (Promise::Authentication, format!("{id} with {key} reached a back end as tenant {tenant}"))
+            }
             Some(late) => {
-                let seen = format!("{id} with {key} of {tenant} was sent {late:?} after that was taken away");
+                let seen = format!("{id} with {key} of {tenant} was sent {late:?} after the key was revoked");
                 (Promise::Revocation, seen)
             }
         })
     }
 }
 
-/// A request of a tenant that got through.
+/// A tenant's request that reached a back end.
 #[derive(Clone, Copy, Debug)]
 struct AcceptedRequest {
-    /// When its caller began to send it.
+    /// When the caller started to send the request.
     sent_at: Instant,
-    /// When it first arrived at a back end.
+    /// First arrival at a back end.
     arrived_at: Instant,
 }
 
-/// What tenants got beyond their quotas. A request counts once, in the windows in which it was both sent and arrived:
-/// a node that stood still between the two brings requests of an earlier window.
+/// Returns the quota violations. A request counts once, and only in windows in which it was both
+/// sent and received, because a paused node delivers requests of an earlier window.
 pub fn check_quotas(calls: &[LeafCall], presented: &HashMap<String, PresentedKey>) -> Vec<String> {
     let mut accepted_requests: HashMap<&str, (&str, AcceptedRequest)> = HashMap::new();
     for call in calls {
@@ -194,5 +200,5 @@
     };
     let busiest = accepted_requests.iter().enumerate().map(in_window).max().unwrap_or(0);
     (busiest as f64 > limit)
-        .then(|| format!("{tenant} got {busiest} requests through in {WINDOW:?}; {limit} may be"))
+        .then(|| format!("{busiest} requests of {tenant} passed in {WINDOW:?}; limit {limit}"))
 }
--- a/crates/sablebay-bench/src/soak/tenants_tests.rs
+++ b/crates/sablebay-bench/src/soak/tenants_tests.rs
@@ -1,4 +1,4 @@
-//! The checker notices what it must, and nothing else.
+//! Tests of the tenant checks: violations are detected, without false positives.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -16,7 +16,7 @@
     Duration::from_secs_f64(count)
 }
 
-/// A key that tenant a has from the beginning, and tenant b from 10 s on.
+/// A key that belongs to tenant a at first and to tenant b from 10 s on.
 fn history(start: Instant) -> KeyHistory {
     let mut history = KeyHistory::default();
     history.published(&[TenantSpec::new("a", &[KEY]), TenantSpec::new("b", &[])], start, start);
@@ -35,7 +35,7 @@
     }
 }
 
-/// What is noticed of a request that was sent and came to a back end this long after the start.
+/// Returns the violation in a request that was sent and received `after_s` seconds after the start.
 fn violated_promise(key: Option<&'static str>, tenants: &[&str], after_s: f64) -> Option<Promise> {
     let start = Instant::now();
     let at = start + seconds(after_s);
@@ -59,7 +59,7 @@
     assert_eq!(violated_promise(Some(KEY), &["a"], 10.3 + limit), Some(Promise::Revocation));
 }
 
-/// What was sent in time may run later.
+/// A request sent before the revocation may run later.
 #[test]
 fn the_moment_of_sending_counts() {
     let start = Instant::now();
@@ -84,7 +84,7 @@
     assert_eq!(verdict.map(|(promise, _)| promise), Some(Promise::Identity));
 }
 
-/// Requests of a tenant, this many a second, each at two back ends.
+/// Requests of a tenant at a constant rate, each received by two back ends.
 fn requests(tenant: &str, count: usize, per_s: f64) -> Vec<LeafCall> {
     let start = Instant::now();
     let arrival = |number: usize| {
--- a/crates/sablebay-standin/src/corpus.rs
+++ b/crates/sablebay-standin/src/corpus.rs
@@ -1,5 +1,5 @@
-//! The documents that leaves hold: computed, not stored, so that a checker can tell exactly what
-//! the right answer is.
+//! Documents of the leaves, computed deterministically so that a checker can derive the expected
+//! answer.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::to_raw_value;
@@ -7,30 +7,28 @@
 
 use sablebay_model::{Hit, PartitionSet, SnapshotVersion, SortOrder, top_hits};
 
-/// What a hit's body says of where it comes from.
+/// The body of a hit: identifies the document's origin.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredHit {
-    /// The outlet whose orders were asked for.
+    /// The outlet that was queried.
     pub outlet: u64,
-    /// The partition that holds the document.
     pub partition: u32,
-    /// The index version.
     pub version: u64,
-    /// What was ordered.
+    /// The ordered item.
     pub item: String,
 }
 
 /// The documents of one index.
 #[derive(Clone, Copy, Debug)]
 pub struct Corpus {
-    /// Documents of each outlet in each partition.
+    /// Documents per outlet and partition.
     pub documents: u32,
 }
 
 const ITEMS: [&str; 6] = ["wheat flour", "rye flour", "spelt", "yeast", "sugar", "butter"];
 
 impl Corpus {
-    /// The best hits for an outlet in some partitions at one version.
+    /// Returns the top hits for an outlet in the given partitions and index version.
     pub fn search(
         &self,
         outlet: u64,
@@ -57,8 +55,8 @@
             version: version.0,
             item: ITEMS[(hash % ITEMS.len() as u64) as usize].to_string(),
         };
-        let body = to_raw_value(&stored).expect("a plain structure is written without error");
-        // Short enough to survive the way through JSON unchanged.
+        let body = to_raw_value(&stored).expect("serializing a plain structure cannot fail");
+        // Small enough to round-trip through JSON exactly.
         Hit { key: key.into(), sort: (hash % 1_000_000) as f64, body }
     }
 }
--- a/crates/sablebay-standin/src/deployment.rs
+++ b/crates/sablebay-standin/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The users' deployments at today's sizes, and any other set of services over leaves.
+//! Sample deployments: services, their shards and the leaves that hold them.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -11,63 +11,55 @@
 use crate::leaf::{Leaf, LeafOptions};
 use crate::service_time::ServiceTime;
 
-/// One leaf to be.
+/// The parameters of a leaf.
 #[derive(Clone, Debug)]
 pub struct LeafPlan {
-    /// Its name.
     pub name: String,
-    /// Its zone.
     pub zone: String,
-    /// Calls that it runs at once.
+    /// Calls that run concurrently.
     pub slots: u32,
-    /// Connections that it takes.
+    /// Maximum number of connections.
     pub connections: u32,
 }
 
-/// One shard: partitions, and the leaves that hold them.
+/// A shard: partitions and the leaves that hold them.
 #[derive(Clone, Debug)]
 pub struct ShardPlan {
-    /// The partitions.
     pub partitions: PartitionSet,
-    /// The leaves.
     pub leaves: Vec<String>,
 }
 
-/// One service with an index of its own.
+/// A service with its own index.
 #[derive(Clone, Debug)]
 pub struct ServicePlan {
-    /// Its name, and that of its index.
+    /// Name of the service and of its index.
     pub name: String,
-    /// Its template.
     pub template: String,
-    /// Partitions of its index.
+    /// Number of partitions of the index.
     pub partitions: u32,
-    /// The shards.
     pub shards: Vec<ShardPlan>,
-    /// Replicas of each shard.
+    /// Number of replicas of each shard.
     pub replicas: u32,
 }
 
 /// A set of services over leaves.
 #[derive(Clone, Debug, Default)]
 pub struct Deployment {
-    /// The templates, as TOML tables under `templates`.
+    /// Bodies of the TOML tables under `templates`, by name.
     pub templates: BTreeMap<String, String>,
-    /// The services.
     pub services: Vec<ServicePlan>,
-    /// The leaves.
     pub leaves: Vec<LeafPlan>,
-    /// How long a leaf works on a call.
+    /// Service time of the leaves; a default applies if unset.
     pub service_time: Option<ServiceTime>,
 }
 
-/// The port of the first leaf in the examples' files.
+/// Port of the first leaf in the example files.
 const FIRST_EXAMPLE_PORT: u16 = 9_101;
-/// Documents of an outlet in each partition.
+/// The corpus of all leaves.
 pub const CORPUS: Corpus = Corpus { documents: 4 };
 
 impl Deployment {
-    /// Adds a service whose leaves form a ring: shard `i` is on leaf `i` and the ones after it.
+    /// Adds a service whose leaves form a ring: the replicas of a shard are on consecutive leaves.
     pub fn add_ring(&mut self, name: &str, template: &str, leaves: usize, shards: usize, zones: &[&str]) {
         const REPLICAS: usize = 2;
         const PARTITIONS_PER_SHARD: u32 = 2;
@@ -101,7 +93,7 @@
         });
     }
 
-    /// Tepung Raya's services: tail latency first.
+    /// A deployment that prioritizes tail latency.
     pub fn tepung_raya() -> Self {
         let zones = ["zone-a", "zone-b", "zone-c", "zone-d"];
         let mut deployment = Self::default();
@@ -119,7 +111,7 @@
         deployment
     }
 
-    /// Protokolia's services: coverage first.
+    /// A deployment that prioritizes coverage.
     pub fn protokolia() -> Self {
         let zones = ["zone-a", "zone-b", "zone-c"];
         let mut deployment = Self::default();
@@ -137,24 +129,22 @@
         deployment
     }
 
-    /// Adds a template.
     pub fn template(&mut self, name: &str, body: &str) {
         self.templates.insert(name.to_string(), body.to_string());
     }
 
-    /// The names of the services.
     pub fn service_names(&self) -> Vec<String> {
         self.services.iter().map(|service| service.name.clone()).collect()
     }
 
-    /// The partitions that a leaf holds.
+    /// Returns the partitions that a leaf holds.
     pub fn partitions_of(&self, leaf: &str) -> PartitionSet {
         let shards = self.services.iter().flat_map(|service| &service.shards);
         let held = shards.filter(|shard| shard.leaves.iter().any(|holder| holder == leaf));
         held.flat_map(|shard| shard.partitions.iter()).collect()
     }
 
-    /// The document that an operator publishes.
+    /// Renders the configuration document with the given revision.
     pub fn document(&self, revision: u64, addresses: &BTreeMap<String, SocketAddr>) -> String {
         let mut text = format!("revision = {revision}\n");
         for (name, body) in &self.templates {
@@ -187,17 +177,17 @@
         text
     }
 
-    /// Addresses on loopback with ports in a row, for the examples' files.
+    /// Returns loopback addresses with consecutive ports, for the example files.
     pub fn example_addresses(&self) -> BTreeMap<String, SocketAddr> {
         let address =
             |position: usize| SocketAddr::from(([127, 0, 0, 1], FIRST_EXAMPLE_PORT + position as u16));
         self.leaves.iter().enumerate().map(|(at, leaf)| (leaf.name.clone(), address(at))).collect()
     }
 
-    /// Starts every leaf, on any free ports.
+    /// Starts all leaves on ephemeral ports.
     ///
     /// # Errors
-    /// When one cannot listen.
+    /// Fails if a listener cannot be bound.
     pub async fn start_leaves(&self, seed: u64) -> Result<RunningLeaves, StandInError> {
         let mut leaves = BTreeMap::new();
         for (number, plan) in self.leaves.iter().enumerate() {
@@ -215,30 +205,29 @@
     }
 }
 
-/// Leaves that run, by name.
+/// Running leaves, by name.
 pub struct RunningLeaves {
-    /// The leaves.
     pub leaves: BTreeMap<String, Leaf>,
 }
 
 impl RunningLeaves {
-    /// Where each listens.
+    /// Returns the listen address of each leaf.
     pub fn addresses(&self) -> BTreeMap<String, SocketAddr> {
         self.leaves.iter().map(|(name, leaf)| (name.clone(), leaf.address)).collect()
     }
 
-    /// Calls that came in, over all leaves.
+    /// Total number of calls received.
     pub fn calls(&self) -> u64 {
         let count = |leaf: &Leaf| leaf.state.calls.load(std::sync::atomic::Ordering::Relaxed);
         self.leaves.values().map(count).sum()
     }
 
-    /// Operations that ran more than once, over all leaves together.
+    /// Number of operations that ran more than once across all leaves.
     pub fn operations_run_twice(&self) -> usize {
         self.operations().values().filter(|count| **count > 1).count()
     }
 
-    /// How often each operation ran, over all leaves together.
+    /// Number of runs of each operation across all leaves, by ticket.
     pub fn operations(&self) -> BTreeMap<String, u32> {
         let mut total: BTreeMap<String, u32> = BTreeMap::new();
         for leaf in self.leaves.values() {
--- a/crates/sablebay-standin/src/error.rs
+++ b/crates/sablebay-standin/src/error.rs
@@ -1,20 +1,17 @@
-//! Errors of this crate.
-
 use derive_more::{Display, Error, From};
 
-/// Why a stand-in could not start or do what it was asked.
+/// An error of a stand-in.
 #[derive(Debug, Display, Error, From)]
 pub enum StandInError {
-    /// A socket could not be opened.
+    /// A listener could not be bound.
     #[display("cannot listen: {_0}")]
     Listen(std::io::Error),
-    /// A revision was published that is not above the last one.
-    #[display("revision {revision} is not above {last}")]
+    /// The published revision is not greater than the last one.
+    #[display("revision {revision} is not greater than {last}")]
     #[from(skip)]
     StaleRevision {
-        /// The revision.
         revision: u64,
-        /// The last one published.
+        /// The last published revision.
         last: u64,
     },
 }
--- a/crates/sablebay-standin/src/leaf.rs
+++ b/crates/sablebay-standin/src/leaf.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a leaf, as `docs/BACKEND.md` describes one.
+//! A stand-in for a leaf that follows the protocol in `docs/BACKEND.md`.
 
 mod http;
 
@@ -23,31 +23,27 @@
 use crate::error::StandInError;
 use crate::service_time::ServiceTime;
 
-/// How a leaf is set up.
+/// Configuration of a leaf.
 #[derive(Clone, Debug)]
 pub struct LeafOptions {
-    /// Its name.
     pub name: String,
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
-    /// Calls that it runs at once.
+    /// Calls that run concurrently.
     pub slots: u32,
-    /// The partitions that it holds.
     pub partitions: PartitionSet,
-    /// The versions that it holds.
+    /// Index versions that the leaf holds.
     pub versions: Vec<SnapshotVersion>,
-    /// How long a call takes.
     pub service_time: ServiceTime,
-    /// Its documents.
     pub corpus: Corpus,
-    /// Calls that wait for a slot at the most; more are shed.
+    /// Maximum number of calls waiting for a slot; further calls are shed.
     pub queue: usize,
-    /// Seed of its random draws.
+    /// Seed of the service times.
     pub seed: u64,
 }
 
 impl LeafOptions {
-    /// A quick leaf that holds everything.
+    /// Options of a leaf with no service time that holds `partitions` at version 1.
     pub fn quick(name: &str, partitions: PartitionSet) -> Self {
         Self {
             name: name.to_string(),
@@ -63,29 +59,27 @@
     }
 }
 
-/// How a leaf misbehaves; changed while it runs.
+/// Faults of a leaf; can be changed at runtime.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LeafFaults {
-    /// Every call takes this many times as long.
+    /// Factor on the service time.
     pub slow_factor: f64,
-    /// Calls are taken and never answered.
+    /// Calls are accepted but never answered.
     pub black_hole: bool,
-    /// It is leaving: new calls are refused.
+    /// New calls are refused as draining.
     pub draining: bool,
-    /// Every call is shed.
     pub shedding: bool,
-    /// What the health endpoint says, whatever the truth is.
+    /// Overrides the health endpoint's result.
     pub claims_healthy: Option<bool>,
-    /// Each answer is sent twice.
     pub repeats_answers: bool,
-    /// Answers carry the call id of another call.
+    /// Answers carry a wrong call id.
     pub wrong_call_ids: bool,
-    /// Answers are at the version before the one asked for.
+    /// Answers are for the version before the requested one.
     pub wrong_version: bool,
-    /// Answers cover one partition more than was asked for.
+    /// Answers cover one partition more than requested.
     pub wrong_partitions: bool,
-    /// Calls take longer by a factor that falls from this to one during the first five seconds.
+    /// Initial factor on the service time; falls linearly to 1 during warm-up.
     pub cold_factor: f64,
 }
 
@@ -106,24 +100,22 @@
     }
 }
 
-/// What a leaf is and does; shared with whoever controls it.
+/// State of a leaf, shared with its controller.
 pub struct LeafState {
     options: LeafOptions,
-    /// How it misbehaves.
     pub faults: Mutex<LeafFaults>,
-    /// The partitions that it holds.
     pub partitions: Mutex<PartitionSet>,
-    /// The versions that it holds.
+    /// Index versions that the leaf holds.
     pub versions: Mutex<Vec<SnapshotVersion>>,
-    /// Calls that came in.
+    /// Number of calls received.
     pub calls: AtomicU64,
-    /// Calls that came in while draining: what must stop soon.
+    /// Number of calls received while draining.
     pub calls_while_draining: AtomicU64,
-    /// Calls that were cancelled before they were done.
+    /// Number of calls cancelled while running.
     pub cancelled: AtomicU64,
-    /// Connections that are open.
+    /// Number of open connections.
     pub connections: AtomicU32,
-    /// The most connections that were open at once.
+    /// Maximum number of simultaneously open connections.
     pub connections_peak: AtomicU32,
     operations: Mutex<HashMap<String, u32>>,
     in_flight: AtomicU32,
@@ -136,7 +128,7 @@
     stopped: AtomicBool,
 }
 
-/// How long a leaf takes to warm up.
+/// Duration of the warm-up.
 const WARM_UP: Duration = Duration::from_secs(5);
 
 impl LeafState {
@@ -163,12 +155,12 @@
         }
     }
 
-    /// How often each operation ran, by ticket.
+    /// Number of runs of each operation, by ticket.
     pub fn operations(&self) -> HashMap<String, u32> {
         self.operations.lock().clone()
     }
 
-    /// What it says of its load.
+    /// Returns the reported load.
     pub fn load(&self) -> LeafLoad {
         LeafLoad {
             in_flight: self.in_flight.load(Ordering::Relaxed),
@@ -178,7 +170,7 @@
         }
     }
 
-    /// Whether a call takes no time and meets no fault, so that it can be answered at once.
+    /// Whether calls can be answered synchronously: no service time and no faults.
     fn is_immediate(&self) -> bool {
         self.options.service_time.median_us == 0.0 && *self.faults.lock() == LeafFaults::default()
     }
@@ -194,7 +186,7 @@
         }
     }
 
-    /// Why a call is refused before it starts.
+    /// Returns the reason to refuse a call before it starts, if any.
     fn reason_to_refuse(&self, call: &LeafCall) -> Option<LeafRefusal> {
         let faults = self.faults.lock();
         if faults.draining {
@@ -230,7 +222,7 @@
         LeafAnswer { call_id, version, partitions, hits, refusal: None, load: self.load() }
     }
 
-    /// Runs one call. Nothing when it is never answered.
+    /// Runs a call. Never completes if the leaf is a black hole.
     async fn run(&self, caller: &str, call: &LeafCall) -> Option<LeafAnswer> {
         self.calls.fetch_add(1, Ordering::Relaxed);
         if let Some(refusal) = self.reason_to_refuse(call) {
@@ -258,7 +250,7 @@
         })
     }
 
-    /// Waits for a slot, and works for the service time.
+    /// Waits for a slot, then holds it for the service time.
     async fn work(&self) {
         let waiting = Counted::new(&self.waiting);
         let slot = self.slots.acquire().await;
@@ -291,7 +283,7 @@
     }
 }
 
-/// The outlet that a query asks for; zero when it names none.
+/// Returns the outlet of a query, or 0 if it names none.
 fn outlet_of(call: &LeafCall) -> u64 {
     #[derive(Deserialize)]
     struct OutletQuery {
@@ -301,7 +293,7 @@
     serde_json::from_str::<OutletQuery>(call.query.get()).map_or(0, |query| query.outlet)
 }
 
-/// Raises a count until dropped.
+/// Increments a counter until dropped.
 struct Counted<'a> {
     count: &'a AtomicU32,
 }
@@ -319,11 +311,10 @@
     }
 }
 
-/// A running leaf; ends when dropped.
+/// A running leaf; stops when dropped.
 pub struct Leaf {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
-    /// What it is and does.
     pub state: Arc<LeafState>,
     task: JoinHandle<()>,
 }
@@ -332,7 +323,7 @@
     /// Starts a leaf.
     ///
     /// # Errors
-    /// When it cannot listen.
+    /// Fails if the listener cannot be bound.
     pub async fn start(options: LeafOptions) -> Result<Leaf, StandInError> {
         let listener = TcpListener::bind(options.address).await?;
         let address = listener.local_addr()?;
--- a/crates/sablebay-standin/src/leaf/http.rs
+++ b/crates/sablebay-standin/src/leaf/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP side of a leaf.
+//! HTTP interface of a leaf.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -26,7 +26,7 @@
 
 use super::{Counted, LeafFaults, LeafState};
 
-/// Serves connections until the task is dropped, which ends them too.
+/// Serves connections until the task is dropped, which also closes them.
 pub async fn serve(listener: TcpListener, state: Arc<LeafState>) {
     let routes = routes(state.clone());
     let mut connections = JoinSet::new();
@@ -34,7 +34,7 @@
         let Ok((stream, _)) = listener.accept().await else {
             return;
         };
-        // A failure to set the option costs some latency, and nothing else.
+        // Without TCP_NODELAY only latency suffers.
         let _ = stream.set_nodelay(true);
         let service = TowerToHyperService::new(routes.clone());
         let state = state.clone();
@@ -43,7 +43,7 @@
             let open = state.connections.load(Ordering::Relaxed);
             state.connections_peak.fetch_max(open, Ordering::Relaxed);
             let connection = hyper::server::conn::http1::Builder::new();
-            // How a connection ends is the other side's matter.
+            // Connection errors are the client's concern.
             let _ = connection.serve_connection(TokioIo::new(stream), service).await;
         });
         while connections.try_join_next().is_some() {}
@@ -65,7 +65,7 @@
 }
 
 fn line(answer: &LeafAnswer) -> Bytes {
-    let mut text = serde_json::to_vec(answer).expect("a plain structure is written without error");
+    let mut text = serde_json::to_vec(answer).expect("serializing a plain structure cannot fail");
     text.push(b'\n');
     text.into()
 }
@@ -84,7 +84,7 @@
         tokio::spawn(async move {
             let repeats = state.faults.lock().repeats_answers;
             if let Some(answer) = state.run(&caller, &call).await {
-                // A caller that is gone wants no answer.
+                // The send fails only if the caller has disconnected.
                 let _ = lines.send(line(&answer));
                 if repeats {
                     let _ = lines.send(line(&answer));
@@ -132,7 +132,7 @@
     if faults.shedding {
         return Json(refuse(LeafRefusal::Shedding));
     }
-    // Counted before the work: from here on it counts as run, whatever becomes of the answer.
+    // Counted before the work starts: the operation has run even if its answer is lost.
     *state.operations.lock().entry(operation.ticket.clone()).or_default() += 1;
     state.work().await;
     if faults.black_hole {
--- a/crates/sablebay-standin/src/lib.rs
+++ b/crates/sablebay-standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what sablebay meets from outside: the platform, leaves, the network between,
-//! and callers with a checker of what they are told. For tests and experiments alone.
+//! Stand-ins for the external parts of a sablebay deployment: platform, leaves, network and
+//! callers that check their answers. For tests and experiments only.
 
 mod corpus;
 mod deployment;
--- a/crates/sablebay-standin/src/load.rs
+++ b/crates/sablebay-standin/src/load.rs
@@ -1,4 +1,4 @@
-//! Callers: a client, a checker of what it is told, and an open-loop load.
+//! Callers: a client, an answer checker and an open-loop load generator.
 
 mod check;
 mod client;
@@ -19,42 +19,38 @@
 pub use check::{CheckedAnswer, Violation, check_answer};
 pub use client::{CallerClient, OperationOutcome, QueryOutcome};
 
-/// What load to put on.
+/// Configuration of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
-    /// The nodes, in turn. May change while the load runs.
+    /// Nodes, used round-robin. May change during the run.
     pub nodes: Arc<Mutex<Vec<SocketAddr>>>,
-    /// The services, drawn by their weights.
+    /// Services, drawn by weight.
     pub services: Vec<WeightedService>,
-    /// Queries a second, at exponentially distributed intervals.
+    /// Mean queries per second; intervals are exponentially distributed.
     pub rate: f64,
-    /// For how long.
     pub duration: Duration,
-    /// Hits wanted.
+    /// Requested number of hits.
     pub limit: usize,
-    /// The callers' deadline.
     pub deadline_ms: Option<u64>,
-    /// What the right answers are.
+    /// The corpus from which expected answers are computed.
     pub corpus: Corpus,
-    /// Seed of the arrival times and outlets.
+    /// Seed of arrival times, services and outlets.
     pub seed: u64,
-    /// Queries in the beginning that are checked and not timed.
+    /// Initial period whose queries are checked but not timed.
     pub warm_up: Duration,
-    /// How often a `not_run` refusal is asked again at the next node.
+    /// Maximum attempts of a query; a `not_run` refusal is retried at the next node.
     pub attempts: u32,
 }
 
-/// A service, and its part of the load.
+/// A service and its weight in the load.
 #[derive(Clone, Debug)]
 pub struct WeightedService {
-    /// The service.
     pub name: String,
-    /// Its weight.
     pub weight: f64,
 }
 
 impl WeightedService {
-    /// Services of equal weight.
+    /// Returns services of equal weight.
     pub fn equal(names: &[String]) -> Vec<WeightedService> {
         names.iter().map(|name| WeightedService { name: name.clone(), weight: 1.0 }).collect()
     }
@@ -73,34 +69,29 @@
     services[services.len() - 1].name.clone()
 }
 
-/// What came of a load.
+/// Results of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadSummary {
-    /// Queries sent.
     pub queries: u64,
-    /// Queries answered.
     pub answered: u64,
-    /// Answers with nothing missing.
+    /// Answers with full coverage.
     pub full: u64,
-    /// Refusals that said `not_run`, at the last attempt.
+    /// Queries refused as `not_run` at the last attempt.
     pub not_run: u64,
-    /// Refusals that said `unknown`.
+    /// Queries refused as `unknown`.
     pub unknown: u64,
-    /// Connections that failed without an answer.
+    /// Connections lost before an answer.
     pub connections_lost: u64,
     /// Latencies of timed answers, in microseconds.
     pub latency_us: Histogram<u64>,
-    /// Calls to leaves.
     pub leaf_calls: u64,
-    /// Hedges.
     pub hedges: u64,
-    /// Retries.
     pub retries: u64,
-    /// What must never happen.
+    /// A violated guarantee.
     pub violations: Vec<Violation>,
-    /// Why queries had no answer, and why partitions were missing, with how often.
+    /// Reasons for missing answers and partitions, with their counts.
     pub reasons: BTreeMap<String, u64>,
-    /// Per second of the run: answers, and full answers among them.
+    /// Per second of the run: answers, and answers with full coverage.
     pub coverage_over_time: Vec<(u64, u64)>,
 }
 
@@ -125,24 +116,24 @@
 }
 
 impl LoadSummary {
-    /// A latency quantile in milliseconds.
+    /// Returns a latency quantile in milliseconds.
     pub fn latency_ms(&self, quantile: f64) -> f64 {
         self.latency_us.value_at_quantile(quantile) as f64 / 1_000.0
     }
 
-    /// Extra calls as a share of first calls.
+    /// Ratio of hedges and retries to first calls.
     pub fn extra_load(&self) -> f64 {
         let extra = self.hedges + self.retries;
         let first = self.leaf_calls.saturating_sub(extra).max(1);
         extra as f64 / first as f64
     }
 
-    /// The share of queries that were answered in full.
+    /// Fraction of queries answered with full coverage.
     pub fn full_coverage(&self) -> f64 {
         self.full as f64 / self.queries.max(1) as f64
     }
 
-    /// How many violations there are of one kind.
+    /// Counts the violations of one kind.
     pub fn count(&self, kind: Violation) -> usize {
         self.violations.iter().filter(|violation| **violation == kind).count()
     }
@@ -188,7 +179,7 @@
     }
 }
 
-/// Puts on an open-loop load: a slow answer does not hold the next query back.
+/// Runs an open-loop load: queries are sent on schedule regardless of pending answers.
 pub async fn run_load(options: LoadOptions) -> LoadSummary {
     let summary = Arc::new(Mutex::new(LoadSummary::default()));
     let mut clients: HashMap<SocketAddr, Arc<CallerClient>> = HashMap::new();
--- a/crates/sablebay-standin/src/load/check.rs
+++ b/crates/sablebay-standin/src/load/check.rs
@@ -1,4 +1,4 @@
-//! Checks an answer against what the right one is.
+//! Checks answers against the corpus.
 
 use std::collections::HashSet;
 
@@ -11,42 +11,41 @@
 
 use crate::corpus::{Corpus, StoredHit};
 
-/// What must never happen.
+/// A violated guarantee.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Violation {
-    /// Hits of two versions, or of another than the one reported.
+    /// A hit's version differs from the reported one.
     #[display("mixed_answers")]
     MixedVersions,
-    /// A document twice.
+    /// A document occurs more than once.
     #[display("doubled_hits")]
     DoubledHit,
-    /// Coverage that does not add up, or hits that do not fit it.
+    /// The coverage is inconsistent or does not match the hits.
     #[display("false_coverage")]
     FalseCoverage,
-    /// Hits for another caller's query.
+    /// A hit belongs to another caller's query.
     #[display("foreign_answers")]
     ForeignAnswer,
 }
 
-/// An answer, and what is wrong with it.
+/// An answer and its violations.
 #[derive(Clone, Debug)]
 pub struct CheckedAnswer {
-    /// Whether nothing is missing.
+    /// Whether the coverage is full.
     pub is_full: bool,
-    /// The version reported.
+    /// The reported index version.
     pub version: u64,
-    /// The revision reported.
+    /// The reported configuration revision.
     pub revision: u64,
-    /// The work reported.
+    /// The reported work.
     pub work: Work,
-    /// Why partitions are missing.
+    /// Reasons for missing partitions.
     pub missing: Vec<GapReason>,
-    /// What is wrong.
     pub violations: Vec<Violation>,
 }
 
-/// Checks an answer for `outlet`.
+/// Checks an answer to a query for `outlet`.
 pub fn check_answer(answer: &QueryAnswer, outlet: u64, limit: usize, corpus: &Corpus) -> CheckedAnswer {
     let mut violations = Vec::new();
     let mut keys = HashSet::new();
--- a/crates/sablebay-standin/src/load/client.rs
+++ b/crates/sablebay-standin/src/load/client.rs
@@ -1,4 +1,4 @@
-//! A caller's client of one node.
+//! Client of a node's caller interface.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,53 +17,46 @@
 use super::check::{CheckedAnswer, check_answer};
 use crate::corpus::Corpus;
 
-/// Connections of one client.
+/// Maximum connections of a client.
 const CONNECTIONS: usize = 4_096;
-/// How long a caller waits at the most.
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What came of a query.
+/// Outcome of a query.
 #[derive(Clone, Debug)]
 pub enum QueryOutcome {
-    /// It was answered.
     Answered(CheckedAnswer),
-    /// It did not run: the node said so, or could not be reached.
+    /// The query did not run: the node refused it or was unreachable.
     NotRun {
-        /// The node's reason; absent when the node could not be reached.
+        /// The node's reason; `None` if the node was unreachable.
         reason: Option<Reason>,
-        /// When to come back.
         retry_after_ms: Option<u64>,
     },
-    /// The node does not know.
+    /// The node does not know whether the query ran.
     Unknown {
-        /// The node's reason.
         reason: Reason,
     },
-    /// The connection ended without an answer.
+    /// The connection was lost before an answer.
     ConnectionLost,
 }
 
-/// What came of an operation.
+/// Outcome of an operation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperationOutcome {
-    /// It ran.
-    Done {
-        /// Its ticket.
-        ticket: String,
-    },
-    /// The node says that it did not run and never will; or it could not be reached.
+    /// The operation ran.
+    Done { ticket: String },
+    /// The operation did not run and never will, or the node was unreachable.
     NotRun {
-        /// The node's reason; absent when the node could not be reached.
+        /// The node's reason; `None` if the node was unreachable.
         reason: Option<Reason>,
     },
-    /// Whether it ran is not known.
+    /// Whether the operation ran is unknown.
     Unknown {
-        /// The node's reason; absent when the connection ended.
+        /// The node's reason; `None` if the connection was lost.
         reason: Option<Reason>,
     },
 }
 
-/// A caller's client of one node.
+/// Client of a node's caller interface.
 pub struct CallerClient {
     pool: ConnectionPool,
 }
@@ -76,7 +69,6 @@
 }
 
 impl CallerClient {
-    /// A client of the node at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self { pool: ConnectionPool::new(address, CONNECTIONS) }
     }
@@ -104,7 +96,7 @@
         Ok((status, body.to_bytes()))
     }
 
-    /// Sends a query for the orders of an outlet, and checks the answer.
+    /// Queries the orders of an outlet and checks the answer.
     pub async fn query(
         &self,
         service: &str,
@@ -131,7 +123,7 @@
         }
     }
 
-    /// Asks for a ticket.
+    /// Requests an operation ticket.
     pub async fn ticket(&self, service: &str) -> Option<String> {
         let request = post(format!("/v1/services/{service}/tickets"), String::new());
         match self.exchange::<TicketAnswer>(request).await {
@@ -140,7 +132,6 @@
         }
     }
 
-    /// Submits an operation.
     pub async fn operation(
         &self,
         service: &str,
@@ -166,7 +157,7 @@
         }
     }
 
-    /// What became of a ticket.
+    /// Returns the status of a ticket.
     pub async fn ticket_state(&self, ticket: &str) -> Option<TicketStatusAnswer> {
         let mut request = Request::new(Full::default());
         *request.uri_mut() = format!("/v1/tickets/{ticket}").parse().ok()?;
@@ -176,7 +167,7 @@
         }
     }
 
-    /// The body at a path, whatever the status.
+    /// Sends a request; returns status and body regardless of the status.
     pub async fn send(&self, method: Method, path: &str, body: &str) -> Option<(StatusCode, Bytes)> {
         let mut request = post(path.to_string(), body.to_string());
         *request.method_mut() = method;
--- a/crates/sablebay-standin/src/platform.rs
+++ b/crates/sablebay-standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's service: configuration by revision, and the list of machines.
+//! A stand-in for the platform service: versioned configuration and the machine list.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,24 +20,23 @@
 
 use crate::error::StandInError;
 
-/// What the platform serves.
+/// Which document the platform serves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlatformMode {
-    /// The newest document.
     #[default]
     Newest,
-    /// The oldest document that it has kept: a replica that fell behind.
+    /// The oldest document, as from a stale replica.
     Oldest,
-    /// The newest to every other read, the one before it to the rest.
+    /// The newest and the previous document, alternating per read.
     Split,
-    /// Newest and oldest in turns of ten reads.
+    /// The newest and the oldest document, alternating every ten reads.
     Flapping,
-    /// Nothing: every request fails.
+    /// Every request fails.
     Down,
 }
 
-/// What the platform has; shared with whoever controls it.
+/// State of the platform, shared with its controller.
 #[derive(Default)]
 pub struct PlatformState {
     documents: Mutex<Vec<Arc<str>>>,
@@ -47,10 +46,10 @@
 }
 
 impl PlatformState {
-    /// Publishes a document, as operators do.
+    /// Publishes a document.
     ///
     /// # Errors
-    /// When its revision is not above the last one's.
+    /// Fails if the revision is not greater than the last one.
     pub fn publish(&self, text: &str) -> Result<(), StandInError> {
         let mut documents = self.documents.lock();
         let last = documents.last().map_or(0, |document| revision_of(document));
@@ -62,22 +61,20 @@
         Ok(())
     }
 
-    /// Puts a document in place whatever its revision: two operators who both were told "yes".
+    /// Stores a document regardless of its revision, as after two concurrent publications.
     pub fn force(&self, text: &str) {
         self.documents.lock().push(Arc::from(text));
     }
 
-    /// Changes what is served.
     pub fn set_mode(&self, mode: PlatformMode) {
         *self.mode.lock() = mode;
     }
 
-    /// Changes the list of machines.
     pub fn set_machines(&self, machines: MachineList) {
         *self.machines.lock() = machines;
     }
 
-    /// How often the configuration was asked for.
+    /// Number of reads of the configuration.
     pub fn reads(&self) -> u64 {
         self.reads.load(Ordering::Relaxed)
     }
@@ -100,27 +97,25 @@
     }
 }
 
-/// The revision that a document claims.
+/// Returns the revision of a document, or 0 if it has none.
 fn revision_of(text: &str) -> u64 {
     let line = text.lines().find_map(|line| line.trim().strip_prefix("revision"));
     let number = line.and_then(|rest| rest.trim().strip_prefix('='));
     number.and_then(|number| number.trim().parse().ok()).unwrap_or(0)
 }
 
-/// A running platform; ends when dropped.
+/// A running platform; stops when dropped.
 pub struct Platform {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
-    /// What it has.
     pub state: Arc<PlatformState>,
     task: JoinHandle<()>,
 }
 
 impl Platform {
-    /// Starts a platform without a document.
     ///
     /// # Errors
-    /// When it cannot listen.
+    /// Fails if the listener cannot be bound.
     pub async fn start(address: SocketAddr) -> Result<Platform, StandInError> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -133,7 +128,7 @@
             .route("/control/machines", put(set_machines))
             .with_state(state.clone());
         let task = tokio::spawn(async move {
-            // The stand-in ends with its process.
+            // Errors are ignored: the server runs until its task is aborted.
             let _ = axum::serve(listener, routes).await;
         });
         Ok(Platform { address, state, task })
--- a/crates/sablebay-standin/src/proxy.rs
+++ b/crates/sablebay-standin/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy that injects faults, changeable while connections run through it.
+//! A fault-injecting TCP proxy; faults can be changed while connections are open.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,44 +15,44 @@
 
 use crate::error::StandInError;
 
-/// One way through the proxy.
+/// Direction of data through the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// From who connected to who listens.
+    /// From client to server.
     Forward,
-    /// Back.
+    /// From server to client.
     Back,
 }
 
-/// The faults of a proxy.
+/// Faults injected by a proxy.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Faults {
-    /// Time that every piece of data is held back.
+    /// Delay of each read chunk.
     pub delay: Duration,
-    /// Random time on top, up to this.
+    /// Maximum random delay in addition.
     pub jitter: Duration,
-    /// New connections are closed at once.
+    /// New connections are closed immediately.
     pub refuse: bool,
-    /// Data is taken and not forwarded, forward.
+    /// Data from the client is not forwarded.
     pub black_hole_forward: bool,
-    /// Data is taken and not forwarded, back.
+    /// Data from the server is not forwarded.
     pub black_hole_back: bool,
-    /// Connections are reset when this many bytes have gone back.
+    /// Connections are reset after this many bytes from the server.
     pub reset_after: Option<u64>,
-    /// Bytes a second each way.
+    /// Bytes per second in each direction.
     pub bandwidth: Option<u64>,
 }
 
 impl Faults {
-    /// A cut: nothing gets through either way, and nobody is told.
+    /// Silently drops traffic in both directions.
     pub fn cut() -> Self {
         Self { black_hole_forward: true, black_hole_back: true, ..Self::default() }
     }
 }
 
-/// A running proxy; ends when dropped.
+/// A running proxy; stops when dropped.
 pub struct Proxy {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
     target: Arc<Mutex<Option<SocketAddr>>>,
     faults: Arc<Mutex<Faults>>,
@@ -61,24 +61,23 @@
 }
 
 const BUFFER_BYTES: usize = 16 * 1024;
-/// How often a held-back direction looks whether it may go on.
+/// Interval at which a held direction checks the faults.
 const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Proxy {
-    /// Starts a proxy to `target`.
     ///
     /// # Errors
-    /// When it cannot listen.
+    /// Fails if the listener cannot be bound.
     pub async fn start(target: SocketAddr, seed: u64) -> Result<Proxy, StandInError> {
         let proxy = Self::start_without_target(seed).await?;
         proxy.set_target(target);
         Ok(proxy)
     }
 
-    /// Starts a proxy whose target is not known yet; until then connections are closed at once.
+    /// Starts a proxy that closes connections immediately until a target is set.
     ///
     /// # Errors
-    /// When it cannot listen.
+    /// Fails if the listener cannot be bound.
     pub async fn start_without_target(seed: u64) -> Result<Proxy, StandInError> {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
         let address = listener.local_addr()?;
@@ -89,12 +88,12 @@
         Ok(Proxy { address, target, faults, generation, task })
     }
 
-    /// Tells the proxy where connections go.
+    /// Sets the target of new connections.
     pub fn set_target(&self, target: SocketAddr) {
         *self.target.lock() = Some(target);
     }
 
-    /// Changes the faults, also for connections that are open.
+    /// Changes the faults, also of open connections.
     pub fn set(&self, faults: Faults) {
         *self.faults.lock() = faults;
     }
@@ -123,7 +122,7 @@
     while let Ok((client, _)) = listener.accept().await {
         let target = *target.lock();
         let Some(target) = target.filter(|_| !faults.lock().refuse) else {
-            // Closing with unread data pending resets the connection.
+            // Closing with unread data resets the connection.
             drop(client);
             continue;
         };
@@ -143,7 +142,7 @@
     let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    // Failing to set the options costs latency, and the wish to reset becomes a plain close.
+    // Without these options latency suffers and resets become plain closes.
     let _ = client.set_nodelay(true);
     let _ = server.set_nodelay(true);
     let _ = client.set_zero_linger();
@@ -155,7 +154,7 @@
     tokio::join!(forward.run(client_read, server_write), back.run(server_read, client_write));
 }
 
-/// Moves data one way.
+/// Forwards data in one direction.
 struct Pump {
     direction: Direction,
     faults: Arc<Mutex<Faults>>,
@@ -172,7 +171,7 @@
         let mut buffer = vec![0; BUFFER_BYTES];
         while let Ok(count) = from.read(&mut buffer).await {
             if count == 0 {
-                // The other side may still talk: a half-open connection is passed on as one.
+                // The other direction may still be open: forward the half-close.
                 let _ = to.shutdown().await;
                 return;
             }
@@ -193,8 +192,8 @@
         }
     }
 
-    /// Holds data back while the direction is a black hole; it comes through late afterwards,
-    /// as packets that are sent again do.
+    /// Holds data while the direction is a black hole. The data is delivered late afterwards,
+    /// like retransmitted packets.
     async fn hold(&self) {
         while self.is_held() {
             tokio::time::sleep(HOLD_POLL_INTERVAL).await;
