--- a/crates/sablebay-bench/src/soak/deployment.rs
+++ b/crates/sablebay-bench/src/soak/deployment.rs
@@ -1,4 +1,4 @@
-//! What surrounds the nodes in a soak: store, back ends, and a proxy on every way.
+//! The environment of a soak: nodes, store, back ends and a proxy on every link.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -26,99 +26,98 @@
 use crate::error::BenchError;
 use crate::processes::NodeCommand;
 
-/// Nodes of a soak.
+/// Number of nodes.
 pub const NODES: usize = 3;
-/// Replicas of each shard, and of the service of single requests.
-const COPIES: u8 = 2;
-/// The zones of back ends; the nodes are in the first.
+/// Replicas of each shard and of the single service.
+const REPLICAS: u8 = 2;
+/// Zones of the back ends; the nodes are in the first.
 pub const ZONES: [&str; 2] = ["zone-a", "zone-b"];
-/// All back ends.
-pub const LEAVES: usize = (SETS * SHARDS * COPIES + COPIES) as usize;
-/// What the records of single requests are made from; unlike every shard's.
+/// Number of back ends, without the fragile ones.
+pub const LEAVES: usize = (SETS * SHARDS * REPLICAS + REPLICAS) as usize;
+/// Record seed of the single service; differs from the seed of every shard.
 const SINGLE_SEED: u8 = 250;
-/// Back ends that end under some requests.
-const FRAGILE_COPIES: u8 = 3;
-/// How long one of these is gone.
-const FRAGILE_PAUSE: Duration = Duration::from_millis(300);
-/// The time between two writers that write again after a return of the store, and how many turns there are: two seconds.
-const WRITE_AGAIN_PERIOD: Duration = Duration::from_millis(250);
-const WRITE_AGAIN_TURNS: u32 = 9;
-/// How long a process may take to end, or to become ready.
-const PROCESS_PATIENCE: Duration = Duration::from_secs(30);
-
-/// A way between two parts.
+/// Number of back ends that crash on the fatal request.
+const FRAGILE_REPLICAS: u8 = 3;
+/// Delay before a crashed back end restarts.
+const FRAGILE_RESTART_DELAY: Duration = Duration::from_millis(300);
+/// Interval between rewrites of lost keys after a restore, and the number of intervals used.
+const REWRITE_PERIOD: Duration = Duration::from_millis(250);
+const REWRITE_SLOTS: u32 = 9;
+/// Timeout for a process to exit or become ready.
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// A proxied connection path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Link {
     /// From callers to a node.
     Callers(usize),
     /// From a node to the store.
     Store(usize),
     /// From other nodes to a node.
     Peers(usize),
-    /// From all nodes to a back end.
+    /// From nodes to a back end.
     Leaf(usize),
 }
 
-/// A back end with the proxy before it.
+/// A back end behind a proxy.
 struct SoakLeaf {
     leaf: LeafStandIn,
     proxy: Proxy,
-    /// As announced: with the proxy's address.
+    /// The replica as announced, with the proxy's address.
     announced: Replica,
 }
 
-/// One place for a node, with the proxies around it. The process in it comes and goes.
-struct NodePlace {
+/// A node's proxies and its current process, if any.
+struct NodeSlot {
     plan: NodePlan,
     callers: Proxy,
     store: Proxy,
     peers: Proxy,
     process: Option<SoakNode>,
-    /// Whether the process was told to stop.
+    /// Whether a planned stop is in progress.
     stopping: bool,
-    /// Counts the lives of the place.
-    life: u64,
+    /// Number of processes started in this slot.
+    incarnation: u64,
 }
 
-/// What ends at a time.
-enum Ending {
+/// The scheduled end of a fault.
+enum Recovery {
     Resume(usize),
     Start(usize),
-    Heal(Way),
+    Heal(Link),
     Store,
-    Return,
-    WriteAgain(String),
+    RestoreStore,
+    Rewrite(String),
     Leaf(usize),
 }
 
-/// Everything that surrounds the nodes, and the nodes.
+/// The nodes and their environment.
 pub struct SoakDeployment {
     command: NodeCommand,
     store: StoreStandIn,
     leaves: Vec<SoakLeaf>,
-    /// Records of back ends that left.
+    /// Records of retired back ends.
     retired: Vec<LeafRecord>,
-    /// Back ends that end under some requests, and are started again. No proxy stands before them: it would take
-    /// connections for a process that is not there.
+    /// Back ends that crash on the fatal request and restart. They have no proxy, which would
+    /// accept connections while the process is down.
     fragile: Vec<RestartingLeaf>,
-    places: Vec<NodePlace>,
-    endings: Vec<(Instant, Ending)>,
+    slots: Vec<NodeSlot>,
+    recoveries: Vec<(Instant, Recovery)>,
     version: u64,
     set: u8,
-    /// Whether the guest has its key.
+    /// Whether the guest key is valid.
     with_guest: bool,
     keys: KeyHistory,
-    lives: u32,
+    incarnations: u32,
     seed: u64,
-    /// Holds what is seen against the promises.
+    /// Checks observations against the promises.
     pub checker: Arc<Checker>,
 }
 
 impl SoakDeployment {
-    /// Starts everything.
     ///
     /// # Errors
-    /// When a stand-in or a node does not start.
+    /// Fails if a stand-in or a node does not start.
     pub async fn start(options: &SoakOptions, checker: Arc<Checker>) -> Result<Self, BenchError> {
         let mut deployment = Self {
             command: NodeCommand::with_break(options.broken.as_deref())?,
@@ -126,34 +125,34 @@
             leaves: Vec::new(),
             retired: Vec::new(),
             fragile: Vec::new(),
-            places: Vec::new(),
-            endings: Vec::new(),
+            slots: Vec::new(),
+            recoveries: Vec::new(),
             version: 0,
             set: 0,
             with_guest: true,
             keys: KeyHistory::default(),
-            lives: 0,
+            incarnations: 0,
             seed: options.seed,
             checker,
         };
         for set in 0..SETS {
             for shard in 0..SHARDS {
-                for copy in 0..COPIES {
+                for copy in 0..REPLICAS {
                     let leaf = deployment.start_leaf(&shard_service(set, shard), set, shard, copy).await?;
                     deployment.leaves.push(leaf);
                 }
             }
         }
-        for copy in 0..COPIES {
+        for copy in 0..REPLICAS {
             let leaf = deployment.start_leaf(&single_service(), SETS, 0, copy).await?;
             deployment.leaves.push(leaf);
         }
-        for copy in 0..FRAGILE_COPIES {
+        for copy in 0..FRAGILE_REPLICAS {
             let leaf = deployment.start_fragile(copy).await?;
             deployment.fragile.push(leaf);
         }
         deployment.publish();
-        deployment.start_places(options.logs.clone()).await?;
+        deployment.start_slots(options.logs.clone()).await?;
         Ok(deployment)
     }
 
@@ -164,12 +163,13 @@
         shard: u8,
         copy: u8,
     ) -> Result<SoakLeaf, BenchError> {
-        self.lives += 1;
-        let id = format!("{set}-{shard}-{copy}-{}", self.lives);
+        self.incarnations += 1;
+        let id = format!("{set}-{shard}-{copy}-{}", self.incarnations);
         let seed = if set < SETS { ShardIdentity { set, shard }.seed() } else { SINGLE_SEED + copy };
         let zone = ZONES[usize::from(copy) % ZONES.len()];
         let leaf = LeafStandIn::start(&id, service, seed, zone).await?;
-        let proxy = Proxy::start(leaf.address(), self.seed.wrapping_add(u64::from(self.lives))).await?;
+        let proxy =
+            Proxy::start(leaf.address(), self.seed.wrapping_add(u64::from(self.incarnations))).await?;
         let announced = Replica { address: proxy.address, ..leaf.replica.clone() };
         self.store.announce(&announced);
         Ok(SoakLeaf { leaf, proxy, announced })
@@ -178,22 +178,22 @@
     async fn start_fragile(&self, copy: u8) -> Result<RestartingLeaf, BenchError> {
         let identity = LeafIdentity {
             name: format!("fragile-{copy}"),
-            // One of them starts again under its name.
+            // Odd replicas keep their name across restarts.
             keeps_name: copy % 2 == 1,
             service: fragile_service(),
-            shard: SINGLE_SEED + COPIES + copy,
+            shard: SINGLE_SEED + REPLICAS + copy,
             zone: ZONES[0].to_string(),
         };
         let behaviour = LeafBehaviour::CrashOn(FATAL_PATH);
-        Ok(RestartingLeaf::start(identity, behaviour, FRAGILE_PAUSE, self.store.registry()).await?)
+        Ok(RestartingLeaf::start(identity, behaviour, FRAGILE_RESTART_DELAY, self.store.registry()).await?)
     }
 
-    /// How often back ends ended under a request.
-    pub fn fragile_ended(&self) -> u32 {
+    /// Number of crashes on the fatal request.
+    pub fn fragile_crashes(&self) -> u32 {
         self.fragile.iter().map(RestartingLeaf::crash_count).sum()
     }
 
-    async fn start_places(&mut self, folder: PathBuf) -> Result<(), BenchError> {
+    async fn start_slots(&mut self, folder: PathBuf) -> Result<(), BenchError> {
         for position in 0..NODES {
             let seed = self.seed.wrapping_add(1_000 + position as u64);
             let callers = Proxy::start_without_target(seed).await?;
@@ -206,83 +206,83 @@
                 peers: Vec::new(),
                 folder: folder.clone(),
             };
-            self.places.push(NodePlace {
+            self.slots.push(NodeSlot {
                 plan,
                 callers,
                 store,
                 peers,
                 process: None,
                 stopping: false,
-                life: 0,
+                incarnation: 0,
             });
         }
-        let addresses: Vec<SocketAddr> = self.places.iter().map(|place| place.peers.address).collect();
+        let addresses: Vec<SocketAddr> = self.slots.iter().map(|slot| slot.peers.address).collect();
         for position in 0..NODES {
-            self.places[position].plan.peers = addresses.clone();
+            self.slots[position].plan.peers = addresses.clone();
             self.start_node(position)?;
         }
         Ok(())
     }
 
     fn start_node(&mut self, position: usize) -> Result<(), BenchError> {
-        let place = &mut self.places[position];
-        place.process = None;
-        place.stopping = false;
-        place.life += 1;
-        let node = SoakNode::start(&self.command, &place.plan)?;
-        place.callers.set_target(node.callers);
-        place.peers.set_target(node.peers);
-        place.process = Some(node);
+        let slot = &mut self.slots[position];
+        slot.process = None;
+        slot.stopping = false;
+        slot.incarnation += 1;
+        let node = SoakNode::start(&self.command, &slot.plan)?;
+        slot.callers.set_target(node.callers);
+        slot.peers.set_target(node.peers);
+        slot.process = Some(node);
         Ok(())
     }
 
-    /// The callers' way into a node, and the life of the process behind it.
-    pub fn way_in(&self, position: usize) -> (CallerStandIn, u64) {
-        let place = &self.places[position];
-        (CallerStandIn { address: place.callers.address }, place.life)
+    /// Returns a caller of a node and the node's incarnation.
+    pub fn caller_for(&self, position: usize) -> (CallerStandIn, u64) {
+        let slot = &self.slots[position];
+        (CallerStandIn { address: slot.callers.address }, slot.incarnation)
     }
 
-    /// The callers' ways into all nodes; they stay the same over all lives.
-    pub fn ways_in(&self) -> Vec<CallerStandIn> {
-        (0..NODES).map(|position| self.way_in(position).0).collect()
+    /// Returns callers of all nodes; they remain valid across restarts.
+    pub fn callers(&self) -> Vec<CallerStandIn> {
+        (0..NODES).map(|position| self.caller_for(position).0).collect()
     }
 
-    /// The newest version published.
+    /// The last published version.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The operator publishes the next configuration.
+    /// Publishes the next configuration.
     pub fn publish(&mut self) {
         self.version += 1;
         let tenants = tenants(self.version, self.with_guest);
-        let begun = Instant::now();
+        let started = Instant::now();
         self.store.publish_with_tenants(&configuration(self.version, self.set), &tenants);
-        self.keys.published(&tenants, begun, Instant::now());
+        self.keys.published(&tenants, started, Instant::now());
     }
 
-    /// The operator gives the guest its key, or takes it away.
+    /// Grants or revokes the guest key.
     pub fn publish_guest(&mut self, with_guest: bool) {
         self.with_guest = with_guest;
         self.publish();
     }
 
-    /// Who had which key when.
+    /// The assignments of keys to tenants over time.
     pub fn keys(&self) -> &KeyHistory {
         &self.keys
     }
 
-    /// Cuts a node off from the store, and all nodes from each other; or heals that.
+    /// Isolates a node from the store and all nodes from each other, or reconnects them.
     pub fn cut_off(&self, position: usize, cut: bool) {
         let faults = if cut { Faults::cut() } else { Faults::default() };
-        let peers = (0..NODES).map(Way::Peers);
-        for way in peers.chain([Way::Store(position)]) {
-            self.proxy(way).set(faults.clone());
+        let peers = (0..NODES).map(Link::Peers);
+        for link in peers.chain([Link::Store(position)]) {
+            self.proxy(link).set(faults.clone());
         }
     }
 
     async fn is_ready(&self, position: usize) -> bool {
-        let Some(node) = &self.places[position].process else {
+        let Some(node) = &self.slots[position].process else {
             return false;
         };
         let call = CallerCall { id: None, ..CallerCall::get("readiness", "/ready", "") };
@@ -290,82 +290,82 @@
         answer.is_ok_and(|answer| answer.status.as_u16() == 200)
     }
 
-    /// Waits until every node says that it can serve.
+    /// Waits until every node is ready.
     ///
     /// # Errors
-    /// When one does not in time.
+    /// Fails if a node is not ready in time.
     pub async fn wait_ready(&self) -> Result<(), BenchError> {
-        const LOOK: Duration = Duration::from_millis(50);
-        let end = Instant::now() + PROCESS_PATIENCE;
+        const POLL_INTERVAL: Duration = Duration::from_millis(50);
+        let end = Instant::now() + PROCESS_TIMEOUT;
         for position in 0..NODES {
             while !self.is_ready(position).await {
                 if Instant::now() > end {
                     let what = format!("node {position} becoming ready");
-                    return Err(BenchError::NotInTime { what, seconds: PROCESS_PATIENCE.as_secs() });
+                    return Err(BenchError::NotInTime { what, seconds: PROCESS_TIMEOUT.as_secs() });
                 }
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    fn proxy(&self, way: Way) -> &Proxy {
-        match way {
-            Way::Callers(position) => &self.places[position].callers,
-            Way::Store(position) => &self.places[position].store,
-            Way::Peers(position) => &self.places[position].peers,
-            Way::Leaf(position) => &self.leaves[position % self.leaves.len()].proxy,
+    fn proxy(&self, link: Link) -> &Proxy {
+        match link {
+            Link::Callers(position) => &self.slots[position].callers,
+            Link::Store(position) => &self.slots[position].store,
+            Link::Peers(position) => &self.slots[position].peers,
+            Link::Leaf(position) => &self.leaves[position % self.leaves.len()].proxy,
         }
     }
 
-    fn ends_after(&mut self, time: Duration, ending: Ending) {
-        self.endings.push((Instant::now() + time, ending));
+    fn schedule_recovery(&mut self, time: Duration, recovery: Recovery) {
+        self.recoveries.push((Instant::now() + time, recovery));
     }
 
     /// Injects a fault.
     ///
     /// # Errors
-    /// When a node does not start.
+    /// Fails if a node does not start.
     pub async fn inject(&mut self, fault: &Fault) -> Result<(), BenchError> {
         match fault {
             Fault::Pause(position, time) => {
-                if let Some(node) = &self.places[*position].process {
+                if let Some(node) = &self.slots[*position].process {
                     node.process.pause();
                 }
-                self.ends_after(*time, Ending::Resume(*position));
+                self.schedule_recovery(*time, Recovery::Resume(*position));
             }
             Fault::Kill(position, time) => {
-                self.places[*position].process = None;
-                self.ends_after(*time, Ending::Start(*position));
+                self.slots[*position].process = None;
+                self.schedule_recovery(*time, Recovery::Start(*position));
             }
             Fault::Terminate(position, time) => {
-                let place = &mut self.places[*position];
-                if let Some(node) = &place.process {
+                let slot = &mut self.slots[*position];
+                if let Some(node) = &slot.process {
                     node.process.resume();
                     node.process.terminate();
-                    place.stopping = true;
+                    slot.stopping = true;
                 }
-                self.ends_after(*time, Ending::Start(*position));
+                self.schedule_recovery(*time, Recovery::Start(*position));
             }
-            Fault::Disturb(way, faults, time) => {
-                self.proxy(*way).set(faults.clone());
-                self.ends_after(*time, Ending::Heal(*way));
+            Fault::Disturb(link, faults, time) => {
+                self.proxy(*link).set(faults.clone());
+                self.schedule_recovery(*time, Recovery::Heal(*link));
             }
-            Fault::Reset(way) => self.proxy(*way).reset_connections(),
+            Fault::Reset(link) => self.proxy(*link).reset_connections(),
             Fault::Store(mode, time) => {
                 self.store.set_mode(*mode);
-                self.ends_after(*time, Ending::Store);
+                self.schedule_recovery(*time, Recovery::Store);
             }
             Fault::ForgetHistory => self.store.compact_history(),
-            Fault::KeepCopy => self.store.take_backup(),
-            Fault::Return(away) => {
+            Fault::BackUpStore => self.store.take_backup(),
+            Fault::RestoreStore(away) => {
                 self.store.set_mode(StoreMode::Refusing);
-                self.ends_after(*away, Ending::Return);
+                self.schedule_recovery(*away, Recovery::RestoreStore);
             }
             Fault::Leaf(position, behaviour, time) => {
                 let position = position % self.leaves.len();
                 self.leaves[position].leaf.behave(*behaviour);
-                self.ends_after(*time, Ending::Leaf(position));
+                self.schedule_recovery(*time, Recovery::Leaf(position));
             }
             Fault::Service(shard, behaviour, time) => {
                 let service = shard.map_or_else(single_service, |shard| shard_service(self.set, shard));
@@ -373,7 +373,7 @@
                     (0..self.leaves.len()).filter(|at| self.leaves[*at].announced.service == service);
                 for position in of_shard.collect::<Vec<usize>>() {
                     self.leaves[position].leaf.behave(*behaviour);
-                    self.ends_after(*time, Ending::Leaf(position));
+                    self.schedule_recovery(*time, Recovery::Leaf(position));
                 }
             }
             Fault::Publish => self.publish(),
@@ -385,88 +385,86 @@
         Ok(())
     }
 
-    /// Ends the faults whose time is over.
+    /// Ends the faults whose time has elapsed.
     ///
     /// # Errors
-    /// When a node does not start.
-    pub async fn end_what_is_over(&mut self) -> Result<(), BenchError> {
+    /// Fails if a node does not start.
+    pub async fn run_due_recoveries(&mut self) -> Result<(), BenchError> {
         let now = Instant::now();
-        let (over, on): (Vec<_>, Vec<_>) = self.endings.drain(..).partition(|(at, _)| *at <= now);
-        self.endings = on;
-        for (_, ending) in over {
-            self.end(ending).await?;
+        let (due, pending): (Vec<_>, Vec<_>) = self.recoveries.drain(..).partition(|(at, _)| *at <= now);
+        self.recoveries = pending;
+        for (_, recovery) in due {
+            self.recover(recovery).await?;
         }
         Ok(())
     }
 
-    async fn end(&mut self, ending: Ending) -> Result<(), BenchError> {
-        match ending {
-            Ending::Resume(position) => {
-                if let Some(node) = &self.places[position].process {
+    async fn recover(&mut self, recovery: Recovery) -> Result<(), BenchError> {
+        match recovery {
+            Recovery::Resume(position) => {
+                if let Some(node) = &self.slots[position].process {
                     node.process.resume();
                 }
             }
-            Ending::Start(position) => {
-                let place = &mut self.places[position];
-                if let Some(node) = &mut place.process {
-                    // Another fault has started it already.
-                    if !place.stopping {
+            Recovery::Start(position) => {
+                let slot = &mut self.slots[position];
+                if let Some(node) = &mut slot.process {
+                    // Already restarted by another fault.
+                    if !slot.stopping {
                         return Ok(());
                     }
-                    // It may have been paused while it stopped.
+                    // The process may have been paused while stopping.
                     node.process.resume();
-                    node.process.wait_ended(PROCESS_PATIENCE).await;
+                    node.process.wait_ended(PROCESS_TIMEOUT).await;
                 }
                 self.start_node(position)?;
             }
-            Ending::Heal(way) => self.proxy(way).set(Faults::default()),
-            Ending::Store => self.store.set_mode(StoreMode::Serving),
-            Ending::Return => {
+            Recovery::Heal(link) => self.proxy(link).set(Faults::default()),
+            Recovery::Store => self.store.set_mode(StoreMode::Serving),
+            Recovery::RestoreStore => {
                 self.store.restore_backup();
                 self.store.set_mode(StoreMode::Serving);
                 for (number, key) in self.store.lost_keys().into_iter().enumerate() {
-                    let after = WRITE_AGAIN_PERIOD * (number as u32 % WRITE_AGAIN_TURNS);
-                    self.ends_after(after, Ending::WriteAgain(key));
+                    let after = REWRITE_PERIOD * (number as u32 % REWRITE_SLOTS);
+                    self.schedule_recovery(after, Recovery::Rewrite(key));
                 }
             }
-            Ending::WriteAgain(key) => self.store.rewrite_lost(&key),
-            Ending::Leaf(position) => self.leaves[position].leaf.behave(LeafBehaviour::Answer),
+            Recovery::Rewrite(key) => self.store.rewrite_lost(&key),
+            Recovery::Leaf(position) => self.leaves[position].leaf.behave(LeafBehaviour::Answer),
         }
         Ok(())
     }
 
-    /// Ends every fault.
     ///
     /// # Errors
-    /// When a node does not start, or does not become ready.
+    /// Fails if a node does not start or become ready.
     pub async fn heal(&mut self) -> Result<(), BenchError> {
-        for (_, ending) in std::mem::take(&mut self.endings) {
-            self.end(ending).await?;
+        for (_, recovery) in std::mem::take(&mut self.recoveries) {
+            self.recover(recovery).await?;
         }
         self.store.rewrite_all_lost();
         self.wait_ready().await
     }
 
-    /// The store keeps a copy of what it holds.
+    /// The store makes a copy of its contents.
     pub fn keep_copy(&self) {
         self.store.take_backup();
     }
 
-    /// The store comes back with its copy; nobody has written again.
-    pub fn come_back(&self) {
+    /// Restores the store from its copy, without rewrites.
+    pub fn restore_store(&self) {
         self.store.restore_backup();
     }
 
-    /// All writers of the store write again what was lost.
+    /// Rewrites all keys that the store lost.
     pub fn write_all_again(&self) {
         self.store.rewrite_all_lost();
     }
 
-    /// A back end of the set of shards in force leaves: it says so, and another takes its place.
-    /// Returns its position among those that left.
+    /// Drains a back end of a current shard and starts a replacement.
     ///
     /// # Errors
-    /// When the other does not start.
+    /// Fails if the replacement does not start.
     pub async fn drain_leaf(&mut self, shard: u8) -> Result<LeavingLeaf, BenchError> {
         let set = self.set;
         let service = shard_service(set, shard % SHARDS);
@@ -479,44 +477,42 @@
         Ok(LeavingLeaf { leaf: leaving })
     }
 
-    /// The operator evacuates a zone.
     pub fn evacuate(&self, zone: &str) {
         self.store.evacuate(&ZoneName::new(zone));
     }
 
-    /// The operator takes a zone back.
-    pub fn take_back(&self, zone: &str) {
+    pub fn lift_evacuation(&self, zone: &str) {
         self.store.lift_evacuation(&ZoneName::new(zone));
     }
 
-    /// Requests that arrived at the back ends of a zone.
+    /// Number of requests received by the back ends of a zone.
     pub fn arrivals_in(&self, zone: &str) -> u64 {
         let in_zone = self.leaves.iter().filter(|known| known.announced.zone.as_str() == zone);
         in_zone.map(|known| known.leaf.record().arrivals).sum()
     }
 
-    /// A back end that left ends.
+    /// Stops a drained back end and keeps its record.
     pub fn retire(&mut self, leaving: LeavingLeaf) {
         self.store.remove(&leaving.leaf.announced.id);
         self.retired.push(leaving.leaf.leaf.record());
     }
 
-    /// Stops a node as planned while `meanwhile` runs, and starts it again.
+    /// Performs a planned stop of a node and restarts it. Returns whether the process exited in time.
     ///
     /// # Errors
-    /// When it does not start again.
+    /// Fails if the node does not restart.
     pub async fn stop_as_planned(&mut self, position: usize) -> Result<bool, BenchError> {
         let mut ended = false;
-        if let Some(node) = &mut self.places[position].process {
+        if let Some(node) = &mut self.slots[position].process {
             node.process.terminate();
-            ended = node.process.wait_ended(PROCESS_PATIENCE).await;
+            ended = node.process.wait_ended(PROCESS_TIMEOUT).await;
         }
         self.start_node(position)?;
         self.wait_ready().await?;
         Ok(ended)
     }
 
-    /// Lets the back ends of single requests take this long.
+    /// Sets the service time of the single service's back ends.
     pub fn slow_singles(&self, work: Option<Duration>) {
         let behaviour = work.map_or(LeafBehaviour::Answer, LeafBehaviour::Slow);
         for known in self.leaves.iter().filter(|known| known.announced.service == single_service()) {
@@ -524,36 +520,35 @@
         }
     }
 
-    /// How often a request ran at the back ends that are there.
+    /// Number of runs of a request at the current back ends.
     pub fn runs_of(&self, id: &str) -> u32 {
         self.leaves.iter().map(|known| known.leaf.runs_of(id)).sum()
     }
 
-    /// Every request that arrived at a back end.
+    /// All requests received by back ends.
     pub fn calls(&self) -> Vec<LeafCall> {
         let fragile = self.fragile.iter().flat_map(RestartingLeaf::calls);
         self.records().into_iter().flat_map(|record| record.calls).chain(fragile).collect()
     }
 
-    /// The records of all back ends, those that left among them.
+    /// The records of all back ends, including retired ones.
     pub fn records(&self) -> Vec<LeafRecord> {
         let present = self.leaves.iter().map(|known| known.leaf.record());
         present.chain(self.retired.iter().cloned()).collect()
     }
 }
 
-/// A back end that said that it leaves, and still serves.
+/// A draining back end that still serves.
 pub struct LeavingLeaf {
     leaf: SoakLeaf,
 }
 
 impl LeavingLeaf {
-    /// Requests that arrived there so far.
+    /// Number of requests received so far.
     pub fn arrivals(&self) -> u64 {
         self.leaf.leaf.record().arrivals
     }
 
-    /// Its id.
     pub fn id(&self) -> String {
         self.leaf.announced.id.to_string()
     }
--- a/crates/sablebay-bench/src/soak/schedule.rs
+++ b/crates/sablebay-bench/src/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! The faults of a storm, drawn from the seed, and how they are played.
+//! Storms: randomly drawn sequences of faults.
 
 use std::time::Duration;
 
@@ -7,53 +7,53 @@
 use sablebay_platform_standin::{LeafBehaviour, StoreMode};
 use sablebay_standin::Faults;
 
-use super::deployment::{LEAVES, NODES, SoakDeployment, Way};
+use super::deployment::{LEAVES, Link, NODES, SoakDeployment};
 use super::routes::SHARDS;
 use crate::error::BenchError;
 
 /// One fault.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// A process stands still for a time.
+    /// Pauses a process for a time.
     Pause(usize, Duration),
-    /// A process is killed, and started again after a time.
+    /// Kills a process and restarts it after a time.
     Kill(usize, Duration),
-    /// A process is stopped as planned, and started again after a time.
+    /// Stops a process gracefully and restarts it after a time.
     Terminate(usize, Duration),
-    /// A way between two parts is disturbed for a time.
-    Disturb(Way, Faults, Duration),
-    /// Every connection on a way is reset.
-    Reset(Way),
-    /// The store behaves oddly for a time.
+    /// Injects network faults into a link for a time.
+    Disturb(Link, Faults, Duration),
+    /// Resets every connection of a link.
+    Reset(Link),
+    /// Sets a fault mode of the store for a time.
     Store(StoreMode, Duration),
-    /// The store forgets its history.
+    /// The store drops its history.
     ForgetHistory,
-    /// The store keeps a copy of what it holds.
-    KeepCopy,
-    /// The store is away for a time, and comes back with the copy; its writers write again one by one.
-    Return(Duration),
-    /// A back end answers oddly for a time.
+    /// The store makes a copy of its contents.
+    BackUpStore,
+    /// The store is down for a time and restored from the copy; lost keys are rewritten gradually.
+    RestoreStore(Duration),
+    /// Sets a faulty behaviour of a back end for a time.
     Leaf(usize, LeafBehaviour, Duration),
-    /// All back ends of a shard answer oddly for a time; nothing stands for those of the requests to
-    /// one back end.
+    /// Sets a faulty behaviour of all back ends of a shard for a time; `None` means the single
+    /// service.
     Service(Option<u8>, LeafBehaviour, Duration),
-    /// The operator publishes a configuration.
+    /// Publishes a configuration.
     Publish,
-    /// The operator publishes one that names the other set of shards.
+    /// Publishes a configuration with the other shard set.
     Reshard,
 }
 
-/// Faults with the time that each begins at, from the start of the storm.
+/// Faults with their start times relative to the start of the storm.
 #[derive(Clone, Debug)]
 pub struct Storm {
-    /// The faults in order.
+    /// The faults in order of time.
     pub faults: Vec<(Duration, Fault)>,
 }
 
-/// How long faults go on beginning.
-const STORM: Duration = Duration::from_secs(6);
-/// Bounds of the pause between two faults, in milliseconds.
-const GAP_MS: std::ops::Range<u64> = 100..600;
+/// Period in which faults start.
+const STORM_DURATION: Duration = Duration::from_secs(6);
+/// Range of the interval between faults.
+const FAULT_INTERVAL_MS: std::ops::Range<u64> = 100..600;
 
 fn milliseconds(random: &mut impl Rng, range: std::ops::Range<u64>) -> Duration {
     Duration::from_millis(random.random_range(range))
@@ -63,13 +63,13 @@
     choices[random.random_range(0..choices.len())].clone()
 }
 
-fn draw_way(random: &mut impl Rng) -> Way {
+fn draw_link(random: &mut impl Rng) -> Link {
     let node = random.random_range(0..NODES);
     match random.random_range(0..4) {
-        0 => Way::Callers(node),
-        1 => Way::Store(node),
-        2 => Way::Peers(node),
-        _ => Way::Leaf(random.random_range(0..LEAVES)),
+        0 => Link::Callers(node),
+        1 => Link::Store(node),
+        2 => Link::Peers(node),
+        _ => Link::Leaf(random.random_range(0..LEAVES)),
     }
 }
 
@@ -124,8 +124,10 @@
         0 => Fault::Pause(node, milliseconds(random, 100..1_500)),
         1 => Fault::Kill(node, milliseconds(random, 50..800)),
         2 => Fault::Terminate(node, milliseconds(random, 50..400)),
-        3..=5 => Fault::Disturb(draw_way(random), draw_disturbance(random), milliseconds(random, 200..2_500)),
-        6 => Fault::Reset(draw_way(random)),
+        3..=5 => {
+            Fault::Disturb(draw_link(random), draw_disturbance(random), milliseconds(random, 200..2_500))
+        }
+        6 => Fault::Reset(draw_link(random)),
         7..=9 => Fault::Store(draw_store_mode(random), milliseconds(random, 200..3_000)),
         10 => Fault::ForgetHistory,
         11..=12 => {
@@ -143,38 +145,37 @@
 }
 
 impl Storm {
-    /// Draws a storm.
     pub fn draw(random: &mut impl Rng) -> Self {
         let mut faults = Vec::new();
         let mut at = Duration::ZERO;
-        while at < STORM {
+        while at < STORM_DURATION {
             faults.push((at, draw_fault(random)));
-            at += milliseconds(random, GAP_MS);
+            at += milliseconds(random, FAULT_INTERVAL_MS);
         }
         Self { faults }
     }
 
-    /// Has the store come back from an older copy once or twice in the storm.
-    pub fn with_returns(mut self, random: &mut impl Rng) -> Self {
-        let half = (STORM / 2).as_millis() as u64;
-        self.faults.push((Duration::ZERO, Fault::KeepCopy));
+    /// Adds one or two restores of the store from an older copy.
+    pub fn with_store_restores(mut self, random: &mut impl Rng) -> Self {
+        let half = (STORM_DURATION / 2).as_millis() as u64;
+        self.faults.push((Duration::ZERO, Fault::BackUpStore));
         let first = milliseconds(random, 1_000..half);
-        self.faults.push((first, Fault::Return(milliseconds(random, 50..1_500))));
+        self.faults.push((first, Fault::RestoreStore(milliseconds(random, 50..1_500))));
         if random.random_bool(0.5) {
             let second = milliseconds(random, half..2 * half);
-            self.faults.push((second, Fault::Return(milliseconds(random, 50..1_500))));
+            self.faults.push((second, Fault::RestoreStore(milliseconds(random, 50..1_500))));
         }
         self.faults.sort_by_key(|(at, _)| *at);
         self
     }
 }
 
-/// Plays a storm; what it disturbs heals by [`SoakDeployment::heal`] at the latest.
+/// Plays a storm. Faults that outlast the storm end with [`SoakDeployment::heal`].
 pub async fn play(storm: &Storm, deployment: &mut SoakDeployment) -> Result<(), BenchError> {
-    let begun = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     for (at, fault) in &storm.faults {
-        tokio::time::sleep_until(begun + *at).await;
-        deployment.end_what_is_over().await?;
+        tokio::time::sleep_until(started + *at).await;
+        deployment.run_due_recoveries().await?;
         deployment.inject(fault).await?;
     }
     Ok(())
--- a/crates/sablebay-standin/src/load/client.rs
+++ b/crates/sablebay-standin/src/load/client.rs
@@ -1,4 +1,4 @@
-//! A caller's client of one node.
+//! Client of a node's caller interface.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,58 +17,51 @@
 use super::check::{CheckedAnswer, check_answer};
 use crate::corpus::Corpus;
 
-/// Connections of one client.
+/// Maximum connections of a client.
 const CONNECTIONS: usize = 4_096;
-/// How long a caller waits at the most.
-const PATIENCE: Duration = Duration::from_secs(60);
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What came of a query.
+/// Outcome of a query.
 #[derive(Clone, Debug)]
 pub enum QueryOutcome {
-    /// It was answered.
     Answered(CheckedAnswer),
-    /// It did not run: the node said so, or could not be reached.
+    /// The query did not run: the node refused it or was unreachable.
     NotRun {
-        /// The node's reason; absent when the node could not be reached.
+        /// The node's reason; `None` if the node was unreachable.
         reason: Option<Reason>,
-        /// When to come back.
         retry_after_ms: Option<u64>,
     },
-    /// The node does not know.
+    /// The node does not know whether the query ran.
     Unknown {
-        /// The node's reason.
         reason: Reason,
     },
-    /// The connection ended without an answer.
-    Cut,
+    /// The connection was lost before an answer.
+    ConnectionLost,
 }
 
-/// What came of an operation.
+/// Outcome of an operation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperationOutcome {
-    /// It ran.
-    Done {
-        /// Its ticket.
-        ticket: String,
-    },
-    /// The node says that it did not run and never will; or it could not be reached.
+    /// The operation ran.
+    Done { ticket: String },
+    /// The operation did not run and never will, or the node was unreachable.
     NotRun {
-        /// The node's reason; absent when the node could not be reached.
+        /// The node's reason; `None` if the node was unreachable.
         reason: Option<Reason>,
     },
-    /// Whether it ran is not known.
+    /// Whether the operation ran is unknown.
     Unknown {
-        /// The node's reason; absent when the connection ended.
+        /// The node's reason; `None` if the connection was lost.
         reason: Option<Reason>,
     },
 }
 
-/// A caller's client of one node.
+/// Client of a node's caller interface.
 pub struct CallerClient {
     pool: ConnectionPool,
 }
 
-enum Exchanged<T> {
+enum ExchangeOutcome<T> {
     Answer(T),
     Refused(Refusal),
     NotSent,
@@ -76,22 +69,21 @@
 }
 
 impl CallerClient {
-    /// A client of the node at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self { pool: ConnectionPool::new(address, CONNECTIONS) }
     }
 
-    async fn exchange<T: DeserializeOwned>(&self, request: Request<Full<Bytes>>) -> Exchanged<T> {
-        let exchanged = tokio::time::timeout(PATIENCE, self.fetch(request)).await;
-        let (status, body) = match exchanged {
+    async fn exchange<T: DeserializeOwned>(&self, request: Request<Full<Bytes>>) -> ExchangeOutcome<T> {
+        let result = tokio::time::timeout(CALL_TIMEOUT, self.fetch(request)).await;
+        let (status, body) = match result {
             Ok(Ok(fetched)) => fetched,
-            Ok(Err(ExchangeFailure::NotSent)) => return Exchanged::NotSent,
-            Ok(Err(ExchangeFailure::Broken)) | Err(_) => return Exchanged::Broken,
+            Ok(Err(ExchangeFailure::NotSent)) => return ExchangeOutcome::NotSent,
+            Ok(Err(ExchangeFailure::Broken)) | Err(_) => return ExchangeOutcome::Broken,
         };
         if status.is_success() {
-            return serde_json::from_slice(&body).map_or(Exchanged::Broken, Exchanged::Answer);
+            return serde_json::from_slice(&body).map_or(ExchangeOutcome::Broken, ExchangeOutcome::Answer);
         }
-        serde_json::from_slice(&body).map_or(Exchanged::Broken, Exchanged::Refused)
+        serde_json::from_slice(&body).map_or(ExchangeOutcome::Broken, ExchangeOutcome::Refused)
     }
 
     async fn fetch(&self, request: Request<Full<Bytes>>) -> Result<(StatusCode, Bytes), ExchangeFailure> {
@@ -104,7 +96,7 @@
         Ok((status, body.to_bytes()))
     }
 
-    /// Sends a query for the orders of an outlet, and checks the answer.
+    /// Queries the orders of an outlet and checks the answer.
     pub async fn query(
         &self,
         service: &str,
@@ -119,26 +111,27 @@
             request.headers_mut().insert(DEADLINE_HEADER, HeaderValue::from(deadline_ms));
         }
         match self.exchange::<QueryAnswer>(request).await {
-            Exchanged::Answer(answer) => QueryOutcome::Answered(check_answer(&answer, outlet, limit, corpus)),
-            Exchanged::Refused(refusal) if refusal.outcome == Outcome::NotRun => {
+            ExchangeOutcome::Answer(answer) => {
+                QueryOutcome::Answered(check_answer(&answer, outlet, limit, corpus))
+            }
+            ExchangeOutcome::Refused(refusal) if refusal.outcome == Outcome::NotRun => {
                 QueryOutcome::NotRun { reason: Some(refusal.reason), retry_after_ms: refusal.retry_after_ms }
             }
-            Exchanged::Refused(refusal) => QueryOutcome::Unknown { reason: refusal.reason },
-            Exchanged::NotSent => QueryOutcome::NotRun { reason: None, retry_after_ms: None },
-            Exchanged::Broken => QueryOutcome::Cut,
+            ExchangeOutcome::Refused(refusal) => QueryOutcome::Unknown { reason: refusal.reason },
+            ExchangeOutcome::NotSent => QueryOutcome::NotRun { reason: None, retry_after_ms: None },
+            ExchangeOutcome::Broken => QueryOutcome::ConnectionLost,
         }
     }
 
-    /// Asks for a ticket.
+    /// Requests an operation ticket.
     pub async fn ticket(&self, service: &str) -> Option<String> {
         let request = post(format!("/v1/services/{service}/tickets"), String::new());
         match self.exchange::<TicketAnswer>(request).await {
-            Exchanged::Answer(answer) => Some(answer.ticket),
+            ExchangeOutcome::Answer(answer) => Some(answer.ticket),
             _ => None,
         }
     }
 
-    /// Submits an operation.
     pub async fn operation(
         &self,
         service: &str,
@@ -154,31 +147,31 @@
             request.headers_mut().insert(DEADLINE_HEADER, HeaderValue::from(deadline_ms));
         }
         match self.exchange::<OperationAnswer>(request).await {
-            Exchanged::Answer(answer) => OperationOutcome::Done { ticket: answer.ticket },
-            Exchanged::Refused(refusal) if refusal.outcome == Outcome::NotRun => {
+            ExchangeOutcome::Answer(answer) => OperationOutcome::Done { ticket: answer.ticket },
+            ExchangeOutcome::Refused(refusal) if refusal.outcome == Outcome::NotRun => {
                 OperationOutcome::NotRun { reason: Some(refusal.reason) }
             }
-            Exchanged::Refused(refusal) => OperationOutcome::Unknown { reason: Some(refusal.reason) },
-            Exchanged::NotSent => OperationOutcome::NotRun { reason: None },
-            Exchanged::Broken => OperationOutcome::Unknown { reason: None },
+            ExchangeOutcome::Refused(refusal) => OperationOutcome::Unknown { reason: Some(refusal.reason) },
+            ExchangeOutcome::NotSent => OperationOutcome::NotRun { reason: None },
+            ExchangeOutcome::Broken => OperationOutcome::Unknown { reason: None },
         }
     }
 
-    /// What became of a ticket.
+    /// Returns the status of a ticket.
     pub async fn ticket_state(&self, ticket: &str) -> Option<TicketStatusAnswer> {
         let mut request = Request::new(Full::default());
         *request.uri_mut() = format!("/v1/tickets/{ticket}").parse().ok()?;
         match self.exchange::<TicketStatusAnswer>(request).await {
-            Exchanged::Answer(answer) => Some(answer),
+            ExchangeOutcome::Answer(answer) => Some(answer),
             _ => None,
         }
     }
 
-    /// The body at a path, whatever the status.
+    /// Sends a request; returns status and body regardless of the status.
     pub async fn send(&self, method: Method, path: &str, body: &str) -> Option<(StatusCode, Bytes)> {
         let mut request = post(path.to_string(), body.to_string());
         *request.method_mut() = method;
-        tokio::time::timeout(PATIENCE, self.fetch(request)).await.ok()?.ok()
+        tokio::time::timeout(CALL_TIMEOUT, self.fetch(request)).await.ok()?.ok()
     }
 }
 
--- a/crates/sablebay/tests/own_answer.rs
+++ b/crates/sablebay/tests/own_answer.rs
@@ -48,7 +48,7 @@
     let load = sablebay_standin::run_load(options).await;
     assert_eq!(load.violations, []);
     assert!(load.answered > 0);
-    assert!(load.cut > 0, "the proxy reset no connection, so the test exercised no fault");
+    assert!(load.connections_lost > 0, "the proxy reset no connection, so the test exercised no fault");
 }
 
 /// A late answer of a paused node must not be taken for the answer to the next request on the connection.
