--- a/crates/sablebay-bench/src/hollow.rs
+++ b/crates/sablebay-bench/src/hollow.rs
@@ -99,9 +99,9 @@
     /// Messages by kind.
     pub by_kind: BTreeMap<&'static str, (u64, u64)>,
     /// Bytes sent from one zone to another.
-    pub crossing_bytes: u64,
+    pub cross_zone_bytes: u64,
     /// Messages sent from one zone to another.
-    pub crossing_messages: u64,
+    pub cross_zone_messages: u64,
     /// Members that were believed dead though they ran.
     pub false_deaths: u64,
 }
@@ -269,7 +269,7 @@
     }
 
     /// Ends a node without warning.
-    pub fn end(&mut self, position: usize) {
+    pub fn crash(&mut self, position: usize) {
         self.nodes[position].running = false;
     }
 
@@ -341,8 +341,8 @@
         };
         let same_zone = self.zone(from) == self.zone(receiver);
         if !same_zone {
-            self.report.crossing_messages += 1;
-            self.report.crossing_bytes += bytes;
+            self.report.cross_zone_messages += 1;
+            self.report.cross_zone_bytes += bytes;
         }
         let (from_region, to_region) = (self.nodes[from].region, self.nodes[receiver].region);
         let cut_off = |position| self.cut_zone == Some(self.zone(position));
--- a/crates/sablebay-bench/tests/zone_traffic.rs
+++ b/crates/sablebay-bench/tests/zone_traffic.rs
@@ -57,10 +57,10 @@
             run_for(&mut fleet, Micros::from_secs(10));
             println!(
                 "{nodes} idle members: {} bytes across in 10 s, {} in all",
-                fleet.report.crossing_bytes, fleet.report.bytes
+                fleet.report.cross_zone_bytes, fleet.report.bytes
             );
             assert_eq!(fleet.report.false_deaths, 0);
-            fleet.report.crossing_messages / nodes as u64
+            fleet.report.cross_zone_messages / nodes as u64
         });
         println!("{nodes} members: {per_node} messages across each in 10 s");
         assert!(per_node <= 15, "{per_node} messages across in 10 s");
@@ -87,7 +87,7 @@
             let mut fleet = fleet(nodes, seed);
             fleet.note_leaf(3, leaf.clone());
             run_for(&mut fleet, Micros::from_millis(400));
-            fleet.report.crossing_messages
+            fleet.report.cross_zone_messages
         });
         println!(
             "{nodes} members: a leaving leaf is known after {time} ms, {crossings} messages across in 400 ms"
@@ -101,7 +101,7 @@
     for nodes in [140, 300] {
         let time = mean(|seed| {
             let mut fleet = fleet(nodes, seed);
-            fleet.end(5);
+            fleet.crash(5);
             let known = |fleet: &HollowFleet| {
                 let running = fleet.running();
                 running.iter().all(|observer| believes(fleet, *observer, 5, MemberStatus::Dead))
@@ -134,7 +134,7 @@
             let time = time_until(&mut fleet, Micros::from_secs(60), known).as_millis();
             println!(
                 "{nodes} members: a cut zone is suspected after {time} ms, {} messages across",
-                fleet.report.crossing_messages
+                fleet.report.cross_zone_messages
             );
             time
         });
