--- a/crates/sablebay-bench/src/cli.rs
+++ b/crates/sablebay-bench/src/cli.rs
@@ -72,7 +72,7 @@
 struct Arguments {
     options: BTreeMap<String, String>,
     repeated: Vec<(String, String)>,
-    words: Vec<String>,
+    positionals: Vec<String>,
 }
 
 impl Arguments {
@@ -94,7 +94,7 @@
                     arguments.options.insert(name, value);
                 }
                 Value(word) if command.is_empty() => command = word.string()?,
-                Value(word) => arguments.words.push(word.string()?),
+                Value(word) => arguments.positionals.push(word.string()?),
                 other => return Err(other.unexpected()),
             }
         }
@@ -175,7 +175,7 @@
         "gateway-cost" => gateway_cost(arguments).await?,
         "tenant-cost" => tenant_cost(arguments)?,
         "capacity" => capacity(arguments).await?,
-        "compare" => compare_two(arguments)?,
+        "compare" => compare_results(arguments)?,
         "platform" => platform(arguments).await?,
         "leaves" => leaves(arguments).await?,
         "leaf" => leaf(arguments).await?,
@@ -196,7 +196,7 @@
 }
 
 async fn run_one(arguments: &Arguments) -> Result<ExitCode, Failure> {
-    let name = arguments.words.first().ok_or_else(|| UsageError("run needs a name".to_string()))?;
+    let name = arguments.positionals.first().ok_or_else(|| UsageError("run needs a name".to_string()))?;
     let options = RunOptions {
         seed: arguments.parsed("seed")?.unwrap_or(1),
         broken: arguments.text("break").map(str::to_string),
@@ -208,9 +208,9 @@
     }
     progress.set_message(name.clone());
     progress.enable_steady_tick(Duration::from_millis(200));
-    let ran = run_experiment(name, &options).await;
+    let outcome = run_experiment(name, &options).await;
     progress.finish_and_clear();
-    let result = match ran {
+    let result = match outcome {
         Err(error @ (BenchError::UnknownExperiment { .. } | BenchError::UnknownMechanism { .. })) => {
             return Err(UsageError(error.to_string()).into());
         }
@@ -227,8 +227,8 @@
     }
     println!("{}", result.printed_line()?);
     // With a mechanism off, violations are what is wanted.
-    let fine = result.break_caught.unwrap_or(result.violations == 0);
-    Ok(if fine { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let succeeded = result.break_caught.unwrap_or(result.violations == 0);
+    Ok(if succeeded { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 async fn capacity(arguments: &Arguments) -> Result<(), Failure> {
@@ -241,8 +241,8 @@
     Ok(())
 }
 
-fn compare_two(arguments: &Arguments) -> Result<(), Failure> {
-    let [first, second] = arguments.words.as_slice() else {
+fn compare_results(arguments: &Arguments) -> Result<(), Failure> {
+    let [first, second] = arguments.positionals.as_slice() else {
         return Err(UsageError("compare needs two results".to_string()).into());
     };
     let (first, second) = (PathBuf::from(first), PathBuf::from(second));
@@ -251,7 +251,7 @@
 }
 
 /// Waits until the process is told to end.
-async fn wait_for_end() -> Result<(), Failure> {
+async fn wait_for_interrupt() -> Result<(), Failure> {
     tokio::signal::ctrl_c().await?;
     Ok(())
 }
@@ -262,7 +262,7 @@
         platform.state.publish(&std::fs::read_to_string(file)?)?;
     }
     println!("{}", serde_json::json!({ "address": platform.address }));
-    wait_for_end().await
+    wait_for_interrupt().await
 }
 
 async fn leaves(arguments: &Arguments) -> Result<(), Failure> {
@@ -291,7 +291,7 @@
         running.push(Leaf::start(options).await?);
     }
     println!("{}", serde_json::json!({ "leaves": running.len() }));
-    wait_for_end().await
+    wait_for_interrupt().await
 }
 
 async fn leaf(arguments: &Arguments) -> Result<(), Failure> {
@@ -310,7 +310,7 @@
     };
     let leaf = Leaf::start(options).await?;
     println!("{}", serde_json::json!({ "name": name, "address": leaf.address }));
-    wait_for_end().await
+    wait_for_interrupt().await
 }
 
 /// Leaves without service time, each with one partition; then the server of the floor.
@@ -330,7 +330,7 @@
     addresses.push(floor.local_addr()?);
     tokio::spawn(crate::experiment::serve_floor(floor));
     println!("{}", serde_json::to_string(&addresses)?);
-    wait_for_end().await
+    wait_for_interrupt().await
 }
 
 /// Measures what a gathered request costs a node.
@@ -460,12 +460,12 @@
         "violations": summary.violations.len(),
     });
     println!("{line}");
-    let fine = summary.violations.is_empty() && summary.answered > 0;
-    Ok(if fine { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let succeeded = summary.violations.is_empty() && summary.answered > 0;
+    Ok(if succeeded { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 fn deployment(arguments: &Arguments) -> Result<(), Failure> {
-    let name = arguments.words.first().map(String::as_str);
+    let name = arguments.positionals.first().map(String::as_str);
     let deployment = match name {
         Some("tepung-raya") => Deployment::tepung_raya(),
         Some("protokolia") => Deployment::protokolia(),
--- a/crates/sablebay-bench/src/configuration_cost.rs
+++ b/crates/sablebay-bench/src/configuration_cost.rs
@@ -87,8 +87,8 @@
     let read = process_cpu_time() - cpu;
     let configuration = configuration?;
     let changed = configuration_text(size, 2, 301);
-    let like = &configuration.document;
-    let (next, reread) = count_allocations(|| Configuration::parse_with_base("capacity", &changed, like));
+    let base = &configuration.document;
+    let (next, reread) = count_allocations(|| Configuration::parse_with_base("capacity", &changed, base));
     let next = next?;
     let sent = (*configuration.document).clone();
     let (joined, joining) = count_allocations(|| Configuration::from_document(sent));
--- a/crates/sablebay-bench/src/experiment/at_most_once.rs
+++ b/crates/sablebay-bench/src/experiment/at_most_once.rs
@@ -31,9 +31,9 @@
     let mut submissions = Vec::new();
     let rounds = ((ROUNDS * options.scale) as usize).max(6);
     for round in 0..rounds {
-        submissions.extend(one_round(&mut cluster, round, &mut random).await?);
+        submissions.extend(run_round(&mut cluster, round, &mut random).await?);
     }
-    judge(&cluster, &submissions, &mut result);
+    check_outcomes(&cluster, &submissions, &mut result);
     if options.broken.is_some() {
         result.break_caught = Some(result.violations > 0);
     }
@@ -72,7 +72,7 @@
     InjectedFault::PauseAndCut,
 ];
 
-async fn one_round(
+async fn run_round(
     cluster: &mut ProcessCluster,
     round: usize,
     random: &mut SmallRng,
@@ -90,9 +90,9 @@
     let (mut submissions, ()) = tokio::join!(submitting, injecting);
     recover(cluster, victim, fault).await?;
     // Again, and now through one node alone: a caller that lost its answer.
-    let again = cluster.nodes[random.random_range(0..cluster.nodes.len())].client();
+    let retry_client = cluster.nodes[random.random_range(0..cluster.nodes.len())].client();
     for ticket in &tickets {
-        let outcome = again.operation(SERVICE, Some(ticket), Some(DEADLINE_MS)).await;
+        let outcome = retry_client.operation(SERVICE, Some(ticket), Some(DEADLINE_MS)).await;
         submissions.push(Submission { ticket: ticket.clone(), outcome });
     }
     Ok(submissions)
@@ -155,9 +155,9 @@
 }
 
 /// Holds what callers were told against what the leaves ran.
-fn judge(cluster: &ProcessCluster, submissions: &[Submission], result: &mut ExperimentResult) {
-    let ran = cluster.leaves.operations();
-    let times_run = |ticket: &str| ran.get(ticket_id(ticket)).copied().unwrap_or(0);
+fn check_outcomes(cluster: &ProcessCluster, submissions: &[Submission], result: &mut ExperimentResult) {
+    let run_counts = cluster.leaves.operations();
+    let run_count = |ticket: &str| run_counts.get(ticket_id(ticket)).copied().unwrap_or(0);
     let (mut done, mut not_run, mut unknown, mut unreached) = (0u64, 0u64, 0u64, 0u64);
     let mut false_not_run = 0;
     let mut false_done = 0;
@@ -166,11 +166,11 @@
         match &submission.outcome {
             OperationOutcome::Done { .. } => {
                 done += 1;
-                false_done += u64::from(times_run(&submission.ticket) == 0);
+                false_done += u64::from(run_count(&submission.ticket) == 0);
             }
             OperationOutcome::NotRun { reason: Some(reason) } => {
                 not_run += 1;
-                false_not_run += u64::from(times_run(&submission.ticket) > 0);
+                false_not_run += u64::from(run_count(&submission.ticket) > 0);
                 count(&mut reasons, *reason);
             }
             OperationOutcome::NotRun { reason: None } => unreached += 1,
@@ -184,7 +184,7 @@
     }
     let tickets: std::collections::BTreeSet<&str> =
         submissions.iter().map(|submission| submission.ticket.as_str()).collect();
-    let run_once = tickets.iter().filter(|ticket| times_run(ticket) == 1).count();
+    let run_once = tickets.iter().filter(|ticket| run_count(ticket) == 1).count();
     result.violation("run_twice", cluster.leaves.operations_run_twice() as u64);
     result.violation("false_not_run", false_not_run);
     result.violation("false_done", false_done);
--- a/crates/sablebay-bench/src/experiment/brownout.rs
+++ b/crates/sablebay-bench/src/experiment/brownout.rs
@@ -21,16 +21,16 @@
 pub async fn run(options: &RunOptions) -> Result<ExperimentResult, BenchError> {
     let mut result = options.result("brownout");
     let budget = !options.breaks("budget");
-    let (sound, slow) = one_run(options, budget).await?;
+    let (healthy, slow) = one_run(options, budget).await?;
     let (_, unbounded) = one_run(options, false).await?;
     result.figure("extra_load", slow.extra_load());
-    result.figure("sound_extra_load", sound.extra_load());
+    result.figure("sound_extra_load", healthy.extra_load());
     result.figure("goodput", slow.full as f64 / slow.queries.max(1) as f64);
     result.figure("p99_ms", slow.latency_ms(0.99));
     result.figure("no_budget_extra_load", unbounded.extra_load());
     result.figure("no_budget_goodput", unbounded.full as f64 / unbounded.queries.max(1) as f64);
     result.figure("no_budget_p99_ms", unbounded.latency_ms(0.99));
-    result.violations = (sound.violations.len() + slow.violations.len()) as u64;
+    result.violations = (healthy.violations.len() + slow.violations.len()) as u64;
     let reached = slow.extra_load() <= LOAD_GOAL;
     result.violation("over_budget", u64::from(!reached));
     if options.broken.is_some() {
@@ -54,11 +54,11 @@
     load.deadline_ms = Some(DEADLINE_MS);
     load.attempts = 1;
     load.warm_up = Duration::from_secs(1);
-    let sound = run_load(load.clone()).await;
+    let healthy = run_load(load.clone()).await;
     for leaf in cluster.leaves.leaves.values() {
         leaf.state.faults.lock().slow_factor = SLOW_FACTOR;
     }
     let slow = run_load(load).await;
     cluster.stop().await;
-    Ok((sound, slow))
+    Ok((healthy, slow))
 }
--- a/crates/sablebay-bench/src/experiment/drain.rs
+++ b/crates/sablebay-bench/src/experiment/drain.rs
@@ -16,8 +16,8 @@
 const RATE: f64 = 100.0;
 /// How long after the first word new work may still come.
 const GRACE: Duration = Duration::from_secs(3);
-const BY_FLAG: &str = "desk-leaf-1";
-const BY_LIST: &str = "desk-leaf-3";
+const FLAGGED_LEAF: &str = "desk-leaf-1";
+const LISTED_LEAF: &str = "desk-leaf-3";
 
 /// Runs the experiment.
 pub async fn run(options: &RunOptions) -> Result<ExperimentResult, BenchError> {
@@ -64,7 +64,7 @@
         (run_load(load).await, 0)
     };
     let in_flight = |name: &str| cluster.leaves.leaves[name].state.load().in_flight;
-    let in_flight_finished = in_flight(BY_FLAG) == 0 && in_flight(BY_LIST) == 0;
+    let in_flight_finished = in_flight(FLAGGED_LEAF) == 0 && in_flight(LISTED_LEAF) == 0;
     cluster.stop().await;
     Ok(Run { load, late_calls, in_flight_finished })
 }
@@ -72,16 +72,16 @@
 /// Drains two leaves; returns the calls that came to them after the grace.
 async fn drain(cluster: &Cluster, options: &RunOptions) -> u64 {
     tokio::time::sleep(options.seconds(1.0)).await;
-    cluster.leaves.leaves[BY_FLAG].state.faults.lock().draining = true;
+    cluster.leaves.leaves[FLAGGED_LEAF].state.faults.lock().draining = true;
     let machine =
-        Machine { name: BY_LIST.to_string(), role: MachineRole::Leaf, address: None, leaving: true };
+        Machine { name: LISTED_LEAF.to_string(), role: MachineRole::Leaf, address: None, leaving: true };
     cluster.platform.state.set_machines(MachineList { machines: vec![machine] });
     tokio::time::sleep(GRACE).await;
     let calls = |name: &str| cluster.leaves.leaves[name].state.calls.load(Ordering::Relaxed);
-    let before = calls(BY_FLAG) + calls(BY_LIST);
+    let before = calls(FLAGGED_LEAF) + calls(LISTED_LEAF);
     tokio::time::sleep(options.seconds(3.0)).await;
     // A leaf that is leaving still holds its version; nothing but the word keeps work away.
-    let holds = cluster.leaves.leaves[BY_LIST].state.versions.lock().contains(&SnapshotVersion(1));
+    let holds = cluster.leaves.leaves[LISTED_LEAF].state.versions.lock().contains(&SnapshotVersion(1));
     debug_assert!(holds);
-    calls(BY_FLAG) + calls(BY_LIST) - before
+    calls(FLAGGED_LEAF) + calls(LISTED_LEAF) - before
 }
--- a/crates/sablebay-bench/src/experiment/leaf_cost.rs
+++ b/crates/sablebay-bench/src/experiment/leaf_cost.rs
@@ -129,12 +129,12 @@
     )?;
     let node = Node::start(settings, NodeMechanisms::default(), None).await?;
     wait_for("a ready node", 60, || node.shared.freshness.is_ready()).await?;
-    ask_for(&node, parallel, options.seconds(2.0)).await;
+    run_queries(&node, parallel, options.seconds(2.0)).await;
     let counters = &node.shared.client_counters;
     let (calls, batches) = (counters.calls.load(Ordering::Relaxed), counters.batches.load(Ordering::Relaxed));
     let cpu = process_cpu_time();
     let started = Instant::now();
-    let (latency, incomplete) = ask_for(&node, parallel, options.seconds(5.0)).await;
+    let (latency, incomplete) = run_queries(&node, parallel, options.seconds(5.0)).await;
     let elapsed = started.elapsed();
     let cpu = process_cpu_time() - cpu;
     let calls = (counters.calls.load(Ordering::Relaxed) - calls) as f64;
@@ -151,12 +151,12 @@
 }
 
 /// Runs queries from several tasks; latencies, and how many answers were not complete.
-async fn ask_for(node: &Node, parallel: usize, duration: Duration) -> (Histogram<u64>, u64) {
+async fn run_queries(node: &Node, parallel: usize, duration: Duration) -> (Histogram<u64>, u64) {
     let started = Instant::now();
-    let mut asking = tokio::task::JoinSet::new();
+    let mut workers = tokio::task::JoinSet::new();
     for number in 0..parallel {
         let shared = node.shared.clone();
-        asking.spawn(async move {
+        workers.spawn(async move {
             let mut latency = histogram();
             let mut incomplete = 0u64;
             while started.elapsed() < duration {
@@ -167,9 +167,9 @@
                     sort: SortOrder::Descending,
                     deadline_ms: None,
                 };
-                let asked = Instant::now();
+                let sent_at = Instant::now();
                 let answer = root_search(&shared, &ServiceId::new(SERVICE), input).await;
-                latency.saturating_record(asked.elapsed().as_micros() as u64);
+                latency.saturating_record(sent_at.elapsed().as_micros() as u64);
                 let complete = answer.is_ok_and(|answer| answer.coverage.missing.is_empty());
                 incomplete += u64::from(!complete);
             }
@@ -178,7 +178,7 @@
     }
     let mut latency = histogram();
     let mut incomplete = 0;
-    for (other, count) in asking.join_all().await {
+    for (other, count) in workers.join_all().await {
         latency.add(&other).expect("the bounds are the same");
         incomplete += count;
     }
--- a/crates/sablebay-bench/src/experiment/leaf_cost/floor.rs
+++ b/crates/sablebay-bench/src/experiment/leaf_cost/floor.rs
@@ -45,13 +45,13 @@
 pub async fn measure(server: SocketAddr, batch: usize, duration: Duration) -> Result<f64, BenchError> {
     let before = process_cpu_time();
     let started = Instant::now();
-    let mut calling = tokio::task::JoinSet::new();
+    let mut workers = tokio::task::JoinSet::new();
     for _ in 0..CONNECTIONS {
-        calling.spawn(call_frames(server, batch, started, duration));
+        workers.spawn(call_frames(server, batch, started, duration));
     }
     let mut calls = 0;
-    for called in calling.join_all().await {
-        calls += called?;
+    for completed in workers.join_all().await {
+        calls += completed?;
     }
     let cpu = process_cpu_time() - before;
     Ok(cpu.as_secs_f64() * 1e6 / calls as f64)
--- a/crates/sablebay-bench/src/experiment/lying_health.rs
+++ b/crates/sablebay-bench/src/experiment/lying_health.rs
@@ -21,15 +21,15 @@
 pub async fn run(options: &RunOptions) -> Result<ExperimentResult, BenchError> {
     let mut result = options.result("lying-health");
     let observed = one_run(options, !options.breaks("observation")).await?;
-    let blind = one_run(options, false).await?;
+    let unobserved = one_run(options, false).await?;
     result.figure("black_hole_share", observed.black_hole_share);
     result.figure("reported_sick_share", observed.reported_sick_share);
     result.figure("full_coverage", observed.load.full_coverage());
     result.figure("p99_ms", observed.load.latency_ms(0.99));
     result.figure("extra_load", observed.load.extra_load());
-    result.figure("no_observation_black_hole_share", blind.black_hole_share);
-    result.figure("no_observation_full_coverage", blind.load.full_coverage());
-    result.figure("no_observation_p99_ms", blind.load.latency_ms(0.99));
+    result.figure("no_observation_black_hole_share", unobserved.black_hole_share);
+    result.figure("no_observation_full_coverage", unobserved.load.full_coverage());
+    result.figure("no_observation_p99_ms", unobserved.load.latency_ms(0.99));
     result.violations = observed.load.violations.len() as u64;
     let over = observed.black_hole_share > SHARE_GOAL;
     result.violation("black_hole_over_share", u64::from(over));
@@ -61,13 +61,13 @@
     let calls = |leaf: &str| cluster.leaves.leaves[leaf].state.calls.load(Ordering::Relaxed);
     let first = cluster.load(RATE, Duration::from_secs(1), options.seed);
     run_load(first).await;
-    let (hole_before, reported_sick_before, all_before) =
+    let (black_hole_before, reported_sick_before, all_before) =
         (calls(BLACK_HOLE), calls(REPORTED_SICK), cluster.leaves.calls());
     let load = run_load(cluster.load(RATE, options.seconds(6.0), options.seed + 1)).await;
     let all = (cluster.leaves.calls() - all_before).max(1) as f64;
     let run = Run {
         load,
-        black_hole_share: (calls(BLACK_HOLE) - hole_before) as f64 / all,
+        black_hole_share: (calls(BLACK_HOLE) - black_hole_before) as f64 / all,
         reported_sick_share: (calls(REPORTED_SICK) - reported_sick_before) as f64 / all,
     };
     cluster.stop().await;
--- a/crates/sablebay-bench/src/experiment/never_reverts.rs
+++ b/crates/sablebay-bench/src/experiment/never_reverts.rs
@@ -44,13 +44,13 @@
         random: SmallRng::seed_from_u64(options.seed),
         published: Vec::new(),
         seen: HashMap::new(),
-        everywhere: Version::default(),
+        accepted: Version::default(),
         reverts: 0,
         below_accepted: 0,
         replaced: 0,
         conflicts: 0,
     };
-    history.play()?;
+    history.run_revisions()?;
     result.violation("reverts", history.reverts);
     result.violation("served_below_accepted", history.below_accepted);
     result.violation("left_behind", history.left_behind());
@@ -70,7 +70,7 @@
     /// The highest version seen in force on each node.
     seen: HashMap<usize, Version>,
     /// The highest version that was in force on every running node at once.
-    everywhere: Version,
+    accepted: Version,
     reverts: u64,
     below_accepted: u64,
     replaced: u64,
@@ -78,14 +78,14 @@
 }
 
 impl History {
-    fn play(&mut self) -> Result<(), BenchError> {
+    fn run_revisions(&mut self) -> Result<(), BenchError> {
         for revision in 1..=REVISIONS {
             self.published.push(small_configuration(revision, revision)?);
             // Two operators publish at once: two contents under one revision.
             if revision % 4 == 0 {
                 self.published.push(small_configuration(revision, revision + 1_000)?);
             }
-            self.act(revision);
+            self.inject_fault(revision);
             self.run_seconds(12, revision);
         }
         self.fleet.set_cut(None);
@@ -101,7 +101,7 @@
     }
 
     /// Brings about what goes with a revision.
-    fn act(&mut self, revision: u64) {
+    fn inject_fault(&mut self, revision: u64) {
         match revision % 3 {
             0 => self.fleet.set_cut(Some((0, 1))),
             1 => self.fleet.set_cut(None),
@@ -160,10 +160,10 @@
             self.reverts += u64::from(version < *seen);
             *seen = (*seen).max(version);
             let serves = self.fleet.machine(*position).is_ready(now) && !self.fleet.is_paused(*position);
-            self.below_accepted += u64::from(serves && version < self.everywhere);
+            self.below_accepted += u64::from(serves && version < self.accepted);
         }
         let lowest = running.iter().map(|position| self.fleet.version(*position)).min();
-        self.everywhere = self.everywhere.max(lowest.unwrap_or_default());
+        self.accepted = self.accepted.max(lowest.unwrap_or_default());
     }
 
     /// Nodes that at the end do not have what the others have.
--- a/crates/sablebay-bench/src/experiment/overhead.rs
+++ b/crates/sablebay-bench/src/experiment/overhead.rs
@@ -27,20 +27,20 @@
     let cluster = start(NodeCommand::with_break(None)?).await?;
     let node = cluster.nodes[0].client();
     let direct = DirectCaller::new(&cluster);
-    let mut through_node = histogram();
-    let mut by_itself = histogram();
+    let mut node_latency = histogram();
+    let mut direct_latency = histogram();
     let pairs = (PAIRS * options.scale) as u64;
     for outlet in 0..pairs {
         // In turns, so that both see the machine in the same state.
         let started = Instant::now();
-        direct.ask_both(outlet).await?;
-        let took_direct = started.elapsed();
+        direct.call_both(outlet).await?;
+        let direct_elapsed = started.elapsed();
         let started = Instant::now();
         let outcome = node.query(SERVICE, outlet, LIMIT, None, &CORPUS).await;
-        let took_node = started.elapsed();
+        let node_elapsed = started.elapsed();
         if outlet >= pairs / 10 {
-            by_itself.saturating_record(took_direct.as_nanos() as u64);
-            through_node.saturating_record(took_node.as_nanos() as u64);
+            direct_latency.saturating_record(direct_elapsed.as_nanos() as u64);
+            node_latency.saturating_record(node_elapsed.as_nanos() as u64);
         }
         match outcome {
             QueryOutcome::Answered(checked) => result.violations += checked.violations.len() as u64,
@@ -48,13 +48,13 @@
         }
     }
     let us = |histogram: &Histogram<u64>, quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1e3;
-    result.figure("direct_p50_us", us(&by_itself, 0.5));
-    result.figure("direct_p99_us", us(&by_itself, 0.99));
-    result.figure("p50_us", us(&through_node, 0.5));
-    result.figure("p99_us", us(&through_node, 0.99));
-    result.figure("added_p50_us", us(&through_node, 0.5) - us(&by_itself, 0.5));
-    result.figure("added_p99_us", us(&through_node, 0.99) - us(&by_itself, 0.99));
-    result.figure("p99_ratio", us(&through_node, 0.99) / us(&by_itself, 0.99));
+    result.figure("direct_p50_us", us(&direct_latency, 0.5));
+    result.figure("direct_p99_us", us(&direct_latency, 0.99));
+    result.figure("p50_us", us(&node_latency, 0.5));
+    result.figure("p99_us", us(&node_latency, 0.99));
+    result.figure("added_p50_us", us(&node_latency, 0.5) - us(&direct_latency, 0.5));
+    result.figure("added_p99_us", us(&node_latency, 0.99) - us(&direct_latency, 0.99));
+    result.figure("p99_ratio", us(&node_latency, 0.99) / us(&direct_latency, 0.99));
     let (queries, cpu) = saturate(&cluster, options.seconds(5.0)).await?;
     result.figure("queries_per_second_per_core", queries / cpu.as_secs_f64());
     Ok(result)
@@ -83,12 +83,12 @@
         Self { pools: pools.collect() }
     }
 
-    async fn ask_both(&self, outlet: u64) -> Result<(), BenchError> {
-        let (first, second) = tokio::join!(self.ask(0, outlet), self.ask(1, outlet));
+    async fn call_both(&self, outlet: u64) -> Result<(), BenchError> {
+        let (first, second) = tokio::join!(self.call_leaf(0, outlet), self.call_leaf(1, outlet));
         first.and(second)
     }
 
-    async fn ask(&self, number: usize, outlet: u64) -> Result<(), BenchError> {
+    async fn call_leaf(&self, number: usize, outlet: u64) -> Result<(), BenchError> {
         let query = serde_json::value::to_raw_value(&serde_json::json!({ "outlet": outlet }))?;
         let first = number as u32 * 2;
         let call = LeafCall {
@@ -103,8 +103,8 @@
         };
         let batch = SearchBatch { caller: "direct".to_string(), calls: vec![call] };
         let body = serde_json::to_vec(&batch)?;
-        let exchanged = self.pools[number].exchange(Method::POST, SEARCH_PATH, body.into()).await;
-        let answer = exchanged.map_err(|error| std::io::Error::other(error.to_string()))?;
+        let response = self.pools[number].exchange(Method::POST, SEARCH_PATH, body.into()).await;
+        let answer = response.map_err(|error| std::io::Error::other(error.to_string()))?;
         let line = answer.split(|byte| *byte == b'\n').next().unwrap_or_default();
         let _: sablebay_protocol::backend::LeafAnswer = serde_json::from_slice(line)?;
         Ok(())
@@ -116,10 +116,10 @@
 async fn saturate(cluster: &ProcessCluster, duration: Duration) -> Result<(f64, Duration), BenchError> {
     let before = cluster.nodes[0].cpu_time();
     let started = Instant::now();
-    let mut asking = tokio::task::JoinSet::new();
+    let mut workers = tokio::task::JoinSet::new();
     for number in 0..PARALLEL {
         let client = CallerClient::new(cluster.nodes[0].caller_address);
-        asking.spawn(async move {
+        workers.spawn(async move {
             let mut answered = 0u64;
             while started.elapsed() < duration {
                 let outcome = client.query(SERVICE, number as u64, LIMIT, None, &CORPUS).await;
@@ -128,6 +128,6 @@
             answered
         });
     }
-    let answered: u64 = asking.join_all().await.iter().sum();
+    let answered: u64 = workers.join_all().await.iter().sum();
     Ok((answered as f64, cluster.nodes[0].cpu_time().saturating_sub(before)))
 }
--- a/crates/sablebay-bench/src/experiment/rolling_restart.rs
+++ b/crates/sablebay-bench/src/experiment/rolling_restart.rs
@@ -18,7 +18,7 @@
 const RATE: f64 = 200.0;
 const NODES: usize = 3;
 /// How long a planned stop may take.
-const STOP_PATIENCE: Duration = Duration::from_secs(20);
+const STOP_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Runs the experiment.
 pub async fn run(options: &RunOptions) -> Result<ExperimentResult, BenchError> {
@@ -97,7 +97,7 @@
             if let Some(status) = leaving.exited() {
                 break Some(status);
             }
-            if started.elapsed() > STOP_PATIENCE {
+            if started.elapsed() > STOP_TIMEOUT {
                 break None;
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
--- a/crates/sablebay-bench/src/experiment/spread.rs
+++ b/crates/sablebay-bench/src/experiment/spread.rs
@@ -32,7 +32,7 @@
 /// Everywhere within this.
 const GOAL_MS: f64 = 5_000.0;
 /// How long a change is waited for.
-const PATIENCE: Micros = Micros::from_secs(30);
+const SPREAD_TIMEOUT: Micros = Micros::from_secs(30);
 const STEP: Micros = Micros::from_millis(20);
 
 /// Runs the experiment.
@@ -195,7 +195,7 @@
     let running = fleet.running();
     fleet.offer(running[random.random_range(0..running.len())], &configuration);
     let published = fleet.now();
-    while fleet.now().since(published) < PATIENCE {
+    while fleet.now().since(published) < SPREAD_TIMEOUT {
         fleet.run_until(fleet.now().plus(STEP));
         let lagging = fleet.running().iter().any(|at| fleet.version(*at) < configuration.version);
         if !lagging {
--- a/crates/sablebay-bench/src/experiment/straggler.rs
+++ b/crates/sablebay-bench/src/experiment/straggler.rs
@@ -25,7 +25,7 @@
 const STRAGGLER_FACTOR: f64 = 10.0;
 const SLOW_SHARE: f64 = 0.05;
 const SLOW_FACTOR: f64 = 3.0;
-const SLOW_SPELL: Duration = Duration::from_secs(3);
+const SLOW_PERIOD: Duration = Duration::from_secs(3);
 /// The load, as a share of the slots, with the prefix of its figures.
 const UTILISATIONS: [(&str, f64); 2] = [("", 0.6), ("at_30_percent_", 0.3)];
 /// What the tail may grow by.
@@ -42,9 +42,9 @@
     {
         for (load, utilisation) in UTILISATIONS {
             let prefix = format!("{prefix}_{load}");
-            let fine = measure(&prefix, &deployment, utilisation, options, &mut result).await?;
-            result.figure(&format!("{prefix}goals_reached"), fine);
-            reached &= fine;
+            let within_goals = measure(&prefix, &deployment, utilisation, options, &mut result).await?;
+            result.figure(&format!("{prefix}goals_reached"), within_goals);
+            reached &= within_goals;
         }
     }
     result.figure("goals_reached", reached);
@@ -63,7 +63,7 @@
     result: &mut ExperimentResult,
 ) -> Result<bool, BenchError> {
     let hedging = !options.breaks("hedging");
-    let sound = one_run(deployment, utilisation, options, LeafCondition::Sound).await?;
+    let healthy = one_run(deployment, utilisation, options, LeafCondition::Healthy).await?;
     let straggling = one_run(deployment, utilisation, options, LeafCondition::Stragglers { hedging }).await?;
     let unhedged =
         one_run(deployment, utilisation, options, LeafCondition::Stragglers { hedging: false }).await?;
@@ -71,17 +71,17 @@
     figure("p50_ms", straggling.latency_ms(0.5));
     figure("p99_ms", straggling.latency_ms(0.99));
     figure("p999_ms", straggling.latency_ms(0.999));
-    figure("no_straggler_p99_ms", sound.latency_ms(0.99));
-    figure("no_straggler_extra_load", sound.extra_load());
+    figure("no_straggler_p99_ms", healthy.latency_ms(0.99));
+    figure("no_straggler_extra_load", healthy.extra_load());
     figure("no_hedge_p99_ms", unhedged.latency_ms(0.99));
     figure("no_hedge_full_coverage", unhedged.full_coverage());
     figure("extra_load", straggling.extra_load());
     figure("full_coverage", straggling.full_coverage());
-    let ratio = straggling.latency_ms(0.99) / sound.latency_ms(0.99);
+    let ratio = straggling.latency_ms(0.99) / healthy.latency_ms(0.99);
     figure("p99_ratio", ratio);
-    let violations: usize = [&sound, &straggling, &unhedged].iter().map(|run| run.violations.len()).sum();
+    let violations: usize = [&healthy, &straggling, &unhedged].iter().map(|run| run.violations.len()).sum();
     result.violations += violations as u64;
-    for (name, run) in [("no stragglers", &sound), ("stragglers", &straggling), ("no hedging", &unhedged)] {
+    for (name, run) in [("no stragglers", &healthy), ("stragglers", &straggling), ("no hedging", &unhedged)] {
         let quantiles = (1..200).map(|step| f64::from(step) / 200.0);
         let points = quantiles.map(|quantile| (quantile, run.latency_ms(quantile))).collect();
         let plot = format!("{prefix}latency by quantile");
@@ -94,7 +94,7 @@
 #[derive(Clone, Copy)]
 enum LeafCondition {
     /// No stragglers; hedging is on.
-    Sound,
+    Healthy,
     /// Slow calls and slow replicas.
     Stragglers {
         /// Whether slow calls are hedged.
@@ -109,7 +109,7 @@
     condition: LeafCondition,
 ) -> Result<LoadSummary, BenchError> {
     let (stragglers, hedging) = match condition {
-        LeafCondition::Sound => (false, true),
+        LeafCondition::Healthy => (false, true),
         LeafCondition::Stragglers { hedging } => (true, hedging),
     };
     let mut deployment = deployment.clone();
@@ -130,13 +130,13 @@
     load.warm_up = warm_up;
     load.deadline_ms = Some(2_000);
     load.attempts = 1;
-    let spells = stragglers.then(|| {
+    let slow_periods = stragglers.then(|| {
         let leaves = cluster.leaves.leaves.values().map(|leaf| leaf.state.clone()).collect();
-        tokio::spawn(run_slow_spells(leaves, options.seed))
+        tokio::spawn(run_slow_periods(leaves, options.seed))
     });
     let summary = run_load(load).await;
-    if let Some(spells) = spells {
-        spells.abort();
+    if let Some(slow_periods) = slow_periods {
+        slow_periods.abort();
     }
     cluster.stop().await;
     Ok(summary)
@@ -160,7 +160,7 @@
 }
 
 /// Keeps one leaf in twenty slow, others in turn.
-async fn run_slow_spells(leaves: Vec<Arc<LeafState>>, seed: u64) {
+async fn run_slow_periods(leaves: Vec<Arc<LeafState>>, seed: u64) {
     let mut random = SmallRng::seed_from_u64(seed);
     let count = ((leaves.len() as f64 * SLOW_SHARE).round() as usize).max(1);
     loop {
@@ -168,7 +168,7 @@
         for position in &slow {
             leaves[*position].faults.lock().slow_factor = SLOW_FACTOR;
         }
-        tokio::time::sleep(SLOW_SPELL).await;
+        tokio::time::sleep(SLOW_PERIOD).await;
         for position in &slow {
             leaves[*position].faults.lock().slow_factor = 1.0;
         }
--- a/crates/sablebay-bench/src/experiment/version_roll.rs
+++ b/crates/sablebay-bench/src/experiment/version_roll.rs
@@ -68,15 +68,15 @@
             *leaf.state.versions.lock() = vec![old, new];
             tokio::time::sleep(STEP / 4).await;
         }
-        let confused = leaves.leaves.values().next();
-        if let Some(leaf) = confused {
+        let faulty_leaf = leaves.leaves.values().next();
+        if let Some(leaf) = faulty_leaf {
             leaf.state.faults.lock().wrong_version = true;
         }
         for leaf in leaves.leaves.values() {
             *leaf.state.versions.lock() = vec![new];
             tokio::time::sleep(STEP).await;
         }
-        if let Some(leaf) = confused {
+        if let Some(leaf) = faulty_leaf {
             leaf.state.faults.lock().wrong_version = false;
         }
         tokio::time::sleep(pause.saturating_sub(STEP * 20)).await;
--- a/crates/sablebay-bench/src/gateway_cost.rs
+++ b/crates/sablebay-bench/src/gateway_cost.rs
@@ -20,7 +20,7 @@
 /// Requests before the measured ones.
 const WARM_UP: usize = 50;
 /// How long the node may take to become ready.
-const PATIENCE: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What was measured.
 #[derive(Debug, Serialize)]
@@ -119,11 +119,11 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let late = |_| BenchError::NotInTime {
+    let timed_out = |_| BenchError::NotInTime {
         what: "the node becoming ready".to_string(),
-        seconds: PATIENCE.as_secs(),
+        seconds: READY_TIMEOUT.as_secs(),
     };
-    tokio::time::timeout(PATIENCE, waiting).await.map_err(late)
+    tokio::time::timeout(READY_TIMEOUT, waiting).await.map_err(timed_out)
 }
 
 async fn send(caller: &CallerStandIn, name: &str, requests: usize) -> Result<(), BenchError> {
--- a/crates/sablebay-bench/src/hollow.rs
+++ b/crates/sablebay-bench/src/hollow.rs
@@ -139,12 +139,12 @@
         for _ in 0..fleet.options.nodes {
             fleet.add_node(Vec::new());
         }
-        fleet.introduce_everyone();
+        fleet.populate_members();
         fleet
     }
 
     /// Fills the member tables, as if the nodes had run for long.
-    fn introduce_everyone(&mut self) {
+    fn populate_members(&mut self) {
         let claim = |node: &HollowNode| MemberClaim {
             info: node.machine.info().clone(),
             status: MemberStatus::Alive,
@@ -233,7 +233,7 @@
         if machine.may_take_from_platform(now) {
             machine.offer_from_platform(configuration.clone(), now, &mut outputs);
         }
-        self.perform(position, outputs);
+        self.apply_outputs(position, outputs);
     }
 
     /// Ends a node without warning, and starts another that knows a few of the rest.
@@ -277,7 +277,7 @@
     pub fn note_leaf(&mut self, position: usize, leaf: LeafId) {
         let mut outputs = Vec::new();
         self.nodes[position].machine.note_leaf(leaf, true, self.now.as_millis(), &mut outputs);
-        self.perform(position, outputs);
+        self.apply_outputs(position, outputs);
     }
 
     /// Runs until `until` of virtual time.
@@ -318,10 +318,10 @@
                 machine.on_message(&from, from_address, message, now, &mut outputs);
             }
         }
-        self.perform(position, outputs);
+        self.apply_outputs(position, outputs);
     }
 
-    fn perform(&mut self, position: usize, outputs: Vec<FleetOutput>) {
+    fn apply_outputs(&mut self, position: usize, outputs: Vec<FleetOutput>) {
         for output in outputs {
             match output {
                 FleetOutput::Send { to, message } => self.send(position, to, message),
--- a/crates/sablebay-bench/src/tenant_cost.rs
+++ b/crates/sablebay-bench/src/tenant_cost.rs
@@ -77,8 +77,8 @@
         (found, process_cpu_time() - cpu)
     };
     let (found, known_time) = find(&|tenant| key(tenant, tenant % keys_each));
-    let (found_wrongly, unknown_time) = find(&|tenant| key(tenant, keys_each));
-    if found != LOOKUPS || found_wrongly != 0 {
+    let (false_matches, unknown_time) = find(&|tenant| key(tenant, keys_each));
+    if found != LOOKUPS || false_matches != 0 {
         return Err(std::io::Error::other("a look-up found what it should not").into());
     }
     let each_ns = |time: Duration| time.as_secs_f64() * 1e9 / LOOKUPS as f64;
--- a/crates/sablebay-bench/tests/hollow_fleet.rs
+++ b/crates/sablebay-bench/tests/hollow_fleet.rs
@@ -31,13 +31,13 @@
     })
 }
 
-fn pass(fleet: &mut HollowFleet, seconds: u64) {
+fn advance(fleet: &mut HollowFleet, seconds: u64) {
     fleet.run_until(fleet.now().plus(Micros::from_secs(seconds)));
 }
 
 /// Beliefs about nodes that run as "not alive", and about nodes that are gone as present, over the
 /// whole fleet.
-fn wrong_beliefs(fleet: &HollowFleet) -> usize {
+fn incorrect_views(fleet: &HollowFleet) -> usize {
     let running = fleet.running();
     let key = |position: usize| fleet.machine(position).info().key.clone();
     let mut wrong = 0;
@@ -66,7 +66,7 @@
         cut_seconds in 0u64..40,
     ) {
         let mut fleet = fleet(seed);
-        pass(&mut fleet, 5);
+        advance(&mut fleet, 5);
         for position in paused {
             fleet.pause(position, Micros::from_secs(20));
         }
@@ -75,13 +75,13 @@
             if fleet.running().contains(&position) {
                 fleet.replace(position);
             }
-            pass(&mut fleet, 3);
+            advance(&mut fleet, 3);
         }
-        pass(&mut fleet, cut_seconds);
+        advance(&mut fleet, cut_seconds);
         fleet.set_cut(None);
         // Suspicions end, members believed dead are knocked on, lists are exchanged.
-        pass(&mut fleet, 240);
-        prop_assert_eq!(wrong_beliefs(&fleet), 0);
+        advance(&mut fleet, 240);
+        prop_assert_eq!(incorrect_views(&fleet), 0);
     }
 
 }
@@ -100,15 +100,15 @@
 #[test]
 fn a_cut_heals_without_a_storm() {
     let mut fleet = fleet(7);
-    pass(&mut fleet, 10);
+    advance(&mut fleet, 10);
     fleet.report = Default::default();
-    pass(&mut fleet, 60);
+    advance(&mut fleet, 60);
     let usual = fleet.report.messages;
     fleet.set_cut(Some((0, 1)));
-    pass(&mut fleet, 60);
+    advance(&mut fleet, 60);
     fleet.set_cut(None);
     fleet.report = Default::default();
-    pass(&mut fleet, 60);
+    advance(&mut fleet, 60);
     let healing = fleet.report.messages;
     assert!(healing < usual * 3, "{healing} messages in the minute after the cut, {usual} usually");
 }
@@ -127,7 +127,7 @@
             mechanisms: FleetMechanisms::default(),
             seed,
         });
-        pass(&mut fleet, 120);
+        advance(&mut fleet, 120);
         assert_eq!(fleet.report.false_deaths, 0, "seed {seed}: {:?}", fleet.report);
     }
 }
--- a/crates/sablebay-bench/tests/zone_traffic.rs
+++ b/crates/sablebay-bench/tests/zone_traffic.rs
@@ -37,7 +37,7 @@
     fleet.now().since(began_at)
 }
 
-fn believes(fleet: &HollowFleet, observer: usize, position: usize, status: MemberStatus) -> bool {
+fn has_status(fleet: &HollowFleet, observer: usize, position: usize, status: MemberStatus) -> bool {
     let key = &fleet.machine(position).info().key;
     let member = fleet.machine(observer).members().get(&key.node);
     member.is_some_and(|member| member.status() == status)
@@ -104,7 +104,7 @@
             fleet.crash(5);
             let known = |fleet: &HollowFleet| {
                 let running = fleet.running();
-                running.iter().all(|observer| believes(fleet, *observer, 5, MemberStatus::Dead))
+                running.iter().all(|observer| has_status(fleet, *observer, 5, MemberStatus::Dead))
             };
             time_until(&mut fleet, Micros::from_secs(20), known).as_millis()
         });
@@ -127,7 +127,7 @@
                     .iter()
                     .flat_map(|observer| inside.iter().map(move |position| (observer, position)));
                 let unaware = |(observer, position): &(&usize, &usize)| {
-                    believes(fleet, **observer, **position, MemberStatus::Alive)
+                    has_status(fleet, **observer, **position, MemberStatus::Alive)
                 };
                 pairs.filter(unaware).count() * 20 <= outside.len() * inside.len()
             };
