--- a/crates/sablebay-bench/src/cli.rs
+++ b/crates/sablebay-bench/src/cli.rs
@@ -33,41 +33,41 @@
 use crate::tenant_cost::measure_tenant_cost;
 
 const USAGE: &str = "\
-sablebay-bench: the emulator of what sablebay serves, and its experiments
+sablebay-bench: experiments, load tests and fault injection for sablebay
 
 Usage: sablebay-bench COMMAND [OPTION ...]
 
   run NAME [--seed N] [--break MECHANISM] [--scale X] [--out DIR] [--json]
       run an experiment; the last line on standard output is one JSON object
   list
-      list the experiments, with the mechanisms that each can turn off
+      list the experiments and the mechanisms that each can disable
   soak [--seed N] [--minutes X | --replay SEED [--minutes X]] [--break MECHANISM] [--logs DIR]
-      a randomized fault soak of node processes on the users' platform; the last line is JSON
+      run node processes on the users' platform with random faults; the last line is JSON
   gateway-cost [--shards N] [--requests N]
-      processor time of a node for one gathered request on the users' platform, as JSON
+      measure the CPU time that a node spends on one gathered request, as JSON
   tenant-cost [--tenants N] [--keys N]
-      what reading tenants with N keys each costs a node, and finding a caller's, as JSON
+      measure the cost of loading tenants with N keys each and of looking one up, as JSON
   capacity [--json]
-      measure the slopes behind docs/CAPACITY.md, and compute its table
+      measure the unit costs behind docs/CAPACITY.md and compute its table
   compare A B
-      set two results side by side (JSON files, or folders written by --out)
+      compare two results (JSON files, or folders written by --out)
   platform --address A [--configuration FILE]
-      a platform stand-in as a process
+      run a platform stand-in
   leaves --configuration FILE
-      every leaf that a configuration names, at its addresses
+      run every leaf of a configuration at its configured address
   leaf --name NAME --address A --partitions SET [--versions LIST] [--slots N] [--median-us N]
-      one leaf as a process
+      run one leaf
   load --nodes A[,A ...] --services NAME[,NAME ...] [--rate X] [--seconds X] [--seed N]
-      an open-loop load with checked answers; prints a JSON summary
+      generate an open-loop load, check the answers and print a JSON summary
   deployment tepung-raya|protokolia
       print a user's deployment as a configuration
 
-Exit codes: 0 fine, 1 violations or failure, 2 usage.
+Exit codes: 0 success, 1 violations or failure, 2 usage error.
 ";
 
 const USAGE_EXIT_CODE: u8 = 2;
 
-/// Options and words of a command.
+/// Options and positional arguments of a command.
 #[derive(Default)]
 struct Arguments {
     options: BTreeMap<String, String>,
@@ -113,7 +113,7 @@
     }
 
     fn required<T: std::str::FromStr>(&self, name: &str) -> Result<T, UsageError> {
-        self.parsed(name)?.ok_or_else(|| UsageError(format!("--{name} is needed")))
+        self.parsed(name)?.ok_or_else(|| UsageError(format!("--{name} is required")))
     }
 }
 
@@ -136,7 +136,7 @@
     }
 }
 
-/// Runs the command that the process was started with.
+/// Runs the command given on the command line of this process.
 pub fn run_command_line() -> ExitCode {
     let (command, arguments) = match Arguments::read(&["json"]) {
         Ok(read) => read,
@@ -148,7 +148,7 @@
     let runtime = match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("sablebay-bench: the runtime does not start: {error}");
+            eprintln!("sablebay-bench: failed to start the async runtime: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -183,8 +183,8 @@
         "node" => node(arguments).await?,
         "load" => return load(arguments).await,
         "deployment" => deployment(arguments)?,
-        "" => return Err(UsageError("a command is needed".to_string()).into()),
-        other => return Err(UsageError(format!("there is no command `{other}`")).into()),
+        "" => return Err(UsageError("a command is required".to_string()).into()),
+        other => return Err(UsageError(format!("unknown command `{other}`")).into()),
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -196,7 +196,10 @@
 }
 
 async fn run_one(arguments: &Arguments) -> Result<ExitCode, Failure> {
-    let name = arguments.positionals.first().ok_or_else(|| UsageError("run needs a name".to_string()))?;
+    let name = arguments
+        .positionals
+        .first()
+        .ok_or_else(|| UsageError("run requires the name of an experiment".to_string()))?;
     let options = RunOptions {
         seed: arguments.parsed("seed")?.unwrap_or(1),
         broken: arguments.text("break").map(str::to_string),
@@ -218,7 +221,7 @@
     };
     if let Some(folder) = arguments.text("out") {
         write_report(&result, Path::new(folder))?;
-        eprintln!("the report is in {folder}");
+        eprintln!("report written to {folder}");
     }
     if arguments.text("json").is_none() {
         for (name, value) in &result.figures {
@@ -226,7 +229,7 @@
         }
     }
     println!("{}", result.printed_line()?);
-    // With a mechanism off, violations are what is wanted.
+    // With a mechanism disabled, the run succeeds only if the checker reported violations.
     let succeeded = result.break_caught.unwrap_or(result.violations == 0);
     Ok(if succeeded { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
@@ -243,14 +246,14 @@
 
 fn compare_results(arguments: &Arguments) -> Result<(), Failure> {
     let [first, second] = arguments.positionals.as_slice() else {
-        return Err(UsageError("compare needs two results".to_string()).into());
+        return Err(UsageError("compare requires two results".to_string()).into());
     };
     let (first, second) = (PathBuf::from(first), PathBuf::from(second));
     print!("{}", compare(&read_result(&first)?, &read_result(&second)?));
     Ok(())
 }
 
-/// Waits until the process is told to end.
+/// Waits for Ctrl-C.
 async fn wait_for_interrupt() -> Result<(), Failure> {
     tokio::signal::ctrl_c().await?;
     Ok(())
@@ -313,7 +316,8 @@
     wait_for_interrupt().await
 }
 
-/// Leaves without service time, each with one partition; then the server of the floor.
+/// Runs leaves without service time, each with one partition, and the server of the raw-frame baseline.
+/// Prints their addresses as a JSON array, with the address of the baseline last.
 async fn hollow_leaves(arguments: &Arguments) -> Result<(), Failure> {
     const DOCUMENTS: u32 = 1;
     let count: u32 = arguments.required("count")?;
@@ -333,7 +337,6 @@
     wait_for_interrupt().await
 }
 
-/// Measures what a gathered request costs a node.
 async fn gateway_cost(arguments: &Arguments) -> Result<(), Failure> {
     let shards = arguments.parsed("shards")?.unwrap_or(90);
     let requests = arguments.parsed("requests")?.unwrap_or(300);
@@ -342,7 +345,6 @@
     Ok(())
 }
 
-/// Measures what tenants cost a node.
 fn tenant_cost(arguments: &Arguments) -> Result<(), Failure> {
     let tenants = arguments.parsed("tenants")?.unwrap_or(10_000);
     let keys = arguments.parsed("keys")?.unwrap_or(3);
@@ -350,7 +352,7 @@
     Ok(())
 }
 
-/// Runs the soak; a broken promise, or one that was to be broken and was not noticed, is a failure.
+/// Runs the soak. Fails on any violation or, with `--break`, if the disabled mechanism is not detected.
 async fn soak(arguments: &Arguments) -> Result<ExitCode, Failure> {
     const DEFAULT_MINUTES: f64 = 1.0;
     let seed = match arguments.parsed("replay")? {
@@ -361,7 +363,7 @@
     let broken = arguments.text("break").map(str::to_string);
     if let Some(name) = broken.as_deref().filter(|name| GatewayMechanisms::without(name).is_none()) {
         let known = GatewayMechanisms::NAMES.join(", ");
-        return Err(UsageError(format!("--break cannot be `{name}`; there are {known}")).into());
+        return Err(UsageError(format!("--break cannot be `{name}`; expected one of {known}")).into());
     }
     let default_logs = std::env::temp_dir().join(format!("sablebay-soak-{seed}-{}", std::process::id()));
     let logs = arguments.text("logs").map_or(default_logs, std::path::PathBuf::from);
@@ -371,12 +373,12 @@
     println!("{}", serde_json::to_string(&report)?);
     let as_expected = report.break_caught.unwrap_or(report.violations.is_empty());
     if !report.violations.is_empty() {
-        eprintln!("sablebay-bench: seed {seed}; the logs of the nodes are in {}", logs.display());
+        eprintln!("sablebay-bench: seed {seed}; node logs are in {}", logs.display());
     }
     Ok(if as_expected { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// A node with one mechanism off, for the experiments that need processes.
+/// Runs a node with one mechanism disabled, for experiments that use node processes.
 async fn node(arguments: &Arguments) -> Result<(), Failure> {
     if let Some(path) = arguments.text("settings") {
         return node_with_gateway(path, arguments).await;
@@ -399,14 +401,14 @@
     Ok(())
 }
 
-/// A node whose gateway has one mechanism off, for the soak.
+/// Runs a node whose gateway has one mechanism disabled, for the soak.
 async fn node_with_gateway(path: &str, arguments: &Arguments) -> Result<(), Failure> {
     let name = arguments.text("break").unwrap_or_default();
     let mechanisms = GatewayMechanisms::without(name)
         .ok_or_else(|| UsageError(format!("--break cannot be `{name}` with --settings")))?;
     let settings = NodeSettings::parse(path, &std::fs::read_to_string(path)?)?;
     let gateway_settings =
-        settings.gateway.clone().ok_or_else(|| UsageError(format!("{path} has no [gateway]")))?;
+        settings.gateway.clone().ok_or_else(|| UsageError(format!("{path} has no [gateway] section")))?;
     let node = Node::start(settings, NodeMechanisms::default(), None).await?;
     let source = StoreCatalogue::new(gateway_settings.catalogue_address, key_digester(&node.shared.settings));
     let gateway =
@@ -431,7 +433,7 @@
     let mut nodes = Vec::new();
     for text in list("nodes")? {
         let address: SocketAddr =
-            text.parse().map_err(|_| UsageError(format!("--nodes: `{text}` is no address")))?;
+            text.parse().map_err(|_| UsageError(format!("--nodes: `{text}` is not a socket address")))?;
         nodes.push(address);
     }
     let summary = run_load(LoadOptions {
@@ -469,7 +471,7 @@
     let deployment = match name {
         Some("tepung-raya") => Deployment::tepung_raya(),
         Some("protokolia") => Deployment::protokolia(),
-        _ => return Err(UsageError("deployment needs tepung-raya or protokolia".to_string()).into()),
+        _ => return Err(UsageError("deployment requires tepung-raya or protokolia".to_string()).into()),
     };
     print!("{}", deployment.document(1, &deployment.example_addresses()));
     Ok(())
--- a/crates/sablebay-bench/src/compare.rs
+++ b/crates/sablebay-bench/src/compare.rs
@@ -1,4 +1,4 @@
-//! Two results side by side.
+//! Comparison of two results.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -6,7 +6,7 @@
 use crate::error::BenchError;
 use crate::result::ExperimentResult;
 
-/// Reads a result from a file that holds its JSON, or from a report's folder.
+/// Reads a result from the last line of a file, or from `result.json` in a report folder.
 pub fn read_result(path: &Path) -> Result<ExperimentResult, BenchError> {
     let file = if path.is_dir() { path.join("result.json") } else { path.to_path_buf() };
     let text = std::fs::read_to_string(file)?;
@@ -14,7 +14,7 @@
     Ok(serde_json::from_str(last)?)
 }
 
-/// A table of every figure of two results, with the ratio of those that are numbers.
+/// Formats a table of the figures of two results, with the ratio of numeric figures.
 pub fn compare(left: &ExperimentResult, right: &ExperimentResult) -> String {
     let names: BTreeSet<&String> = left.figures.keys().chain(right.figures.keys()).collect();
     let mut table = format!("{:<48} {:>16} {:>16} {:>8}\n", "FIGURE", "FIRST", "SECOND", "RATIO");
--- a/crates/sablebay-bench/src/experiment.rs
+++ b/crates/sablebay-bench/src/experiment.rs
@@ -1,4 +1,4 @@
-//! The experiments, by name.
+//! The registry of experiments.
 
 mod at_most_once;
 mod brownout;
@@ -23,14 +23,14 @@
 use crate::error::BenchError;
 use crate::result::ExperimentResult;
 
-/// How an experiment is run.
+/// Options of one run of an experiment.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// Seed of everything that is drawn.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// The mechanism that is off.
+    /// The disabled mechanism, if any.
     pub broken: Option<String>,
-    /// Scales how long the experiment runs; 1 is what its figures are quoted at.
+    /// Factor on the duration of the experiment; published figures use 1.
     pub scale: f64,
 }
 
@@ -41,23 +41,22 @@
 }
 
 impl RunOptions {
-    /// Whether this mechanism is off.
+    /// Whether this mechanism is disabled.
     pub fn breaks(&self, mechanism: &str) -> bool {
         self.broken.as_deref() == Some(mechanism)
     }
 
-    /// A time scaled to the run.
+    /// A duration of `seconds`, multiplied by the scale of the run.
     pub fn seconds(&self, seconds: f64) -> Duration {
         Duration::from_secs_f64(seconds * self.scale)
     }
 
-    /// An empty result of this run.
     pub fn result(&self, experiment: &str) -> ExperimentResult {
         ExperimentResult::new(experiment, self.seed, self.broken.as_deref())
     }
 }
 
-/// Counts what the checker found in some loads, each kind under its own name.
+/// Adds the violations that the checker found in some loads, with one figure for each kind.
 fn count_violations(result: &mut ExperimentResult, loads: &[&LoadSummary]) {
     for kind in
         [Violation::MixedVersions, Violation::DoubledHit, Violation::FalseCoverage, Violation::ForeignAnswer]
@@ -67,27 +66,31 @@
     }
 }
 
-/// Name, mechanisms that can be turned off, and one sentence.
+/// Name, mechanisms that can be disabled, and a short description of each experiment.
 pub const EXPERIMENTS: [(&str, &[&str], &str); 13] = [
     ("straggler", &["hedging"], "tail latency with slow calls and slow replicas"),
     ("brownout", &["budget"], "extra load while every replica is slow"),
     ("version-roll", &["version-check"], "index versions change under load"),
     ("repartition", &["partition-check"], "shards split and move under load"),
     ("noisy-tenant", &["admission"], "one tenant floods leaves that another uses"),
-    ("lying-health", &["observation"], "a replica that takes calls and never answers"),
-    ("overhead", &[], "what a node adds to a direct call"),
-    ("leaf-cost", &[], "processor time for each leaf call in a wide fan-out"),
-    ("configuration-spread", &["push"], "a hollow fleet takes a change"),
-    ("never-reverts", &["floor"], "a stale, flapping, split platform while nodes are replaced"),
-    ("at-most-once", &["write-once"], "operations through pauses, kills and cuts"),
-    ("drain", &["leaving"], "leaves leave under load"),
+    ("lying-health", &["observation"], "a replica that accepts calls and never answers"),
+    ("overhead", &[], "latency that a node adds to a direct call"),
+    ("leaf-cost", &[], "CPU time for each leaf call in a wide fan-out"),
+    ("configuration-spread", &["push"], "time until a change is in force on a hollow fleet"),
+    (
+        "never-reverts",
+        &["floor"],
+        "a platform that serves stale and conflicting revisions while nodes are replaced",
+    ),
+    ("at-most-once", &["write-once"], "operations during node pauses, crashes and network partitions"),
+    ("drain", &["leaving"], "leaves are drained under load"),
     ("rolling-restart", &["wait-at-stop"], "every node is replaced under load"),
 ];
 
 /// Runs an experiment by name.
 ///
 /// # Errors
-/// When there is none of that name, it has no such mechanism, or something does not start.
+/// When the name or the mechanism is unknown, or a node, a process or a stand-in fails.
 pub async fn run_experiment(name: &str, options: &RunOptions) -> Result<ExperimentResult, BenchError> {
     let found = EXPERIMENTS.iter().find(|(known, _, _)| *known == name);
     let (_, mechanisms, _) = found.ok_or_else(|| BenchError::UnknownExperiment { name: name.to_string() })?;
--- a/crates/sablebay-bench/src/experiment/at_most_once.rs
+++ b/crates/sablebay-bench/src/experiment/at_most_once.rs
@@ -1,5 +1,5 @@
-//! Operations through pauses, kills and cuts of real node processes. Each is submitted to every
-//! node at once, and again a little later.
+//! Submits each operation to every node process at once and retries it later, while nodes are
+//! paused, killed or cut off from the network. No operation may run twice.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,7 +21,6 @@
 const OPERATIONS_PER_ROUND: usize = 8;
 const DEADLINE_MS: u64 = 800;
 
-/// Runs the experiment.
 pub async fn run(options: &RunOptions) -> Result<ExperimentResult, BenchError> {
     let mut result = options.result("at-most-once");
     let command = NodeCommand::with_break(options.broken.as_deref())?;
@@ -48,13 +47,13 @@
     deployment
 }
 
-/// One submission of a ticket, and what the caller was told.
+/// One submission of a ticket and the outcome that the caller received.
 struct Submission {
     ticket: String,
     outcome: OperationOutcome,
 }
 
-/// What befalls the fleet in a round.
+/// The fault that is injected into one node during a round.
 #[derive(Clone, Copy, Debug)]
 enum InjectedFault {
     None,
@@ -89,7 +88,7 @@
     let injecting = inject_fault(cluster, victim, fault, delay);
     let (mut submissions, ()) = tokio::join!(submitting, injecting);
     recover(cluster, victim, fault).await?;
-    // Again, and now through one node alone: a caller that lost its answer.
+    // Retries each ticket through one node, like a caller that lost the answer.
     let retry_client = cluster.nodes[random.random_range(0..cluster.nodes.len())].client();
     for ticket in &tickets {
         let outcome = retry_client.operation(SERVICE, Some(ticket), Some(DEADLINE_MS)).await;
@@ -154,7 +153,7 @@
     cluster.wait_until_ready(NODES).await
 }
 
-/// Holds what callers were told against what the leaves ran.
+/// Compares the outcomes that callers received with the operations that the leaves ran.
 fn check_outcomes(cluster: &ProcessCluster, submissions: &[Submission], result: &mut ExperimentResult) {
     let run_counts = cluster.leaves.operations();
     let run_count = |ticket: &str| run_counts.get(ticket_id(ticket)).copied().unwrap_or(0);
@@ -203,7 +202,7 @@
     *reasons.entry(reason.to_string()).or_default() += 1;
 }
 
-/// The identity in a ticket's text, which is what leaves are told.
+/// Extracts the identifier from the text of a ticket, under which leaves record the operation.
 fn ticket_id(ticket: &str) -> &str {
     ticket.split('.').nth(3).unwrap_or_default()
 }
--- a/crates/sablebay-bench/src/experiment/brownout.rs
+++ b/crates/sablebay-bench/src/experiment/brownout.rs
@@ -1,4 +1,4 @@
-//! Every replica is slow at once: extra load must fall, not rise.
+//! Slows down every replica at once. Retries and hedges must not add load beyond the budget.
 
 use std::time::Duration;
 
@@ -14,10 +14,9 @@
 const SLOW_FACTOR: f64 = 6.0;
 const RATE: f64 = 150.0;
 const DEADLINE_MS: u64 = 400;
-/// Extra load that is allowed while everything is slow.
+/// Maximum extra load while every replica is slow, as a fraction.
 const LOAD_GOAL: f64 = 0.01;
 
-/// Runs the experiment.
 pub async fn run(options: &RunOptions) -> Result<ExperimentResult, BenchError> {
     let mut result = options.result("brownout");
     let budget = !options.breaks("budget");
@@ -39,7 +38,7 @@
     Ok(result)
 }
 
-/// Load before and during the slow spell.
+/// Returns the load summaries before and during the slowdown.
 async fn one_run(options: &RunOptions, budget: bool) -> Result<(LoadSummary, LoadSummary), BenchError> {
     let mut deployment = Deployment::default();
     deployment.template("search", "deadline_ms = 400\nextra_load_percent = 3\nhedge_quantile = 0.95\n");
--- a/crates/sablebay-bench/src/experiment/drain.rs
+++ b/crates/sablebay-bench/src/experiment/drain.rs
@@ -1,4 +1,5 @@
-//! Leaves leave under load: by their own flag, by their refusal, and by the platform's list.
+//! Drains leaves under load: one announces that it is draining, another is marked as leaving in the
+//! platform's list of machines.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -12,14 +13,13 @@
 use crate::error::BenchError;
 use crate::result::ExperimentResult;
 
-/// Within the slots of the leaves that remain.
+/// Queries per second, within the capacity of the remaining leaves.
 const RATE: f64 = 100.0;
-/// How long after the first word new work may still come.
+/// Period after the start of the drain in which new calls are still allowed.
 const GRACE: Duration = Duration::from_secs(3);
 const FLAGGED_LEAF: &str = "desk-leaf-1";
 const LISTED_LEAF: &str = "desk-leaf-3";
 
-/// Runs the experiment.
 pub async fn run(options: &RunOptions) -> Result<ExperimentResult, BenchError> {
     let mut result = options.result("drain");
     let steady = one_run(options, false).await?;
@@ -51,7 +51,7 @@
     deployment.template("search", "deadline_ms = 500\n");
     deployment.add_ring("desk", "search", 4, 2, &["zone-a", "zone-b"]);
     deployment.service_time = Some(ServiceTime::log_normal(8_000.0, 0.4));
-    // The grace counts from the platform's word, so that the platform has to be read in time.
+    // The grace period starts when the platform's list changes, so nodes must read the list often enough.
     let settings = "platform_reads_per_second = 6\n".to_string();
     let mut cluster_options = ClusterOptions { seed: options.seed, settings, ..ClusterOptions::default() };
     cluster_options.mechanisms.routing.leaving = !options.breaks("leaving");
@@ -69,7 +69,7 @@
     Ok(Run { load, late_calls, in_flight_finished })
 }
 
-/// Drains two leaves; returns the calls that came to them after the grace.
+/// Drains two leaves and returns the number of calls that they received after the grace period.
 async fn drain(cluster: &Cluster, options: &RunOptions) -> u64 {
     tokio::time::sleep(options.seconds(1.0)).await;
     cluster.leaves.leaves[FLAGGED_LEAF].state.faults.lock().draining = true;
@@ -80,7 +80,7 @@
     let calls = |name: &str| cluster.leaves.leaves[name].state.calls.load(Ordering::Relaxed);
     let before = calls(FLAGGED_LEAF) + calls(LISTED_LEAF);
     tokio::time::sleep(options.seconds(3.0)).await;
-    // A leaf that is leaving still holds its version; nothing but the word keeps work away.
+    // The leaving leaf still holds its version, so only the leaving mark keeps calls away from it.
     let holds = cluster.leaves.leaves[LISTED_LEAF].state.versions.lock().contains(&SnapshotVersion(1));
     debug_assert!(holds);
     calls(FLAGGED_LEAF) + calls(LISTED_LEAF) - before
--- a/crates/sablebay-bench/src/experiment/leaf_cost.rs
+++ b/crates/sablebay-bench/src/experiment/leaf_cost.rs
@@ -1,6 +1,6 @@
-//! Processor time for each leaf call in a wide fan-out, against a floor of raw frames that are
-//! batched alike. The leaves run in a process of their own, so that the time measured is the
-//! calling side's alone.
+//! Measures the CPU time for each leaf call in a wide fan-out, against a baseline of raw frames in
+//! batches of the same size. The leaves run in a separate process, so that only the CPU time of the
+//! calling side is measured.
 
 mod floor;
 
@@ -26,14 +26,13 @@
 
 pub use floor::serve_floor;
 
-/// Fan-outs measured, with how many queries run at once and how long a call waits for others.
+/// Leaves per query, number of concurrent queries, and batching delay in microseconds.
 const FAN_OUTS: [(usize, usize, u64); 3] = [(10, 256, 1_000), (100, 64, 1_000), (1_400, 48, 2_000)];
-/// Connections to one leaf: its share of a leaf's 80 when eight nodes connect to it.
+/// Connections to one leaf: one eighth of the 80 connections that a leaf accepts.
 const CONNECTIONS: usize = 10;
 const BATCH: usize = 32;
 const SERVICE: &str = "wide";
 
-/// Runs the experiment.
 pub async fn run(options: &RunOptions) -> Result<ExperimentResult, BenchError> {
     let mut result = options.result("leaf-cost");
     let leaves = HollowLeaves::spawn(FAN_OUTS[2].0)?;
@@ -54,7 +53,7 @@
     Ok(result)
 }
 
-/// The leaves' process; ends when dropped.
+/// The process that runs the leaves. Killed on drop.
 struct HollowLeaves {
     child: Child,
     addresses: Vec<SocketAddr>,
@@ -78,7 +77,7 @@
 
 impl Drop for HollowLeaves {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -105,7 +104,7 @@
             "[[indexes.i.shards]]\npartitions = \"{number}\"\nleaves = [\"l{number}\"]\n"
         ));
     }
-    // Nine tenths of the connections are used.
+    // A node uses nine tenths of the configured connections.
     let connections = CONNECTIONS * 10 / 9 + 1;
     for (number, address) in leaves.iter().enumerate() {
         text.push_str(&format!(
@@ -150,7 +149,8 @@
     })
 }
 
-/// Runs queries from several tasks; latencies, and how many answers were not complete.
+/// Runs queries from `parallel` tasks. Returns their latencies in microseconds and the number of queries
+/// that failed or were answered incompletely.
 async fn run_queries(node: &Node, parallel: usize, duration: Duration) -> (Histogram<u64>, u64) {
     let started = Instant::now();
     let mut workers = tokio::task::JoinSet::new();
--- a/crates/sablebay-bench/src/experiment/leaf_cost/floor.rs
+++ b/crates/sablebay-bench/src/experiment/leaf_cost/floor.rs
@@ -1,4 +1,4 @@
-//! The floor: raw frames over tokio, batched alike, without any decision or codec.
+//! The baseline of the `leaf-cost` experiment: raw frames over TCP, without routing or encoding.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,18 +9,15 @@
 use crate::error::BenchError;
 use crate::usage::process_cpu_time;
 
-/// Bytes of one call.
 const CALL_BYTES: usize = 64;
-/// Bytes of one answer.
 const ANSWER_BYTES: usize = 256;
-/// Connections used at once.
 const CONNECTIONS: usize = 64;
 
-/// Answers every frame with a frame of as many answers as it had calls.
+/// Answers each frame with a frame that holds one answer for each call.
 pub async fn serve_floor(listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         tokio::spawn(async move {
-            // The client closing is the normal end.
+            // Fails with an unexpected end of file when the client closes the connection.
             let _ = answer_frames(stream).await;
         });
     }
@@ -41,7 +38,7 @@
     }
 }
 
-/// Processor time of the calling side for each call, in microseconds.
+/// Measures the CPU time of the calling side for each call, in microseconds.
 pub async fn measure(server: SocketAddr, batch: usize, duration: Duration) -> Result<f64, BenchError> {
     let before = process_cpu_time();
     let started = Instant::now();
--- a/crates/sablebay-bench/src/experiment/lying_health.rs
+++ b/crates/sablebay-bench/src/experiment/lying_health.rs
@@ -1,5 +1,5 @@
-//! A replica that takes calls, never answers them, and says that it is well; and a sound one that
-//! says that it is sick.
+//! One replica accepts calls, never answers them and reports itself healthy; another works and
+//! reports itself unhealthy. Routing must follow observed behaviour, not the reports.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -14,10 +14,9 @@
 const RATE: f64 = 300.0;
 const BLACK_HOLE: &str = "desk-leaf-1";
 const REPORTED_SICK: &str = "desk-leaf-2";
-/// The share of calls that a black hole may still get after the first second.
+/// Maximum share of calls sent to the unresponsive replica after the first second.
 const SHARE_GOAL: f64 = 0.02;
 
-/// Runs the experiment.
 pub async fn run(options: &RunOptions) -> Result<ExperimentResult, BenchError> {
     let mut result = options.result("lying-health");
     let observed = one_run(options, !options.breaks("observation")).await?;
--- a/crates/sablebay-bench/src/experiment/never_reverts.rs
+++ b/crates/sablebay-bench/src/experiment/never_reverts.rs
@@ -1,5 +1,5 @@
-//! A stale, flapping, split platform, pauses and a cut, while every node is replaced one by one:
-//! what was in force everywhere stays in force.
+//! Replaces every node one by one while the platform serves stale and conflicting revisions, nodes
+//! are paused and regions are cut off. A version in force on all nodes must never be reverted.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,10 +19,9 @@
 
 const NODES: usize = 40;
 const REVISIONS: u64 = 12;
-/// Reads of the platform by the whole fleet, each second.
+/// Reads of the platform per second, over the whole fleet.
 const READS_PER_SECOND: u64 = 4;
 
-/// Runs the experiment.
 pub fn run(options: &RunOptions) -> Result<ExperimentResult, BenchError> {
     let mut result = options.result("never-reverts");
     let mechanisms = FleetMechanisms {
@@ -81,7 +80,7 @@
     fn run_revisions(&mut self) -> Result<(), BenchError> {
         for revision in 1..=REVISIONS {
             self.published.push(small_configuration(revision, revision)?);
-            // Two operators publish at once: two contents under one revision.
+            // Two operators publish different contents under the same revision.
             if revision % 4 == 0 {
                 self.published.push(small_configuration(revision, revision + 1_000)?);
             }
@@ -89,7 +88,7 @@
             self.run_seconds(12, revision);
         }
         self.fleet.set_cut(None);
-        // Through the platform's outage: nobody reads, and the fleet carries the configuration.
+        // Platform outage: no node reads the platform, and the configuration spreads between nodes only.
         for _ in 0..60 {
             self.step();
         }
@@ -100,7 +99,7 @@
         Ok(())
     }
 
-    /// Brings about what goes with a revision.
+    /// Cuts regions off, restores them or pauses a node, depending on the revision.
     fn inject_fault(&mut self, revision: u64) {
         match revision % 3 {
             0 => self.fleet.set_cut(Some((0, 1))),
@@ -125,7 +124,7 @@
         }
     }
 
-    /// One node reads the platform, which may serve any revision that it ever had.
+    /// Lets a random node read the platform, which may serve any revision published so far.
     fn read_platform(&mut self, revision: u64) {
         let running = self.fleet.running();
         let reader = running[self.random.random_range(0..running.len())];
@@ -142,14 +141,14 @@
         }
     }
 
-    /// Replaces the oldest running node, so that in the end none of the first is left.
+    /// Replaces the oldest running node, so that every initial node is eventually replaced.
     fn replace_one(&mut self) {
         let running = self.fleet.running();
         self.fleet.replace(running[0]);
         self.replaced += 1;
     }
 
-    /// One second, with the checks at its end.
+    /// Advances by one second and checks the invariants.
     fn step(&mut self) {
         self.fleet.run_until(self.fleet.now().plus(Micros::from_secs(1)));
         let now = self.fleet.now();
@@ -166,7 +165,7 @@
         self.accepted = self.accepted.max(lowest.unwrap_or_default());
     }
 
-    /// Nodes that at the end do not have what the others have.
+    /// Number of running nodes below the highest version in the fleet.
     fn left_behind(&self) -> u64 {
         let running = self.fleet.running();
         let highest = running.iter().map(|position| self.fleet.version(*position)).max();
--- a/crates/sablebay-bench/src/experiment/noisy_tenant.rs
+++ b/crates/sablebay-bench/src/experiment/noisy_tenant.rs
@@ -1,4 +1,5 @@
-//! One tenant floods leaves that another uses too.
+//! One tenant floods the leaves that it shares with another. Admission must protect the latency of the
+//! other tenant.
 
 use std::time::Duration;
 
@@ -17,12 +18,11 @@
 const VICTIM_RATE: f64 = 100.0;
 const NOISY_RATE: f64 = 3_000.0;
 const LEAVES: usize = 4;
-/// All of them together run a little over 2,000 queries a second.
+/// Slots of each leaf. All leaves together serve slightly more than 2,000 queries per second.
 const SLOTS: u32 = 6;
-/// What the victim's tail may grow by.
+/// Maximum ratio of the victim's p99 latency under the flood to that without it.
 const RATIO_GOAL: f64 = 1.1;
 
-/// Runs the experiment.
 pub async fn run(options: &RunOptions) -> Result<ExperimentResult, BenchError> {
     let mut result = options.result("noisy-tenant");
     let admission = !options.breaks("admission");
@@ -73,7 +73,7 @@
     deployment
 }
 
-/// The victim's load, and the noisy tenant's.
+/// Returns the load summaries of the victim and of the noisy tenant.
 async fn one_run(
     options: &RunOptions,
     admission: bool,
--- a/crates/sablebay-bench/src/experiment/overhead.rs
+++ b/crates/sablebay-bench/src/experiment/overhead.rs
@@ -1,5 +1,5 @@
-//! What a node adds to a query: two leaves without faults, asked through a node process, and by
-//! the load generator itself.
+//! Measures the latency that a node adds to a query over two leaves, compared with calling the
+//! leaves directly.
 
 use std::time::{Duration, Instant};
 
@@ -21,7 +21,6 @@
 const PAIRS: f64 = 6_000.0;
 const PARALLEL: usize = 32;
 
-/// Runs the experiment.
 pub async fn run(options: &RunOptions) -> Result<ExperimentResult, BenchError> {
     let mut result = options.result("overhead");
     let cluster = start(NodeCommand::with_break(None)?).await?;
@@ -31,7 +30,7 @@
     let mut direct_latency = histogram();
     let pairs = (PAIRS * options.scale) as u64;
     for outlet in 0..pairs {
-        // In turns, so that both see the machine in the same state.
+        // Direct and routed queries alternate, so that both run under the same machine load.
         let started = Instant::now();
         direct.call_both(outlet).await?;
         let direct_elapsed = started.elapsed();
@@ -72,7 +71,7 @@
     ProcessCluster::start(command, deployment, 1, &["--log-level", "warn"]).await
 }
 
-/// Calls both leaves itself, one shard each.
+/// Calls both leaves directly, one shard each.
 struct DirectCaller {
     pools: Vec<ConnectionPool>,
 }
@@ -111,8 +110,8 @@
     }
 }
 
-/// Keeps the node busy from several clients at once; queries answered, and processor time that
-/// the node's process used.
+/// Saturates the node from `PARALLEL` clients. Returns the number of answered queries and the CPU time
+/// that the node process used.
 async fn saturate(cluster: &ProcessCluster, duration: Duration) -> Result<(f64, Duration), BenchError> {
     let before = cluster.nodes[0].cpu_time();
     let started = Instant::now();
--- a/crates/sablebay-bench/src/experiment/repartition.rs
+++ b/crates/sablebay-bench/src/experiment/repartition.rs
@@ -1,5 +1,5 @@
-//! Shards split, merge and move between leaves while queries run. Old and new owners overlap at
-//! one step, and leave a hole at another; one leaf answers for more than it was asked.
+//! Splits, merges and moves shards between leaves under load. Old and new owners overlap at some
+//! stages and leave a gap at another, and one leaf answers for partitions outside the request.
 
 use std::time::Duration;
 
@@ -15,7 +15,6 @@
 const PARTITIONS: u32 = 8;
 const LEAVES: usize = 6;
 
-/// Runs the experiment.
 pub async fn run(options: &RunOptions) -> Result<ExperimentResult, BenchError> {
     let mut result = options.result("repartition");
     let steady = one_run(options, false).await?;
@@ -37,20 +36,19 @@
     format!("leaf-{number}")
 }
 
-/// The map of the index at one stage: shards as partition ranges, each on two leaves.
+/// The shards of the index at one stage, each on two leaves.
 fn shards(stage: usize) -> Vec<ShardPlan> {
     let shard = |first: u32, last: u32, leaves: [usize; 2]| ShardPlan {
         partitions: PartitionSet::range(first, last),
         leaves: leaves.iter().map(|number| leaf_name(*number)).collect(),
     };
     match stage {
-        // Two shards.
         0 => vec![shard(0, 3, [0, 1]), shard(4, 7, [2, 3])],
-        // The first is split, and one half moves.
+        // The first shard is split, and one half moves.
         1 => vec![shard(0, 1, [0, 1]), shard(2, 3, [4, 5]), shard(4, 7, [2, 3])],
-        // The second is split, and a half of it merges with what moved.
+        // The second shard is split, and one half merges with the moved one.
         2 => vec![shard(0, 1, [0, 1]), shard(2, 5, [4, 5]), shard(6, 7, [2, 3])],
-        // Everything is merged into one.
+        // All shards are merged into one.
         _ => vec![shard(0, 7, [4, 5])],
     }
 }
@@ -103,7 +101,7 @@
 async fn move_shards(cluster: &mut Cluster, stage_time: Duration) -> Result<(), BenchError> {
     for stage in 1..=3 {
         tokio::time::sleep(stage_time / 2).await;
-        // New owners first, so that old and new overlap; at the last stage old owners go first.
+        // New owners are added before old ones are removed, except at the last stage.
         let overlap = stage < 3;
         for (name, leaf) in &cluster.leaves.leaves {
             let held = held_at(stage, name);
--- a/crates/sablebay-bench/src/experiment/rolling_restart.rs
+++ b/crates/sablebay-bench/src/experiment/rolling_restart.rs
@@ -1,5 +1,5 @@
-//! Every node of a fleet of processes is replaced under load, one by one, by planned stops. Half
-//! of the services are searched through aggregators, so that nodes work for each other.
+//! Replaces every node process under load, one by one, with planned stops. Half of the services use
+//! tree fan-out, so that nodes also aggregate for each other.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,10 +17,9 @@
 
 const RATE: f64 = 200.0;
 const NODES: usize = 3;
-/// How long a planned stop may take.
+/// Maximum duration of a planned stop.
 const STOP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs the experiment.
 pub async fn run(options: &RunOptions) -> Result<ExperimentResult, BenchError> {
     let mut result = options.result("rolling-restart");
     let run = one_run(options).await?;
@@ -89,7 +88,7 @@
         cluster.add_node().await?;
         cluster.wait_until_ready(NODES + 1).await?;
         *nodes.lock() = cluster.caller_addresses();
-        // The stopping node stays in the callers' list: they must be told, not cut.
+        // Callers still use the stopping node, which must answer them rather than drop connections.
         let (mut leaving, _proxy) = cluster.remove_node(0);
         let started = Instant::now();
         leaving.terminate();
--- a/crates/sablebay-bench/src/experiment/spread.rs
+++ b/crates/sablebay-bench/src/experiment/spread.rs
@@ -1,4 +1,5 @@
-//! A hollow fleet takes changes of configuration, with loss and churn at the two-year rates.
+//! Measures how fast configuration changes spread through a hollow fleet, with message loss and node
+//! churn at the rates of the planned two-year size.
 
 use std::sync::Arc;
 
@@ -16,26 +17,25 @@
 use crate::result::ExperimentResult;
 use crate::usage::{process_cpu_time, resident_bytes};
 
-/// Fleet sizes; the last is the two-year size.
+/// Numbers of nodes; the last is the two-year size.
 const SIZES: [usize; 4] = [50, 200, 800, 2_100];
-/// The two-year size. The letter gives no number of services: a hundred leaves each are assumed.
+/// The two-year size, with 100 leaves per service.
 const LARGEST_CONFIGURATION: ConfigurationSize = ConfigurationSize { leaves: 110_000, services: 1_100 };
 const SMALL_CONFIGURATION: ConfigurationSize = ConfigurationSize { leaves: 2_000, services: 200 };
 const REGIONS: usize = 4;
 const ZONES: usize = 13;
 const LOSS: f64 = 0.01;
-/// Configuration changes a day at the two-year size.
+/// Configuration changes per day at the two-year size.
 const CHANGES_PER_DAY: f64 = 32_000.0;
-/// Nodes restarted, replaced or failed a day at the two-year size.
+/// Nodes restarted, replaced or failed per day at the two-year size.
 const REPLACED_PER_DAY: f64 = 9_820.0;
 const SECONDS_PER_DAY: f64 = 86_400.0;
-/// Everywhere within this.
+/// Maximum time until a change is in force on every node.
 const GOAL_MS: f64 = 5_000.0;
-/// How long a change is waited for.
+/// Time after which the wait for a change ends.
 const SPREAD_TIMEOUT: Micros = Micros::from_secs(30);
 const STEP: Micros = Micros::from_millis(20);
 
-/// Runs the experiment.
 pub fn run(options: &RunOptions) -> Result<ExperimentResult, BenchError> {
     let mut result = options.result("configuration-spread");
     let sizes: &[usize] = if options.scale < 1.0 { &SIZES[..2] } else { &SIZES };
@@ -66,7 +66,7 @@
     Ok(result)
 }
 
-/// What the configuration costs a node, and what leaves and services add to that.
+/// Adds the cost of a configuration to a node, in total and for each 1,000 leaves and services.
 fn add_configuration(result: &mut ExperimentResult, options: &RunOptions) -> Result<(), BenchError> {
     let size = if options.scale < 1.0 { SMALL_CONFIGURATION } else { LARGEST_CONFIGURATION };
     let slopes = measure_slopes(size)?;
@@ -92,7 +92,7 @@
     Ok(())
 }
 
-/// What a thousand more nodes add for each node.
+/// Adds the growth of the cost per node for each 1,000 nodes in the fleet.
 fn add_slopes(result: &mut ExperimentResult, measured: &[(f64, Measured)]) {
     let (Some((small, first)), Some((large, last))) = (measured.first(), measured.last()) else {
         return;
@@ -124,7 +124,7 @@
     }
 }
 
-/// A small configuration: what grows with services and leaves is measured apart.
+/// A minimal configuration, whose own cost is negligible. `content` makes revisions differ.
 pub fn small_configuration(revision: u64, content: u64) -> Result<Arc<Configuration>, BenchError> {
     let text = format!(
         "revision = {revision}\n[templates.t]\ndeadline_ms = {}\n[instances.s]\ntemplate = \"t\"\nindex = \"i\"\n\
@@ -185,7 +185,7 @@
     })
 }
 
-/// One node accepts a revision; milliseconds until every running node has it in force.
+/// Publishes a revision to one node. Returns the milliseconds until it is in force on every running node.
 fn publish_and_wait(
     fleet: &mut HollowFleet,
     revision: u64,
--- a/crates/sablebay-bench/src/experiment/straggler.rs
+++ b/crates/sablebay-bench/src/experiment/straggler.rs
@@ -1,10 +1,8 @@
-//! Tail latency with slow calls and slow replicas, for both users' deployments.
+//! Measures tail latency with slow calls and slow replicas, for both users' deployments.
 //!
-//! Leaf service times are log-normal with a median of 20 ms and sigma 0.6. One call in a hundred
-//! takes ten times as long, and at any moment one leaf in twenty (at least one) works at a third
-//! of its speed, for three seconds at a time. The load is open-loop at 60% of the slots of each
-//! service, and once more at 30%: with two replicas a shard, what is left of a service when one of
-//! them is slow cannot carry 60% (2 x 0.6 = 1.2 of one replica), and no choice of replica mends that.
+//! Leaf service times are log-normal. Some calls take longer by a factor, and some leaves run slower
+//! for a period. The load is open-loop at 60% and at 30% of the slots of each service. At 60% with two
+//! replicas per shard, the remaining replica cannot carry the full load while the other is slow.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,14 +24,13 @@
 const SLOW_SHARE: f64 = 0.05;
 const SLOW_FACTOR: f64 = 3.0;
 const SLOW_PERIOD: Duration = Duration::from_secs(3);
-/// The load, as a share of the slots, with the prefix of its figures.
+/// Prefix of the figures and the load as a fraction of the slots.
 const UTILISATIONS: [(&str, f64); 2] = [("", 0.6), ("at_30_percent_", 0.3)];
-/// What the tail may grow by.
+/// Maximum ratio of the p99 latency with stragglers to that without.
 const LATENCY_GOAL: f64 = 1.15;
-/// Extra load that is allowed.
+/// Maximum extra load, as a fraction.
 const LOAD_GOAL: f64 = 0.03;
 
-/// Runs the experiment.
 pub async fn run(options: &RunOptions) -> Result<ExperimentResult, BenchError> {
     let mut result = options.result("straggler");
     let mut reached = true;
@@ -54,7 +51,8 @@
     Ok(result)
 }
 
-/// Measures one deployment three times; returns whether the goals are reached.
+/// Runs one deployment without stragglers, with stragglers, and with stragglers but no hedging.
+/// Returns whether the latency and load goals are reached.
 async fn measure(
     prefix: &str,
     deployment: &Deployment,
@@ -90,7 +88,7 @@
     Ok(ratio <= LATENCY_GOAL && straggling.extra_load() <= LOAD_GOAL)
 }
 
-/// What the leaves are like in a run.
+/// Condition of the leaves during a run.
 #[derive(Clone, Copy)]
 enum LeafCondition {
     /// No stragglers; hedging is on.
@@ -142,7 +140,7 @@
     Ok(summary)
 }
 
-/// Queries a second of each service that keep a share of its slots busy.
+/// Weights each service by the queries per second that keep a fraction of its slots busy.
 fn weights(deployment: &Deployment, utilisation: f64, mean_us: f64) -> Vec<WeightedService> {
     let slots_of = |name: &str| {
         let leaves = deployment.leaves.iter().filter(|leaf| leaf.name.starts_with(&format!("{name}-leaf-")));
@@ -159,7 +157,7 @@
         .collect()
 }
 
-/// Keeps one leaf in twenty slow, others in turn.
+/// Slows down a random fraction of the leaves, chosen anew in each period.
 async fn run_slow_periods(leaves: Vec<Arc<LeafState>>, seed: u64) {
     let mut random = SmallRng::seed_from_u64(seed);
     let count = ((leaves.len() as f64 * SLOW_SHARE).round() as usize).max(1);
--- a/crates/sablebay-bench/src/experiment/version_roll.rs
+++ b/crates/sablebay-bench/src/experiment/version_roll.rs
@@ -1,5 +1,5 @@
-//! Index versions roll over the leaves while queries run; one leaf answers with a version that it
-//! was not asked for.
+//! Rolls index versions over the leaves under load, while one leaf answers with a version other than
+//! the requested one.
 
 use std::time::Duration;
 
@@ -13,10 +13,9 @@
 
 const RATE: f64 = 300.0;
 const ROLLS: u64 = 3;
-/// Time between two leaves' steps in a roll.
+/// Delay before the next leaf drops the old version.
 const STEP: Duration = Duration::from_millis(60);
 
-/// Runs the experiment.
 pub async fn run(options: &RunOptions) -> Result<ExperimentResult, BenchError> {
     let mut result = options.result("version-roll");
     let steady = one_run(options, false).await?;
@@ -60,7 +59,7 @@
     Ok(summary)
 }
 
-/// Rolls versions over the leaves: each takes the new version, and drops the old one later.
+/// Loads each new version on every leaf, then drops the old version leaf by leaf.
 async fn roll(leaves: &RunningLeaves, pause: Duration) {
     for version in 1..=ROLLS {
         let (old, new) = (SnapshotVersion(version), SnapshotVersion(version + 1));
--- a/crates/sablebay-bench/src/gateway_cost.rs
+++ b/crates/sablebay-bench/src/gateway_cost.rs
@@ -120,7 +120,7 @@
         }
     };
     let timed_out = |_| BenchError::NotInTime {
-        what: "the node becoming ready".to_string(),
+        what: "the node to become ready".to_string(),
         seconds: READY_TIMEOUT.as_secs(),
     };
     tokio::time::timeout(READY_TIMEOUT, waiting).await.map_err(timed_out)
--- a/crates/sablebay-bench/src/lib.rs
+++ b/crates/sablebay-bench/src/lib.rs
@@ -1,8 +1,8 @@
-//! The emulator of what sablebay serves, and its experiments.
+//! Experiments, load tests and fault injection for sablebay.
 //!
-//! Every experiment prints one JSON object with its figures, the baseline's figures from the same
-//! run, and `violations`. With `--break MECHANISM` one mechanism is off, and the checker must
-//! notice: a checker that cannot fail proves nothing.
+//! Every experiment prints one JSON object with its figures, the figures of the baseline from the
+//! same run, and the number of `violations`. `--break MECHANISM` disables one mechanism, and the
+//! experiment then passes only if its checker detects the resulting violations.
 
 mod allocation;
 mod capacity;
--- a/crates/sablebay-bench/src/report.rs
+++ b/crates/sablebay-bench/src/report.rs
@@ -1,4 +1,4 @@
-//! A self-contained HTML page of one result, with plots.
+//! Writes a result as a self-contained HTML page with plots.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -13,7 +13,7 @@
 /// Writes `index.html` and `result.json` into a folder.
 ///
 /// # Errors
-/// When the folder cannot be written, or a plot not drawn.
+/// When the folder cannot be written, or a plot cannot be drawn.
 pub fn write_report(result: &ExperimentResult, folder: &Path) -> Result<(), BenchError> {
     std::fs::create_dir_all(folder)?;
     std::fs::write(folder.join("result.json"), serde_json::to_string(result)? + "\n")?;
@@ -27,7 +27,8 @@
 
 fn page(result: &ExperimentResult) -> Result<String, BenchError> {
     let title = escape(&result.experiment);
-    let broken = result.broken.as_deref().map_or("nothing is off".to_string(), |m| format!("{m} is off"));
+    let broken =
+        result.broken.as_deref().map_or("all mechanisms enabled".to_string(), |m| format!("{m} disabled"));
     let mut body = format!(
         "<h1>{title}</h1><p>Seed {}; {}; {} violations.</p><table>",
         result.seed,
--- a/crates/sablebay-bench/src/result.rs
+++ b/crates/sablebay-bench/src/result.rs
@@ -1,48 +1,43 @@
-//! What an experiment found.
+//! Results of experiments.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-/// One line of a plot.
+/// A line in a plot.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Series {
-    /// The plot that it belongs to.
+    /// Title of the plot that contains the line.
     pub plot: String,
-    /// Its name in the plot.
+    /// Label in the legend.
     pub name: String,
-    /// What the horizontal axis shows.
     pub x_label: String,
-    /// What the vertical axis shows.
     pub y_label: String,
-    /// The points.
     pub points: Vec<(f64, f64)>,
 }
 
-/// What an experiment found.
+/// The result of one run of an experiment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ExperimentResult {
-    /// The experiment.
     pub experiment: String,
-    /// The seed.
     pub seed: u64,
-    /// The mechanism that was off.
+    /// The disabled mechanism, if any.
     #[serde(rename = "break")]
     pub broken: Option<String>,
-    /// Things that must never happen, and did.
+    /// Number of violated invariants.
     pub violations: u64,
-    /// With a mechanism off: whether the checker noticed.
+    /// With a mechanism disabled: whether the checker detected the consequences.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub break_caught: Option<bool>,
-    /// The figures.
+    /// Measured values by name.
     #[serde(flatten)]
     pub figures: Map<String, Value>,
-    /// What the report plots; left out of the printed line.
+    /// Lines plotted in the report; omitted from the printed result.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub series: Vec<Series>,
 }
 
 impl ExperimentResult {
-    /// A result without figures.
+    /// Creates a result without figures.
     pub fn new(experiment: &str, seed: u64, broken: Option<&str>) -> Self {
         Self {
             experiment: experiment.to_string(),
@@ -55,7 +50,7 @@
         }
     }
 
-    /// Adds a figure; numbers are rounded to what can be told apart.
+    /// Sets a figure. Floating-point numbers are rounded to four significant digits.
     pub fn figure(&mut self, name: &str, value: impl Into<Value>) {
         let value = match value.into() {
             Value::Number(number) if number.is_f64() => rounded(number.as_f64().unwrap_or(0.0)),
@@ -64,12 +59,12 @@
         self.figures.insert(name.to_string(), value);
     }
 
-    /// A figure as a number.
+    /// Returns a figure as a number, or NaN if it is missing or not a number.
     pub fn number(&self, name: &str) -> f64 {
         self.figures.get(name).and_then(Value::as_f64).unwrap_or(f64::NAN)
     }
 
-    /// Counts violations under a name of their own.
+    /// Adds to the violations, and records the count as a figure.
     pub fn violation(&mut self, name: &str, count: u64) {
         self.violations += count;
         self.figure(name, count);
@@ -86,14 +81,14 @@
         });
     }
 
-    /// The result without what only the report needs.
+    /// Serializes the result as one line of JSON, without the plotted series.
     pub fn printed_line(&self) -> Result<String, serde_json::Error> {
         let printed = Self { series: Vec::new(), ..self.clone() };
         serde_json::to_string(&printed)
     }
 }
 
-/// Four significant digits.
+/// Rounds to four significant digits.
 fn rounded(number: f64) -> Value {
     if number == 0.0 || !number.is_finite() {
         return Value::from(0.0);
