--- a/crates/sablebay-bench/src/allocation.rs
+++ b/crates/sablebay-bench/src/allocation.rs
@@ -1,5 +1,5 @@
-//! Counts the memory that a piece of work allocates, exactly, where the process's resident memory
-//! tells little: an allocator keeps what was freed for a while.
+//! Counts the bytes that a closure allocates. Resident memory is not exact enough for this, because
+//! allocators retain freed pages.
 
 use std::alloc::{GlobalAlloc, Layout};
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
@@ -8,7 +8,7 @@
 static LIVE: AtomicI64 = AtomicI64::new(0);
 static PEAK: AtomicI64 = AtomicI64::new(0);
 
-/// An allocator that counts while [`count_allocations`] runs, and otherwise costs one load.
+/// An allocator that counts allocated bytes while [`count_allocations`] runs.
 #[derive(Debug, Default)]
 pub struct CountingAllocator<A>(pub A);
 
@@ -25,11 +25,11 @@
     }
 }
 
-// SAFETY: every call is handed to the wrapped allocator as it is; counting touches atomics alone.
+// SAFETY: every call is forwarded unchanged to the wrapped allocator; counting only uses atomics.
 unsafe impl<A: GlobalAlloc> GlobalAlloc for CountingAllocator<A> {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         add(layout.size());
-        // SAFETY: the caller keeps the contract of `alloc`, which is the wrapped allocator's too.
+        // SAFETY: the caller upholds the contract of `alloc`, which is that of the wrapped allocator.
         unsafe { self.0.alloc(layout) }
     }
 
@@ -47,18 +47,17 @@
     }
 }
 
-/// Bytes that were allocated by some work.
+/// Bytes allocated by a closure.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Allocated {
-    /// Still held at its end.
+    /// Bytes still allocated when the closure returned.
     pub kept: i64,
-    /// Held at once at the most.
+    /// Maximum number of bytes allocated at the same time.
     pub peak: i64,
 }
 
-/// Runs some work and counts what it allocates, as asked for and without the allocator's own
-/// rounding. Everything that the process allocates meanwhile is counted. Zero in a process whose
-/// allocator is not a [`CountingAllocator`].
+/// Runs `work` and counts the requested bytes, without the allocator's rounding. Allocations of all
+/// threads are counted. The counts are zero unless the global allocator is a [`CountingAllocator`].
 pub fn count_allocations<T>(work: impl FnOnce() -> T) -> (T, Allocated) {
     LIVE.store(0, Ordering::Relaxed);
     PEAK.store(0, Ordering::Relaxed);
--- a/crates/sablebay-bench/src/capacity/slopes.rs
+++ b/crates/sablebay-bench/src/capacity/slopes.rs
@@ -1,4 +1,4 @@
-//! Measurement of the slopes.
+//! Measurement of the slopes, which are costs per unit of load or size.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -21,68 +21,67 @@
 use crate::processes::{NodeCommand, ProcessCluster};
 use crate::usage::{process_cpu_time, resident_bytes};
 
-/// What was measured. Each name says the unit.
+/// Measured slopes.
 #[derive(Clone, Debug, Serialize)]
 pub struct Slopes {
-    /// Processor time for a leaf call, at 1,400 leaves a query.
+    /// CPU time for a leaf call, at 1,400 leaves per query.
     pub us_per_leaf_call: f64,
-    /// Calls in a batch in that measurement.
+    /// Mean number of calls per batch, at 1,400 leaves per query.
     pub leaf_call_batch: f64,
-    /// Processor time for a query over two leaves, all of it.
+    /// Total CPU time for a query over two leaves.
     pub us_per_small_query: f64,
-    /// Processor time to write and read one frame with a part of a search and its result.
+    /// Time to encode and decode the frames of one partial search and its result.
     pub us_per_partial_frame_pair: f64,
-    /// Bytes of that pair.
+    /// Size of the frames of one partial search and its result.
     pub bytes_per_partial_frame_pair: f64,
-    /// Bytes of control traffic a node sends, at 2,100 nodes.
+    /// Control traffic sent by each node, at 2,100 nodes.
     pub control_bytes_per_second: f64,
-    /// Messages of control traffic a node sends, at 2,100 nodes.
+    /// Control messages sent by each node, at 2,100 nodes.
     pub control_messages_per_second: f64,
-    /// Processor share of a node's control logic, at 2,100 nodes.
+    /// CPU cores used by the control logic of a node, at 2,100 nodes.
     pub control_logic_share: f64,
-    /// Memory of a node's view of the fleet, at 2,100 nodes.
+    /// Memory of the member table and control state of a node, at 2,100 nodes.
     pub control_memory_bytes: f64,
-    /// Time until a change is in force everywhere, the longest seen, at 2,100 nodes.
+    /// Maximum time until a change is in force on every node, at 2,100 nodes.
     pub in_force_everywhere_ms: f64,
-    /// Processor share of an idle node process in a fleet of three, transport included.
+    /// CPU cores used by an idle node process in a fleet of three, transport included.
     pub idle_process_share: f64,
-    /// Memory of an idle node process.
+    /// Resident memory of an idle node process.
     pub idle_process_bytes: f64,
-    /// Bytes of each node's part of a fleet's status.
+    /// Size of the fleet status for each node.
     pub fleet_status_bytes_per_node: f64,
     /// Memory of the configuration in force at the two-year size.
     pub configuration_memory_bytes: f64,
-    /// Memory needed at once while a whole document of that size is read.
+    /// Peak memory while a full document of that size is read.
     pub configuration_read_peak_bytes: f64,
-    /// The same while a changed one is read beside the one in force.
+    /// Peak memory while a changed document is read with the configuration in force as its base.
     pub configuration_reread_peak_bytes: f64,
-    /// The same while it comes from a peer, without its entries.
+    /// Peak memory while a configuration is built from a peer's document, the entries excluded.
     pub configuration_join_peak_bytes: f64,
-    /// Bytes of such a document.
+    /// Bytes of the names and bodies in such a document.
     pub document_bytes: f64,
-    /// Processor time to read such a document.
+    /// CPU time to read such a document.
     pub read_us: f64,
-    /// Processor time to apply a small delta to it.
+    /// CPU time to apply a delta that touches one service.
     pub delta_us: f64,
-    /// Bytes of a small delta.
+    /// Size of that delta.
     pub delta_bytes: f64,
-    /// Memory that a thousand more leaves add.
+    /// Configuration memory for each 1,000 leaves.
     pub memory_bytes_per_1000_leaves: f64,
-    /// Memory that a thousand more services add.
+    /// Configuration memory for each 1,000 services.
     pub memory_bytes_per_1000_services: f64,
-    /// Memory for each claim held.
     pub memory_bytes_per_claim: f64,
-    /// Processor time for each claim.
+    /// CPU time for each claim.
     pub us_per_claim: f64,
 }
 
 const CLAIMS: usize = 100_000;
 const IDLE: Duration = Duration::from_secs(10);
 
-/// Measures everything.
+/// Measures all slopes.
 pub async fn measure() -> Result<Slopes, BenchError> {
     let options = RunOptions::default();
-    // Before anything that frees memory, which claims would then be kept in.
+    // Measured first: claims could otherwise reuse memory that earlier measurements freed.
     let claims = measure_claims();
     let (frame_us, frame_bytes) = measure_frames()?;
     let spread = run_experiment("configuration-spread", &options).await?;
@@ -139,7 +138,7 @@
     (memory, cpu.as_secs_f64() * 1e6 / CLAIMS as f64)
 }
 
-/// One part of a search and its result, written, proved and read.
+/// Encodes, authenticates and decodes the frames of a partial search and its result.
 fn measure_frames() -> Result<(f64, f64), BenchError> {
     const ROUNDS: usize = 20_000;
     const HIT_BYTES: usize = 1_200;
@@ -191,7 +190,7 @@
     status_bytes_per_node: f64,
 }
 
-/// A node process that serves nothing, in a fleet of three.
+/// Measures an idle node process in a fleet of three.
 async fn measure_idle() -> Result<Idle, BenchError> {
     const NODES: usize = 3;
     let deployment = sablebay_standin::Deployment::tepung_raya();
--- a/crates/sablebay-bench/src/capacity/table.rs
+++ b/crates/sablebay-bench/src/capacity/table.rs
@@ -1,10 +1,10 @@
-//! The arithmetic from slopes to the two-year size.
+//! Projection of the slopes to the planned two-year size of the fleet.
 
 use serde::Serialize;
 
 use super::slopes::Slopes;
 
-/// The two-year size, as the users' first letter gives it.
+/// Number of nodes at the two-year size.
 const NODES: f64 = 2_100.0;
 const LEAVES: f64 = 110_000.0;
 const QUERIES_PER_SECOND: f64 = 3_200_000.0;
@@ -16,43 +16,39 @@
 const CONTROL_MEMORY_LIMIT: f64 = 32e6;
 const CONTROL_BYTES_LIMIT: f64 = 14_000.0;
 const SPREAD_LIMIT_MS: f64 = 5_000.0;
-/// Cores of a node that leaf calls may use.
+/// Limit on the cores of a node used by leaf calls.
 const LEAF_CALL_CORES: f64 = 6.0;
-/// Aggregators of one service.
+/// Aggregators of each service.
 const AGGREGATORS: f64 = 8.0;
-/// Reads of the platform by the whole fleet, each second.
+/// Reads of the platform per second, over the whole fleet.
 const PLATFORM_READS_PER_SECOND: f64 = 1.5;
-/// The share of requests that are operations: an assumption, the letter names none.
+/// Fraction of requests that are operations.
 const OPERATION_SHARE: f64 = 0.001;
-/// How long a claim is kept, in seconds.
 const CLAIM_LIFETIME_SECONDS: f64 = 180.0;
 const HOLDERS: f64 = 3.0;
 
-/// One row of the table.
+/// A row of the capacity table.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
-    /// The role, and what of it.
+    /// The role of the node and the quantity.
     pub what: String,
-    /// The figure at the two-year size.
+    /// Value at the two-year size.
     pub value: f64,
-    /// Its unit.
     pub unit: String,
-    /// What is allowed, when the letter says.
+    /// Maximum allowed value, if one is required.
     pub limit: Option<f64>,
-    /// Value by limit.
+    /// Value divided by the limit.
     pub ratio: Option<f64>,
-    /// The mechanism that carries it.
+    /// The mechanism that determines the value.
     pub mechanism: String,
-    /// Where its slope comes from.
+    /// The measurement or computation that yields the value.
     pub source: String,
 }
 
-/// The whole table, with the slopes it comes from.
+/// The capacity table and the slopes from which it is computed.
 #[derive(Clone, Debug, Serialize)]
 pub struct CapacityTable {
-    /// The slopes.
     pub slopes: Slopes,
-    /// The rows.
     pub rows: Vec<Row>,
 }
 
@@ -74,7 +70,7 @@
     }
 }
 
-/// The table at the two-year size.
+/// Computes the table at the two-year size.
 pub fn compute(slopes: Slopes) -> CapacityTable {
     let mut rows = Rows { rows: Vec::new() };
     add_query_path(&mut rows, &slopes);
@@ -87,13 +83,13 @@
     let queries = QUERIES_PER_SECOND / NODES;
     let leaf_calls = queries * LEAVES_PER_QUERY;
     let frames = queries * AGGREGATORS;
-    rows.add("root: queries", queries, "1/s", None, "every node takes callers", "letter 1");
+    rows.add("root: queries", queries, "1/s", None, "every node accepts callers", "requirement");
     rows.add(
         "root: frames to aggregators",
         frames,
         "1/s",
         None,
-        "one frame an aggregator for each query; 8 aggregators a service",
+        "one frame per aggregator and query; 8 aggregators per service",
         "arithmetic",
     );
     rows.add(
@@ -101,7 +97,7 @@
         frames * slopes.us_per_partial_frame_pair / 1e6,
         "cores",
         None,
-        "musli frames with a keyed proof",
+        "musli frames with a message authentication code",
         "capacity: frames",
     );
     rows.add(
@@ -109,16 +105,16 @@
         frames * slopes.bytes_per_partial_frame_pair / 1e6,
         "MB/s",
         None,
-        "partial results are merged and cut by the aggregator",
+        "aggregators merge and truncate partial results",
         "capacity: frames",
     );
-    rows.add("back-end client: leaf calls", leaf_calls, "1/s", None, "tree fan-out", "letter 1");
+    rows.add("back-end client: leaf calls", leaf_calls, "1/s", None, "tree fan-out", "requirement");
     rows.add(
         "back-end client: processor time",
         leaf_calls * slopes.us_per_leaf_call / 1e6,
         "cores",
         Some(LEAF_CALL_CORES),
-        "batches over few connections, answers streamed back",
+        "batches over few connections, streamed answers",
         "run leaf-cost",
     );
     rows.add(
@@ -134,7 +130,7 @@
         leaf_calls / (LEAVES * AGGREGATORS / NODES),
         "1/s",
         None,
-        "k = 8 nodes a leaf, so that batches fill",
+        "k = 8 nodes per leaf, so that batches fill",
         "arithmetic",
     );
 }
@@ -151,7 +147,7 @@
         slopes.control_bytes_per_second,
         "B/s",
         Some(CONTROL_BYTES_LIMIT),
-        "one probe a second, rumours on probes, deltas pushed to four peers",
+        "one probe per second, gossip piggybacked on probes, deltas pushed to four peers",
         "run configuration-spread",
     );
     rows.add(
@@ -167,7 +163,7 @@
         traffic,
         "B/s",
         Some(CONTROL_BYTES_LIMIT),
-        "conditional reads spread over the fleet; a joining node is sent the whole once",
+        "conditional reads spread over the fleet; a joining node receives one full document",
         "run configuration-spread",
     );
     let delta = changes * slopes.delta_us / 1e6;
@@ -177,7 +173,7 @@
         delta,
         "cores",
         Some(CONTROL_SHARE_LIMIT),
-        "just what a delta touches is read again; the rest is shared",
+        "only entries that a delta changes are read again; the others are shared",
         "run configuration-spread",
     );
     rows.add(
@@ -185,7 +181,7 @@
         parse,
         "cores",
         Some(CONTROL_SHARE_LIMIT),
-        "validation is whole and pure",
+        "full validation without side effects",
         "run configuration-spread",
     );
     rows.add(
@@ -193,7 +189,7 @@
         slopes.idle_process_share,
         "cores",
         Some(CONTROL_SHARE_LIMIT),
-        "probes five times as often as at the two-year size",
+        "probe rate five times that of the two-year size",
         "capacity: idle",
     );
     rows.add(
@@ -218,7 +214,7 @@
         configuration / 1e6,
         "MB",
         Some(CONTROL_MEMORY_LIMIT / 1e6),
-        "the document as text, one allocation an entry; services as read",
+        "the document as text, one allocation per entry; parsed services",
         "run configuration-spread",
     );
     rows.add(
@@ -226,7 +222,7 @@
         slopes.control_memory_bytes / 1e6,
         "MB",
         Some(CONTROL_MEMORY_LIMIT / 1e6),
-        "one record a member",
+        "one record per member",
         "run configuration-spread",
     );
     rows.add(
@@ -249,7 +245,7 @@
             (peak + slopes.control_memory_bytes) / 1e6,
             "MB",
             Some(CONTROL_MEMORY_LIMIT / 1e6),
-            "64 KiB are read at a time; what two documents have alike is kept once",
+            "reads in steps of 64 KiB; entries common to two documents are shared",
             "run configuration-spread",
         );
     }
@@ -270,15 +266,15 @@
         claims,
         "1/s",
         None,
-        "three holders a ticket, by its text",
-        "assumes one operation in 1,000 requests",
+        "three holders per ticket, named in the ticket",
+        "assumption: one operation in 1,000 requests",
     );
     rows.add(
         "claim holder: memory",
         claims * CLAIM_LIFETIME_SECONDS * slopes.memory_bytes_per_claim / 1e6,
         "MB",
         None,
-        "records end with their ticket's lifetime",
+        "records expire with their ticket",
         "capacity: claims",
     );
     rows.add(
@@ -286,7 +282,7 @@
         claims * slopes.us_per_claim / 1e6,
         "cores",
         None,
-        "one map entry a claim",
+        "one map entry per claim",
         "capacity: claims",
     );
     rows.add(
@@ -300,7 +296,7 @@
 }
 
 impl CapacityTable {
-    /// The table as Markdown.
+    /// Formats the table and the slopes as Markdown.
     pub fn as_markdown(&self) -> String {
         let mut text = String::from(
             "| role and figure | at the two-year size | limit | ratio | mechanism | source |\n|---|---|---|---|---|---|\n",
@@ -327,7 +323,7 @@
     }
 }
 
-/// Three significant digits.
+/// Formats a number with at least three significant digits.
 fn significant(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return value.to_string();
--- a/crates/sablebay-bench/src/cli.rs
+++ b/crates/sablebay-bench/src/cli.rs
@@ -48,7 +48,7 @@
   tenant-cost [--tenants N] [--keys N]
       measure the cost of loading tenants with N keys each and of looking one up, as JSON
   capacity [--json]
-      measure the unit costs behind docs/CAPACITY.md and compute its table
+      measure the slopes behind docs/CAPACITY.md and compute its table
   compare A B
       compare two results (JSON files, or folders written by --out)
   platform --address A [--configuration FILE]
--- a/crates/sablebay-bench/src/configuration_cost.rs
+++ b/crates/sablebay-bench/src/configuration_cost.rs
@@ -1,4 +1,4 @@
-//! What a configuration costs a node: memory, processor time and bytes, by leaves and services.
+//! Measures the memory, CPU time and size of a configuration, by number of leaves and services.
 
 use std::hint::black_box;
 
@@ -14,36 +14,35 @@
 /// The size of a configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigurationSize {
-    /// Leaves; pairs of them hold shards, fifty shards make an index.
+    /// Number of leaves: two per shard, with 50 shards per index.
     pub leaves: usize,
-    /// Services, spread over the indexes.
+    /// Number of services, spread over the indexes.
     pub services: usize,
 }
 
-/// What a configuration of one size costs.
+/// Cost of a configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigurationCost {
-    /// Memory that it keeps.
+    /// Memory retained by the configuration.
     pub memory_bytes: f64,
-    /// Memory that is needed at once while it is read from the platform's text, the part that it
-    /// keeps among it.
+    /// Peak memory while the platform's text is read, retained memory included.
     pub read_peak_bytes: f64,
-    /// The same while a text that differs in one service is read beside the configuration in force,
-    /// without what that one keeps.
+    /// Peak memory while a text that differs in one service is read with the configuration in force as
+    /// its base, excluding the memory of the base.
     pub reread_peak_bytes: f64,
-    /// The same while it is read from a peer's entries, without the entries.
+    /// Peak memory while the configuration is built from a peer's document, excluding its entries.
     pub join_peak_bytes: f64,
     /// Bytes of names and bodies in the document.
     pub document_bytes: f64,
-    /// Processor time to read and validate the whole.
+    /// CPU time to read and validate the document.
     pub read_us: f64,
-    /// Processor time to apply a delta that touches one service.
+    /// CPU time to apply a delta that touches one service.
     pub delta_us: f64,
-    /// Bytes of that delta.
+    /// Size of that delta.
     pub delta_bytes: f64,
 }
 
-/// A document of a size. `deadline_ms` is that of the first service.
+/// Generates a configuration document of the given size. `deadline_ms` applies to the first service.
 pub fn configuration_text(size: ConfigurationSize, revision: u64, deadline_ms: u64) -> String {
     let indexes = (size.leaves / LEAVES_PER_SHARD / SHARDS_PER_INDEX).max(1);
     let mut text = format!("revision = {revision}\n[templates.t]\nreplicas = 2\n");
@@ -75,10 +74,10 @@
     text
 }
 
-/// Measures one size.
+/// Measures the cost of a configuration of one size.
 ///
 /// # Errors
-/// When the measurement's own documents are not valid.
+/// When a generated document is invalid.
 pub fn measure_configuration(size: ConfigurationSize) -> Result<ConfigurationCost, BenchError> {
     const DELTAS: usize = 10;
     let text = configuration_text(size, 1, 300);
@@ -111,18 +110,19 @@
     })
 }
 
-/// What one leaf and one service add, and a configuration of the largest size as a whole.
+/// Cost of a configuration in total, per leaf and per service.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigurationSlopes {
-    /// The largest size that was measured, and what it cost.
+    /// Total cost at the largest measured size.
     pub largest: ConfigurationCost,
-    /// What each leaf adds.
+    /// Additional cost of each leaf.
     pub per_leaf: ConfigurationCost,
-    /// What each service adds.
+    /// Additional cost of each service.
     pub per_service: ConfigurationCost,
 }
 
-/// Measures the slopes between `largest` and a tenth of its leaves, or of its services.
+/// Measures the cost per leaf and per service, by comparing `largest` with a configuration that has a
+/// tenth of its leaves or of its services.
 ///
 /// # Errors
 /// As [`measure_configuration`].
--- a/crates/sablebay-bench/src/gateway_cost.rs
+++ b/crates/sablebay-bench/src/gateway_cost.rs
@@ -1,4 +1,4 @@
-//! What one gathered request costs a node in processor time, by the number of its shards.
+//! Measures the CPU time that a node spends on one gathered request.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -15,25 +15,23 @@
 use crate::processes::NodeCommand;
 use crate::soak::{NodePlan, SoakNode};
 
-/// The host of the route.
 const HOST: &str = "cost.example";
-/// Requests before the measured ones.
+/// Number of unmeasured requests before the measurement.
 const WARM_UP: usize = 50;
-/// How long the node may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What was measured.
+/// Cost of gathered requests.
 #[derive(Debug, Serialize)]
 pub struct GatewayCost {
-    /// Shards of each request.
+    /// Shards per request.
     pub shards: usize,
-    /// Requests measured.
+    /// Number of measured requests.
     pub requests: usize,
-    /// Processor time of the node for one request, in microseconds.
+    /// CPU time of the node per request, in microseconds.
     pub request_us: f64,
-    /// The same for one call.
+    /// CPU time of the node per shard call, in microseconds.
     pub call_us: f64,
-    /// Memory of the node afterwards, in MB.
+    /// Resident memory of the node after the measurement, in MB.
     pub resident_mb: f64,
 }
 
@@ -66,7 +64,7 @@
     }
 }
 
-/// Measures `requests` requests over `shards` shards, one after the other.
+/// Sends `requests` sequential requests over `shards` shards and measures their cost.
 ///
 /// # Errors
 /// When a stand-in or the node does not start, or a request fails.
@@ -131,7 +129,7 @@
         let call = CallerCall::get(HOST, "/all/1", &format!("{name}-{number}"));
         let answer = caller.call(&call).await?;
         if !answer.status.is_success() {
-            return Err(std::io::Error::other(format!("a request ended with {}", answer.status)).into());
+            return Err(std::io::Error::other(format!("request failed with status {}", answer.status)).into());
         }
     }
     Ok(())
--- a/crates/sablebay-bench/src/hollow.rs
+++ b/crates/sablebay-bench/src/hollow.rs
@@ -1,5 +1,5 @@
-//! A fleet of hollow nodes in one process and in virtual time: the product's own state machine,
-//! without sockets, over a simulated network that delays, loses, cuts and reorders.
+//! A simulated fleet in one process and in virtual time. Each hollow node runs the fleet state machine
+//! of a real node, without sockets, over a network that delays, reorders and drops messages.
 
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -16,36 +16,35 @@
 use sablebay_model::{Incarnation, InstanceKey, LeafId, Micros, NodeId, RegionName, ZoneName};
 use sablebay_protocol::peer::PeerMessage;
 
-/// How a hollow fleet is set up.
+/// Options of a hollow fleet.
 #[derive(Clone, Debug)]
 pub struct HollowOptions {
-    /// How many nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Regions, and zones in all.
+    /// Number of regions.
     pub regions: usize,
-    /// Zones in all.
+    /// Number of zones, over all regions.
     pub zones: usize,
-    /// The share of messages that are lost.
+    /// Fraction of messages that are lost.
     pub loss: f64,
-    /// The nodes' probe period.
     pub probe_period: Micros,
-    /// Mechanisms that are on.
+    /// The enabled mechanisms.
     pub mechanisms: FleetMechanisms,
-    /// Seed of everything that is drawn.
+    /// Seed of the random number generators.
     pub seed: u64,
 }
 
-/// One way between nodes of one zone.
+/// One-way latency between nodes of one zone.
 const ZONE_LATENCY: Micros = Micros(300);
-/// Between zones of one region.
+/// One-way latency between zones of one region.
 const REGION_LATENCY: Micros = Micros(1_000);
-/// Between regions.
+/// One-way latency between regions.
 const WORLD_LATENCY: Micros = Micros(40_000);
-/// Time between two looks of a node at its clock.
+/// Period of the timer of a node.
 const TICK: Micros = Micros::from_millis(100);
-/// Bytes that a frame adds to a message, and TCP/IP to a small frame.
+/// Overhead in bytes of the framing and of the TCP/IP headers for each message.
 const FRAME_BYTES: usize = 20 + 52;
-/// Seeds that a new node is told.
+/// Number of seed addresses of a replacement node.
 const SEEDS: usize = 3;
 
 struct HollowNode {
@@ -83,30 +82,29 @@
 }
 
 impl Ord for Event {
-    /// The earliest is the greatest, so that a heap gives it first.
+    /// Reversed, so that the max-heap pops the earliest event first.
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (other.at, other.order).cmp(&(self.at, self.order))
     }
 }
 
-/// What was counted.
+/// Message counters of a hollow fleet.
 #[derive(Clone, Debug, Default)]
 pub struct HollowReport {
-    /// Messages sent.
     pub messages: u64,
-    /// Bytes sent.
+    /// Bytes sent, framing included.
     pub bytes: u64,
-    /// Messages by kind.
+    /// Messages and bytes sent, by kind of message.
     pub by_kind: BTreeMap<&'static str, (u64, u64)>,
-    /// Bytes sent from one zone to another.
+    /// Bytes sent between zones.
     pub cross_zone_bytes: u64,
-    /// Messages sent from one zone to another.
+    /// Messages sent between zones.
     pub cross_zone_messages: u64,
-    /// Members that were believed dead though they ran.
+    /// Number of times that a node declared a running member dead.
     pub false_deaths: u64,
 }
 
-/// A fleet of hollow nodes.
+/// A fleet of hollow nodes, identified by their positions.
 pub struct HollowFleet {
     options: HollowOptions,
     nodes: Vec<HollowNode>,
@@ -115,14 +113,14 @@
     order: u64,
     now: Micros,
     random: SmallRng,
-    /// What was counted since it was last taken.
+    /// Counters since the report was last reset.
     pub report: HollowReport,
     cut_regions: Option<(usize, usize)>,
     cut_zone: Option<usize>,
 }
 
 impl HollowFleet {
-    /// A fleet whose nodes know each other already.
+    /// Creates a fleet in which every node already knows all members.
     pub fn new(options: HollowOptions) -> Self {
         let mut fleet = Self {
             random: SmallRng::seed_from_u64(options.seed),
@@ -143,7 +141,7 @@
         fleet
     }
 
-    /// Fills the member tables, as if the nodes had run for long.
+    /// Adds every node to the member table of every other node.
     fn populate_members(&mut self) {
         let claim = |node: &HollowNode| MemberClaim {
             info: node.machine.info().clone(),
@@ -200,32 +198,31 @@
         self.queue.push(Event { at, order: self.order, kind });
     }
 
-    /// Virtual time.
+    /// The current virtual time.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// Positions of the nodes that run.
+    /// Positions of the running nodes.
     pub fn running(&self) -> Vec<usize> {
         (0..self.nodes.len()).filter(|position| self.nodes[*position].running).collect()
     }
 
-    /// A node's machine.
+    /// The state machine of a node.
     pub fn machine(&self, position: usize) -> &FleetNode {
         &self.nodes[position].machine
     }
 
-    /// Whether a node is paused now.
     pub fn is_paused(&self, position: usize) -> bool {
         self.nodes[position].paused_until > self.now
     }
 
-    /// The version in force on a node.
+    /// The configuration version in force on a node.
     pub fn version(&self, position: usize) -> Version {
         self.nodes[position].machine.floor().version()
     }
 
-    /// Lets a node adopt a configuration as if it had read it from the platform.
+    /// Offers a configuration to a node as if the node had read it from the platform.
     pub fn offer(&mut self, position: usize, configuration: &Arc<Configuration>) {
         let now = self.now;
         let mut outputs = Vec::new();
@@ -236,7 +233,8 @@
         self.apply_outputs(position, outputs);
     }
 
-    /// Ends a node without warning, and starts another that knows a few of the rest.
+    /// Crashes a node and starts a new one that knows a few running nodes as seeds. Returns the position
+    /// of the new node.
     pub fn replace(&mut self, position: usize) -> usize {
         self.nodes[position].running = false;
         let running = self.running();
@@ -248,45 +246,44 @@
         self.add_node(seeds)
     }
 
-    /// Freezes a node for a while. Messages to it wait.
+    /// Pauses a node for `duration`. Its timers and messages are delivered afterwards.
     pub fn pause(&mut self, position: usize, duration: Micros) {
         self.nodes[position].paused_until = self.now.plus(duration);
     }
 
-    /// Cuts two regions off from each other, or mends the cut.
+    /// Drops all messages between two regions, or restores the network with `None`.
     pub fn set_cut(&mut self, regions: Option<(usize, usize)>) {
         self.cut_regions = regions;
     }
 
-    /// Cuts a zone off from all others, or mends the cut.
+    /// Drops all messages between a zone and the others, or restores the network with `None`.
     pub fn set_cut_zone(&mut self, zone: Option<usize>) {
         self.cut_zone = zone;
     }
 
-    /// The zone of a node.
     pub fn zone(&self, position: usize) -> usize {
         position % self.options.zones
     }
 
-    /// Ends a node without warning.
+    /// Stops a node without notice to the others.
     pub fn crash(&mut self, position: usize) {
         self.nodes[position].running = false;
     }
 
-    /// Has a node say that a leaf is leaving.
+    /// Makes a node report a leaf as leaving.
     pub fn note_leaf(&mut self, position: usize, leaf: LeafId) {
         let mut outputs = Vec::new();
         self.nodes[position].machine.note_leaf(leaf, true, self.now.as_millis(), &mut outputs);
         self.apply_outputs(position, outputs);
     }
 
-    /// Runs until `until` of virtual time.
+    /// Processes events up to the virtual time `until`.
     pub fn run_until(&mut self, until: Micros) {
         while let Some(event) = self.queue.peek() {
             if event.at > until {
                 break;
             }
-            let event = self.queue.pop().expect("it was just seen");
+            let event = self.queue.pop().expect("the queue was peeked above");
             self.now = event.at;
             self.handle(event.kind);
         }
--- a/crates/sablebay-bench/src/tenant_cost.rs
+++ b/crates/sablebay-bench/src/tenant_cost.rs
@@ -1,4 +1,4 @@
-//! What tenants cost a node: reading them, making their directory, and finding a caller's tenant.
+//! Measures the cost of reading tenants, building their directory and looking up a caller's tenant.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -14,29 +14,29 @@
 use crate::error::BenchError;
 use crate::usage::process_cpu_time;
 
-/// Look-ups that are measured together.
+/// Number of lookups per measurement.
 const LOOKUPS: usize = 1_000_000;
 
-/// What was measured.
+/// Cost of tenants.
 #[derive(Debug, Serialize)]
 pub struct TenantCost {
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: usize,
-    /// Keys of each.
+    /// Number of keys per tenant.
     pub keys_each: usize,
-    /// Bytes of the configuration as the operator writes it.
+    /// Size of the configuration document.
     pub document_bytes: usize,
-    /// Processor time to read it and digest its keys, in milliseconds.
+    /// CPU time to read the document and digest its keys, in milliseconds.
     pub read_ms: f64,
-    /// Processor time to make the directory, in milliseconds.
+    /// CPU time to build the directory, in milliseconds.
     pub build_ms: f64,
-    /// Memory that the tenants as read keep, in KB.
+    /// Memory retained by the parsed tenants, in KB.
     pub tenants_kb: f64,
-    /// Memory that the directory keeps, in KB.
+    /// Memory retained by the directory, in KB.
     pub directory_kb: f64,
-    /// Processor time to digest a caller's key and find its tenant, in nanoseconds.
+    /// CPU time to digest a known key and look up its tenant, in nanoseconds.
     pub known_ns: f64,
-    /// The same for a key that stands for nobody.
+    /// CPU time to digest an unknown key and look it up, in nanoseconds.
     pub unknown_ns: f64,
 }
 
@@ -44,7 +44,7 @@
     format!("key-of-tenant-{tenant:06}-number-{number:02}")
 }
 
-/// A configuration of tenants alone.
+/// Generates a configuration that contains only tenants.
 fn document(tenants: usize, keys_each: usize) -> Vec<u8> {
     let tenant = |tenant: usize| {
         let keys: Vec<String> = (0..keys_each).map(|number| key(tenant, number)).collect();
@@ -54,10 +54,10 @@
     json!({"Version": 1, "Tenants": tenants}).to_string().into_bytes()
 }
 
-/// Measures tenants with some keys each.
+/// Measures the cost of `tenants` tenants with `keys_each` keys each.
 ///
 /// # Errors
-/// When the measurement's own document cannot be read, or a look-up finds what it should not.
+/// When the generated document is invalid, a known key is not found or an unknown key is found.
 pub fn measure_tenant_cost(tenants: usize, keys_each: usize) -> Result<TenantCost, BenchError> {
     let digester = KeyDigester::new(&FleetName::new("cost"), Some("secret"));
     let document = document(tenants, keys_each);
@@ -79,7 +79,7 @@
     let (found, known_time) = find(&|tenant| key(tenant, tenant % keys_each));
     let (false_matches, unknown_time) = find(&|tenant| key(tenant, keys_each));
     if found != LOOKUPS || false_matches != 0 {
-        return Err(std::io::Error::other("a look-up found what it should not").into());
+        return Err(std::io::Error::other("key lookup returned an incorrect result").into());
     }
     let each_ns = |time: Duration| time.as_secs_f64() * 1e9 / LOOKUPS as f64;
     Ok(TenantCost {
--- a/crates/sablebay-bench/tests/hollow_fleet.rs
+++ b/crates/sablebay-bench/tests/hollow_fleet.rs
@@ -1,5 +1,5 @@
-//! Membership and configuration as properties of hundreds of hollow nodes in virtual time: loss,
-//! reordering (by random latencies), cuts, pauses, replacement, and a platform that lies.
+//! Properties of membership and configuration in a fleet of hollow nodes in virtual time, with message
+//! loss, reordering, network partitions, pauses, replaced nodes and a platform with stale reads.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -35,8 +35,8 @@
     fleet.run_until(fleet.now().plus(Micros::from_secs(seconds)));
 }
 
-/// Beliefs about nodes that run as "not alive", and about nodes that are gone as present, over the
-/// whole fleet.
+/// Counts running nodes that a member table does not list as alive, and surplus members that it lists as
+/// present, over the whole fleet.
 fn incorrect_views(fleet: &HollowFleet) -> usize {
     let running = fleet.running();
     let key = |position: usize| fleet.machine(position).info().key.clone();
@@ -57,7 +57,7 @@
 proptest! {
     #![proptest_config(settings(4))]
 
-    /// Whatever happened, when it is over every node sees exactly the nodes that run.
+    /// Guards against member tables that do not converge to the running nodes after faults end.
     #[test]
     fn every_node_ends_up_seeing_exactly_who_runs(
         seed in any::<u64>(),
@@ -79,14 +79,14 @@
         }
         advance(&mut fleet, cut_seconds);
         fleet.set_cut(None);
-        // Suspicions end, members believed dead are knocked on, lists are exchanged.
+        // Enough time for suspicions to expire, dead members to be probed and member lists to be exchanged.
         advance(&mut fleet, 240);
         prop_assert_eq!(incorrect_views(&fleet), 0);
     }
 
 }
 
-/// The configuration never reverts, whatever the seed.
+/// Guards against a node returning to an older configuration.
 #[tokio::test]
 async fn the_configuration_never_reverts() {
     for seed in 1..=5 {
@@ -96,7 +96,7 @@
     }
 }
 
-/// A cut that heals makes no storm: the messages of the minute after it are of the usual number.
+/// Guards against a message storm after a network partition heals.
 #[test]
 fn a_cut_heals_without_a_storm() {
     let mut fleet = fleet(7);
@@ -110,11 +110,14 @@
     fleet.report = Default::default();
     advance(&mut fleet, 60);
     let healing = fleet.report.messages;
-    assert!(healing < usual * 3, "{healing} messages in the minute after the cut, {usual} usually");
+    assert!(
+        healing < usual * 3,
+        "{healing} messages in the minute after the partition healed, {usual} in a usual minute"
+    );
 }
 
-/// A member that is suspected because messages were lost has time to take that back: nobody comes to
-/// believe that a node which runs is dead.
+/// Guards against declaring a running member dead because of message loss, before it can refute the
+/// suspicion.
 #[test]
 fn lost_messages_alone_make_nobody_dead() {
     for seed in 1..=3 {
--- a/crates/sablebay-bench/tests/zone_traffic.rs
+++ b/crates/sablebay-bench/tests/zone_traffic.rs
@@ -1,11 +1,11 @@
-//! How news spread between zones, and what that costs, in hundreds of hollow nodes in virtual time.
+//! Latency and cost of spreading updates between zones, in a fleet of hollow nodes in virtual time.
 
 use sablebay_bench::{HollowFleet, HollowOptions};
 use sablebay_fleet::{FleetMechanisms, MemberStatus};
 use sablebay_model::{LeafId, Micros};
 
 const ZONES: usize = 4;
-/// The state of the whole fleet is looked at this often.
+/// Interval between checks of the fleet state.
 const STEP: Micros = Micros::from_millis(20);
 
 fn fleet(nodes: usize, seed: u64) -> HollowFleet {
@@ -27,11 +27,11 @@
     fleet.run_until(fleet.now().plus(time));
 }
 
-/// How long it takes until something holds.
+/// Advances the fleet until `holds` returns true, and returns the elapsed virtual time.
 fn time_until(fleet: &mut HollowFleet, limit: Micros, holds: impl Fn(&HollowFleet) -> bool) -> Micros {
     let began_at = fleet.now();
     while !holds(fleet) {
-        assert!(fleet.now().since(began_at) < limit, "not within {} ms", limit.as_millis());
+        assert!(fleet.now().since(began_at) < limit, "condition not met within {} ms", limit.as_millis());
         run_for(fleet, STEP);
     }
     fleet.now().since(began_at)
@@ -43,7 +43,7 @@
     member.is_some_and(|member| member.status() == status)
 }
 
-/// The mean over some seeds, in milliseconds or in messages.
+/// The mean of `figure` over several seeds.
 fn mean(figure: impl Fn(u64) -> u64) -> u64 {
     const SEEDS: u64 = 3;
     (0..SEEDS).map(figure).sum::<u64>() / SEEDS
@@ -56,14 +56,14 @@
             let mut fleet = fleet(nodes, seed);
             run_for(&mut fleet, Micros::from_secs(10));
             println!(
-                "{nodes} idle members: {} bytes across in 10 s, {} in all",
+                "{nodes} idle members: {} bytes between zones in 10 s, {} in total",
                 fleet.report.cross_zone_bytes, fleet.report.bytes
             );
             assert_eq!(fleet.report.false_deaths, 0);
             fleet.report.cross_zone_messages / nodes as u64
         });
-        println!("{nodes} members: {per_node} messages across each in 10 s");
-        assert!(per_node <= 15, "{per_node} messages across in 10 s");
+        println!("{nodes} members: {per_node} messages between zones per member in 10 s");
+        assert!(per_node <= 15, "{per_node} messages between zones per member in 10 s");
     }
 }
 
@@ -90,9 +90,9 @@
             fleet.report.cross_zone_messages
         });
         println!(
-            "{nodes} members: a leaving leaf is known after {time} ms, {crossings} messages across in 400 ms"
+            "{nodes} members: a leaving leaf is known after {time} ms, {crossings} cross-zone messages in 400 ms"
         );
-        assert!(crossings <= 150 + nodes as u64 / 2, "{crossings} messages across");
+        assert!(crossings <= 150 + nodes as u64 / 2, "{crossings} messages between zones");
     }
 }
 
@@ -108,8 +108,8 @@
             };
             time_until(&mut fleet, Micros::from_secs(20), known).as_millis()
         });
-        println!("{nodes} members: a dead member is known after {time} ms");
-        assert!(time <= 8_000, "{time} ms");
+        println!("{nodes} members: a dead member is detected after {time} ms");
+        assert!(time <= 8_000, "dead member detected after {time} ms");
     }
 }
 
@@ -133,11 +133,11 @@
             };
             let time = time_until(&mut fleet, Micros::from_secs(60), known).as_millis();
             println!(
-                "{nodes} members: a cut zone is suspected after {time} ms, {} messages across",
+                "{nodes} members: a cut-off zone is suspected after {time} ms, {} messages between zones",
                 fleet.report.cross_zone_messages
             );
             time
         });
-        assert!(suspected <= 5_000 + 20 * nodes as u64, "{suspected} ms");
+        assert!(suspected <= 5_000 + 20 * nodes as u64, "cut-off zone suspected after {suspected} ms");
     }
 }
