--- a/crates/sablebay-bench/src/configuration_cost.rs
+++ b/crates/sablebay-bench/src/configuration_cost.rs
@@ -128,11 +128,11 @@
 /// As [`measure_configuration`].
 pub fn measure_slopes(largest: ConfigurationSize) -> Result<ConfigurationSlopes, BenchError> {
     const PART: usize = 10;
-    let whole = measure_configuration(largest)?;
+    let total = measure_configuration(largest)?;
     let fewer_leaves = ConfigurationSize { leaves: largest.leaves / PART, ..largest };
     let fewer_services = ConfigurationSize { services: largest.services / PART, ..largest };
     let slope = |smaller: ConfigurationCost, added: usize| {
-        let each = |of: fn(&ConfigurationCost) -> f64| (of(&whole) - of(&smaller)) / added as f64;
+        let each = |of: fn(&ConfigurationCost) -> f64| (of(&total) - of(&smaller)) / added as f64;
         ConfigurationCost {
             memory_bytes: each(|cost| cost.memory_bytes),
             read_peak_bytes: each(|cost| cost.read_peak_bytes),
@@ -145,7 +145,7 @@
         }
     };
     Ok(ConfigurationSlopes {
-        largest: whole,
+        largest: total,
         per_leaf: slope(measure_configuration(fewer_leaves)?, largest.leaves - fewer_leaves.leaves),
         per_service: slope(
             measure_configuration(fewer_services)?,
--- a/crates/sablebay-bench/tests/configuration_memory.rs
+++ b/crates/sablebay-bench/tests/configuration_memory.rs
@@ -21,13 +21,14 @@
 fn reading_a_whole_configuration_fits_the_limit() {
     let size = ConfigurationSize { leaves: LEAVES, services: LEAVES / 100 };
     let text = configuration_text(size, 1, 300);
-    let (whole, read) = count_allocations(|| Configuration::parse("test", &text).unwrap());
+    let (configuration, read) = count_allocations(|| Configuration::parse("test", &text).unwrap());
     // Entries that a changed document has in common with its base must be shared.
     let changed = configuration_text(size, 2, 301);
-    let (_changed, reread) =
-        count_allocations(|| Configuration::parse_with_base("test", &changed, &whole.document).unwrap());
+    let (_changed, reread) = count_allocations(|| {
+        Configuration::parse_with_base("test", &changed, &configuration.document).unwrap()
+    });
     assert!(reread.kept < read.kept / 3, "{read:?} {reread:?}");
-    let sent = (*whole.document).clone();
+    let sent = (*configuration.document).clone();
     let (_joined, joining) = count_allocations(|| Configuration::from_document(sent).unwrap());
     assert!(read.peak < read.kept + TREE_BYTES, "{read:?}");
     let at_two_years = |bytes: i64| bytes * TWO_YEAR_LEAVES / LEAVES as i64;
