--- a/crates/sablebay-bench/src/experiment/leaf_cost.rs
+++ b/crates/sablebay-bench/src/experiment/leaf_cost.rs
@@ -1,6 +1,6 @@
-//! Processor time for each leaf call in a wide fan-out, against a floor of raw frames that are
-//! batched alike. The leaves run in a process of their own, so that the time measured is the
-//! calling side's alone.
+//! Measures the CPU time for each leaf call in a wide fan-out, against a baseline of raw frames in
+//! batches of the same size. The leaves run in a separate process, so that only the CPU time of the
+//! calling side is measured.
 
 mod floor;
 
@@ -26,14 +26,13 @@
 
 pub use floor::serve_floor;
 
-/// Fan-outs measured, with how many queries run at once and how long a call waits for others.
+/// Leaves per query, number of concurrent queries, and batching delay in microseconds.
 const FAN_OUTS: [(usize, usize, u64); 3] = [(10, 256, 1_000), (100, 64, 1_000), (1_400, 48, 2_000)];
-/// Connections to one leaf: its share of a leaf's 80 when eight nodes connect to it.
+/// Connections to one leaf: one eighth of the 80 connections that a leaf accepts.
 const CONNECTIONS: usize = 10;
 const BATCH: usize = 32;
 const SERVICE: &str = "wide";
 
-/// Runs the experiment.
 pub async fn run(options: &RunOptions) -> Result<ExperimentResult, BenchError> {
     let mut result = options.result("leaf-cost");
     let leaves = HollowLeaves::spawn(FAN_OUTS[2].0)?;
@@ -54,7 +53,7 @@
     Ok(result)
 }
 
-/// The leaves' process; ends when dropped.
+/// The process that runs the leaves. Killed on drop.
 struct HollowLeaves {
     child: Child,
     addresses: Vec<SocketAddr>,
@@ -78,7 +77,7 @@
 
 impl Drop for HollowLeaves {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -105,7 +104,7 @@
             "[[indexes.i.shards]]\npartitions = \"{number}\"\nleaves = [\"l{number}\"]\n"
         ));
     }
-    // Nine tenths of the connections are used.
+    // A node uses nine tenths of the configured connections.
     let connections = CONNECTIONS * 10 / 9 + 1;
     for (number, address) in leaves.iter().enumerate() {
         text.push_str(&format!(
@@ -129,12 +128,12 @@
     )?;
     let node = Node::start(settings, NodeMechanisms::default(), None).await?;
     wait_for("a ready node", 60, || node.shared.freshness.is_ready()).await?;
-    ask_for(&node, parallel, options.seconds(2.0)).await;
+    run_queries(&node, parallel, options.seconds(2.0)).await;
     let counters = &node.shared.client_counters;
     let (calls, batches) = (counters.calls.load(Ordering::Relaxed), counters.batches.load(Ordering::Relaxed));
     let cpu = process_cpu_time();
     let started = Instant::now();
-    let (latency, incomplete) = ask_for(&node, parallel, options.seconds(5.0)).await;
+    let (latency, incomplete) = run_queries(&node, parallel, options.seconds(5.0)).await;
     let elapsed = started.elapsed();
     let cpu = process_cpu_time() - cpu;
     let calls = (counters.calls.load(Ordering::Relaxed) - calls) as f64;
@@ -150,13 +149,14 @@
     })
 }
 
-/// Runs queries from several tasks; latencies, and how many answers were not complete.
-async fn ask_for(node: &Node, parallel: usize, duration: Duration) -> (Histogram<u64>, u64) {
+/// Runs queries from `parallel` tasks. Returns their latencies in microseconds and the number of queries
+/// that failed or were answered incompletely.
+async fn run_queries(node: &Node, parallel: usize, duration: Duration) -> (Histogram<u64>, u64) {
     let started = Instant::now();
-    let mut asking = tokio::task::JoinSet::new();
+    let mut workers = tokio::task::JoinSet::new();
     for number in 0..parallel {
         let shared = node.shared.clone();
-        asking.spawn(async move {
+        workers.spawn(async move {
             let mut latency = histogram();
             let mut incomplete = 0u64;
             while started.elapsed() < duration {
@@ -167,9 +167,9 @@
                     sort: SortOrder::Descending,
                     deadline_ms: None,
                 };
-                let asked = Instant::now();
+                let sent_at = Instant::now();
                 let answer = root_search(&shared, &ServiceId::new(SERVICE), input).await;
-                latency.saturating_record(asked.elapsed().as_micros() as u64);
+                latency.saturating_record(sent_at.elapsed().as_micros() as u64);
                 let complete = answer.is_ok_and(|answer| answer.coverage.missing.is_empty());
                 incomplete += u64::from(!complete);
             }
@@ -178,7 +178,7 @@
     }
     let mut latency = histogram();
     let mut incomplete = 0;
-    for (other, count) in asking.join_all().await {
+    for (other, count) in workers.join_all().await {
         latency.add(&other).expect("the bounds are the same");
         incomplete += count;
     }
--- a/crates/sablebay-bench/src/experiment/leaf_cost/floor.rs
+++ b/crates/sablebay-bench/src/experiment/leaf_cost/floor.rs
@@ -1,4 +1,4 @@
-//! The floor: raw frames over tokio, batched alike, without any decision or codec.
+//! The baseline of the `leaf-cost` experiment: raw frames over TCP, without routing or encoding.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,18 +9,15 @@
 use crate::error::BenchError;
 use crate::usage::process_cpu_time;
 
-/// Bytes of one call.
 const CALL_BYTES: usize = 64;
-/// Bytes of one answer.
 const ANSWER_BYTES: usize = 256;
-/// Connections used at once.
 const CONNECTIONS: usize = 64;
 
-/// Answers every frame with a frame of as many answers as it had calls.
+/// Answers each frame with a frame that holds one answer for each call.
 pub async fn serve_floor(listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         tokio::spawn(async move {
-            // The client closing is the normal end.
+            // Fails with an unexpected end of file when the client closes the connection.
             let _ = answer_frames(stream).await;
         });
     }
@@ -41,17 +38,17 @@
     }
 }
 
-/// Processor time of the calling side for each call, in microseconds.
+/// Measures the CPU time of the calling side for each call, in microseconds.
 pub async fn measure(server: SocketAddr, batch: usize, duration: Duration) -> Result<f64, BenchError> {
     let before = process_cpu_time();
     let started = Instant::now();
-    let mut calling = tokio::task::JoinSet::new();
+    let mut workers = tokio::task::JoinSet::new();
     for _ in 0..CONNECTIONS {
-        calling.spawn(call_frames(server, batch, started, duration));
+        workers.spawn(call_frames(server, batch, started, duration));
     }
     let mut calls = 0;
-    for called in calling.join_all().await {
-        calls += called?;
+    for completed in workers.join_all().await {
+        calls += completed?;
     }
     let cpu = process_cpu_time() - before;
     Ok(cpu.as_secs_f64() * 1e6 / calls as f64)
--- a/crates/sablebay-bench/src/experiment/straggler.rs
+++ b/crates/sablebay-bench/src/experiment/straggler.rs
@@ -1,10 +1,8 @@
-//! Tail latency with slow calls and slow replicas, for both users' deployments.
+//! Measures tail latency with slow calls and slow replicas, for both users' deployments.
 //!
-//! Leaf service times are log-normal with a median of 20 ms and sigma 0.6. One call in a hundred
-//! takes ten times as long, and at any moment one leaf in twenty (at least one) works at a third
-//! of its speed, for three seconds at a time. The load is open-loop at 60% of the slots of each
-//! service, and once more at 30%: with two replicas a shard, what is left of a service when one of
-//! them is slow cannot carry 60% (2 x 0.6 = 1.2 of one replica), and no choice of replica mends that.
+//! Leaf service times are log-normal. Some calls take longer by a factor, and some leaves run slower
+//! for a period. The load is open-loop at 60% and at 30% of the slots of each service. At 60% with two
+//! replicas per shard, the remaining replica cannot carry the full load while the other is slow.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,15 +23,14 @@
 const STRAGGLER_FACTOR: f64 = 10.0;
 const SLOW_SHARE: f64 = 0.05;
 const SLOW_FACTOR: f64 = 3.0;
-const SLOW_SPELL: Duration = Duration::from_secs(3);
-/// The load, as a share of the slots, with the prefix of its figures.
+const SLOW_PERIOD: Duration = Duration::from_secs(3);
+/// Prefix of the figures and the load as a fraction of the slots.
 const UTILISATIONS: [(&str, f64); 2] = [("", 0.6), ("at_30_percent_", 0.3)];
-/// What the tail may grow by.
+/// Maximum ratio of the p99 latency with stragglers to that without.
 const LATENCY_GOAL: f64 = 1.15;
-/// Extra load that is allowed.
+/// Maximum extra load, as a fraction.
 const LOAD_GOAL: f64 = 0.03;
 
-/// Runs the experiment.
 pub async fn run(options: &RunOptions) -> Result<ExperimentResult, BenchError> {
     let mut result = options.result("straggler");
     let mut reached = true;
@@ -42,9 +39,9 @@
     {
         for (load, utilisation) in UTILISATIONS {
             let prefix = format!("{prefix}_{load}");
-            let fine = measure(&prefix, &deployment, utilisation, options, &mut result).await?;
-            result.figure(&format!("{prefix}goals_reached"), fine);
-            reached &= fine;
+            let within_goals = measure(&prefix, &deployment, utilisation, options, &mut result).await?;
+            result.figure(&format!("{prefix}goals_reached"), within_goals);
+            reached &= within_goals;
         }
     }
     result.figure("goals_reached", reached);
@@ -54,7 +51,8 @@
     Ok(result)
 }
 
-/// Measures one deployment three times; returns whether the goals are reached.
+/// Runs one deployment without stragglers, with stragglers, and with stragglers but no hedging.
+/// Returns whether the latency and load goals are reached.
 async fn measure(
     prefix: &str,
     deployment: &Deployment,
@@ -63,7 +61,7 @@
     result: &mut ExperimentResult,
 ) -> Result<bool, BenchError> {
     let hedging = !options.breaks("hedging");
-    let sound = one_run(deployment, utilisation, options, LeafCondition::Sound).await?;
+    let healthy = one_run(deployment, utilisation, options, LeafCondition::Healthy).await?;
     let straggling = one_run(deployment, utilisation, options, LeafCondition::Stragglers { hedging }).await?;
     let unhedged =
         one_run(deployment, utilisation, options, LeafCondition::Stragglers { hedging: false }).await?;
@@ -71,17 +69,17 @@
     figure("p50_ms", straggling.latency_ms(0.5));
     figure("p99_ms", straggling.latency_ms(0.99));
     figure("p999_ms", straggling.latency_ms(0.999));
-    figure("no_straggler_p99_ms", sound.latency_ms(0.99));
-    figure("no_straggler_extra_load", sound.extra_load());
+    figure("no_straggler_p99_ms", healthy.latency_ms(0.99));
+    figure("no_straggler_extra_load", healthy.extra_load());
     figure("no_hedge_p99_ms", unhedged.latency_ms(0.99));
     figure("no_hedge_full_coverage", unhedged.full_coverage());
     figure("extra_load", straggling.extra_load());
     figure("full_coverage", straggling.full_coverage());
-    let ratio = straggling.latency_ms(0.99) / sound.latency_ms(0.99);
+    let ratio = straggling.latency_ms(0.99) / healthy.latency_ms(0.99);
     figure("p99_ratio", ratio);
-    let violations: usize = [&sound, &straggling, &unhedged].iter().map(|run| run.violations.len()).sum();
+    let violations: usize = [&healthy, &straggling, &unhedged].iter().map(|run| run.violations.len()).sum();
     result.violations += violations as u64;
-    for (name, run) in [("no stragglers", &sound), ("stragglers", &straggling), ("no hedging", &unhedged)] {
+    for (name, run) in [("no stragglers", &healthy), ("stragglers", &straggling), ("no hedging", &unhedged)] {
         let quantiles = (1..200).map(|step| f64::from(step) / 200.0);
         let points = quantiles.map(|quantile| (quantile, run.latency_ms(quantile))).collect();
         let plot = format!("{prefix}latency by quantile");
@@ -90,11 +88,11 @@
     Ok(ratio <= LATENCY_GOAL && straggling.extra_load() <= LOAD_GOAL)
 }
 
-/// What the leaves are like in a run.
+/// Condition of the leaves during a run.
 #[derive(Clone, Copy)]
 enum LeafCondition {
     /// No stragglers; hedging is on.
-    Sound,
+    Healthy,
     /// Slow calls and slow replicas.
     Stragglers {
         /// Whether slow calls are hedged.
@@ -109,7 +107,7 @@
     condition: LeafCondition,
 ) -> Result<LoadSummary, BenchError> {
     let (stragglers, hedging) = match condition {
-        LeafCondition::Sound => (false, true),
+        LeafCondition::Healthy => (false, true),
         LeafCondition::Stragglers { hedging } => (true, hedging),
     };
     let mut deployment = deployment.clone();
@@ -130,19 +128,19 @@
     load.warm_up = warm_up;
     load.deadline_ms = Some(2_000);
     load.attempts = 1;
-    let spells = stragglers.then(|| {
+    let slow_periods = stragglers.then(|| {
         let leaves = cluster.leaves.leaves.values().map(|leaf| leaf.state.clone()).collect();
-        tokio::spawn(run_slow_spells(leaves, options.seed))
+        tokio::spawn(run_slow_periods(leaves, options.seed))
     });
     let summary = run_load(load).await;
-    if let Some(spells) = spells {
-        spells.abort();
+    if let Some(slow_periods) = slow_periods {
+        slow_periods.abort();
     }
     cluster.stop().await;
     Ok(summary)
 }
 
-/// Queries a second of each service that keep a share of its slots busy.
+/// Weights each service by the queries per second that keep a fraction of its slots busy.
 fn weights(deployment: &Deployment, utilisation: f64, mean_us: f64) -> Vec<WeightedService> {
     let slots_of = |name: &str| {
         let leaves = deployment.leaves.iter().filter(|leaf| leaf.name.starts_with(&format!("{name}-leaf-")));
@@ -159,8 +157,8 @@
         .collect()
 }
 
-/// Keeps one leaf in twenty slow, others in turn.
-async fn run_slow_spells(leaves: Vec<Arc<LeafState>>, seed: u64) {
+/// Slows down a random fraction of the leaves, chosen anew in each period.
+async fn run_slow_periods(leaves: Vec<Arc<LeafState>>, seed: u64) {
     let mut random = SmallRng::seed_from_u64(seed);
     let count = ((leaves.len() as f64 * SLOW_SHARE).round() as usize).max(1);
     loop {
@@ -168,7 +166,7 @@
         for position in &slow {
             leaves[*position].faults.lock().slow_factor = SLOW_FACTOR;
         }
-        tokio::time::sleep(SLOW_SPELL).await;
+        tokio::time::sleep(SLOW_PERIOD).await;
         for position in &slow {
             leaves[*position].faults.lock().slow_factor = 1.0;
         }
